--- a/cmd/damaskctl/store.go
+++ b/cmd/damaskctl/store.go
@@ -91,7 +91,7 @@
 		status.DomainsOut = append(status.DomainsOut, string(d))
 	}
 	slices.Sort(status.DomainsOut)
-	for _, m := range placement.Order(snap.Members) {
+	for _, m := range placement.DispatcherOrder(snap.Members) {
 		status.Instances = append(status.Instances, api.FleetInstance{
 			ID: string(m.ID), FailureDomain: string(m.Domain), PeerAddr: m.Addr, Incarnation: m.Incarnation,
 		})
--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -56,7 +56,7 @@
 	snapshot func() *catalog.Snapshot
 	log      hclog.Logger
 	hub      *hub
-	local    *Local
+	local    *LocalPlacer
 	limits   *limitTable
 	holdoffs *holdoffs
 	news     *outbox[news]
@@ -83,7 +83,7 @@
 		rests: map[fleet.InstanceID]rest{}, behind: map[fleet.InstanceID]*remoteSink{}, lacked: map[string]time.Time{}, news: newOutbox[news](),
 		look: make(chan struct{}, 1),
 	}
-	c.local = NewLocal(f.Snapshot, c.limits.limited)
+	c.local = NewLocalPlacer(f.Snapshot, c.limits.limited)
 	f.Share(c.stateChanged)
 	return c
 }
@@ -308,7 +308,7 @@
 
 // Absent gives the members of which this instance, as the dispatcher, has had no session for so long; none
 // while it is not the dispatcher.
-func (c *Client) Absent(long time.Duration) []*catalog.Member {
+func (c *Client) AbsentMembers(long time.Duration) []*catalog.Member {
 	if c.Dispatcher() != c.self {
 		return nil
 	}
--- a/internal/placement/departures.go
+++ b/internal/placement/departures.go
@@ -17,7 +17,7 @@
 const maxSpread = 10_000
 
 // Left takes that an upstream leaves, by a sign that this instance saw.
-func (c *Client) Left(u *catalog.Upstream, sign string) {
+func (c *Client) MarkLeaving(u *catalog.Upstream, sign string) {
 	p := u.Process()
 	if now := c.snapshot().Running(p); now != nil && now.Leaving {
 		return
--- a/internal/placement/departures_test.go
+++ b/internal/placement/departures_test.go
@@ -44,7 +44,7 @@
 func TestADepartureIsKnownAfterAChangeOfDispatcher(t *testing.T) {
 	is := is.New(t)
 	c := NewClient("i1", "d", followerOf("x", "y"), hclog.NewNullLogger())
-	c.Left(&catalog.Upstream{ID: "x", Born: 7}, "its answer")
+	c.MarkLeaving(&catalog.Upstream{ID: "x", Born: 7}, "its answer")
 	first := c.first()
 	is.Equal(len(first.Departures), 1)
 	h := newHub(followerOf("x", "y"), hclog.NewNullLogger())
@@ -65,9 +65,9 @@
 	is := is.New(t)
 	c := NewClient("i1", "d", followerOf("x", "y", "z"), hclog.NewNullLogger())
 	c.session = &session{with: "old", end: func() {}, tell: func(*pb.FromEntry) {}}
-	c.Left(&catalog.Upstream{ID: "x", Born: 7}, "its answer")
+	c.MarkLeaving(&catalog.Upstream{ID: "x", Born: 7}, "its answer")
 	first := c.first()
-	c.Left(&catalog.Upstream{ID: "y", Born: 7}, "its answer")
+	c.MarkLeaving(&catalog.Upstream{ID: "y", Born: 7}, "its answer")
 	var since *pb.FromEntry
 	c.moved(&session{with: "next", first: first, end: func() {}, tell: func(m *pb.FromEntry) { since = m }})
 	is.Equal(len(since.Departures), 1)
--- a/internal/placement/holdoff_test.go
+++ b/internal/placement/holdoff_test.go
@@ -48,7 +48,7 @@
 		}
 	}}
 	u := c.snapshot().Upstream("u")
-	c.Answered(u, gateway.Answer{HoldOff: time.Minute}, time.Now())
+	c.ObserveAnswer(u, gateway.Answer{HoldOff: time.Minute}, time.Now())
 	is.True(c.HeldOff(u))
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
--- a/internal/placement/limits.go
+++ b/internal/placement/limits.go
@@ -123,7 +123,7 @@
 }
 
 // Limited is the number of upstreams' limits that are believed to be in force.
-func (c *Client) Limited() int { return int(c.limits.count.Load()) }
+func (c *Client) LimitsInForce() int { return int(c.limits.count.Load()) }
 
 // takeLimits takes what instances heard, and tells all of them what is new; mu is held.
 func (h *hub) takeLimits(now decide.Instant, all []*pb.Limit) {
--- a/internal/placement/limits_test.go
+++ b/internal/placement/limits_test.go
@@ -50,7 +50,7 @@
 	id     fleet.InstanceID
 	hub    *hub
 	limits *limitTable
-	local  *Local
+	local  *LocalPlacer
 	dead   atomic.Bool
 	with   atomic.Pointer[hub] // its dispatcher; nil: none
 }
@@ -83,7 +83,7 @@
 	w := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: log})
 	n := &limitedOne{f: f, id: fleet.InstanceID(fmt.Sprint("i", i)), hub: newHub(w, log), limits: newLimitTable(log)}
 	n.hub.snapshot = snapshot
-	n.local = NewLocal(snapshot, n.limits.limited)
+	n.local = NewLocalPlacer(snapshot, n.limits.limited)
 	return n
 }
 
@@ -377,7 +377,7 @@
 func TestWithoutADispatcherALimitedUpstreamGetsNothing(t *testing.T) {
 	is := is.New(t)
 	needy := true
-	l := NewLocal(func() *catalog.Snapshot { return limitedSnapshot(1) }, func(u *catalog.Upstream) bool { return needy && u.ID == "needy" })
+	l := NewLocalPlacer(func() *catalog.Snapshot { return limitedSnapshot(1) }, func(u *catalog.Upstream) bool { return needy && u.ID == "needy" })
 	for range 4 {
 		g, err := l.Place(t.Context(), gateway.Ask{Service: "s"})
 		is.NoErr(err)
@@ -405,8 +405,8 @@
 func TestASessionBeginsWithTheLimitsThatAreKnown(t *testing.T) {
 	is := is.New(t)
 	c := NewClient("i1", "d", followerOf("x", "y"), hclog.NewNullLogger())
-	c.Answered(c.snapshot().Upstream("x"), gateway.Answer{Limited: true, Limit: 2}, time.Now())
-	c.Answered(&catalog.Upstream{ID: "gone", Born: 7}, gateway.Answer{Limited: true, Limit: 2}, time.Now())
+	c.ObserveAnswer(c.snapshot().Upstream("x"), gateway.Answer{Limited: true, Limit: 2}, time.Now())
+	c.ObserveAnswer(&catalog.Upstream{ID: "gone", Born: 7}, gateway.Answer{Limited: true, Limit: 2}, time.Now())
 	first := c.first()
 	is.Equal(len(first.Limits), 1)
 	is.Equal(first.Limits[0].Upstream, "x")
--- a/internal/placement/local.go
+++ b/internal/placement/local.go
@@ -14,7 +14,7 @@
 )
 
 // Local places by what this instance alone knows: the upstream with the least of its own work for its slots.
-type Local struct {
+type LocalPlacer struct {
 	snapshot func() *catalog.Snapshot
 	limited  func(*catalog.Upstream) bool // it takes only so many requests of all instances
 
@@ -23,13 +23,13 @@
 }
 
 // NewLocal gives a Local.
-func NewLocal(snapshot func() *catalog.Snapshot, limited func(*catalog.Upstream) bool) *Local {
-	return &Local{snapshot: snapshot, limited: limited, work: map[fleet.UpstreamID]int{}}
+func NewLocalPlacer(snapshot func() *catalog.Snapshot, limited func(*catalog.Upstream) bool) *LocalPlacer {
+	return &LocalPlacer{snapshot: snapshot, limited: limited, work: map[fleet.UpstreamID]int{}}
 }
 
 // Place implements gateway.Placer. It never waits. An upstream under a limit gets nothing: what others send there isn't
 // known, and each instance's request would be one too many.
-func (l *Local) Place(_ context.Context, a gateway.Ask) (gateway.Grant, error) {
+func (l *LocalPlacer) Place(_ context.Context, a gateway.Ask) (gateway.Grant, error) {
 	snap := l.snapshot()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,7 +52,7 @@
 // coldLoad puts a cold upstream behind every warm one: alone, an instance doesn't know what others send there.
 const coldLoad = 1000
 
-func (l *Local) load(u *catalog.Upstream) float64 {
+func (l *LocalPlacer) load(u *catalog.Upstream) float64 {
 	load := float64(l.work[u.ID]) / float64(max(1, u.Slots))
 	if time.Now().Before(u.ColdUntil) {
 		load += coldLoad
@@ -61,7 +61,7 @@
 }
 
 type localGrant struct {
-	l *Local
+	l *LocalPlacer
 	u *catalog.Upstream
 }
 
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -24,7 +24,7 @@
 
 // Order gives the members in the order in which they are dispatchers: the strong ones first, each group by
 // rendezvous hashing. All that know the same members agree on it.
-func Order(all []*catalog.Member) []*catalog.Member {
+func DispatcherOrder(all []*catalog.Member) []*catalog.Member {
 	most := 0.0
 	for _, m := range all {
 		most = max(most, power(m))
@@ -67,7 +67,7 @@
 	}
 	last := o.last.Load()
 	if last == nil || !sameMembers(last.members, members) {
-		last = &ordered{members: members, order: Order(members)}
+		last = &ordered{members: members, order: DispatcherOrder(members)}
 		o.last.Store(last)
 	}
 	return last.order
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -216,12 +216,12 @@
 	first.members(t, 2, addrs)
 	second.members(t, 2, addrs)
 	soon(t, "the second is attached", func() bool { return first.attached(second.self) && first.attached(first.self) })
-	is.Equal(len(first.Absent(50*time.Millisecond)), 0)
+	is.Equal(len(first.AbsentMembers(50*time.Millisecond)), 0)
 	soon(t, "the third is named", func() bool {
-		absent := first.Absent(50 * time.Millisecond)
+		absent := first.AbsentMembers(50 * time.Millisecond)
 		return len(absent) == 1 && absent[0].ID == third.self
 	})
-	is.Equal(len(second.Absent(0)), 0)
+	is.Equal(len(second.AbsentMembers(0)), 0)
 }
 
 // Short prompts are late for half a second at each planned stop of the dispatcher's instance. Instances learn
--- a/internal/routed/membership.go
+++ b/internal/routed/membership.go
@@ -35,7 +35,7 @@
 			p.Log.Warn("own entry is gone from the store: joining again")
 			watch.Join(ctx, p.Adapter.Store, n.self, p.Log)
 		}
-		for _, m := range p.Placer.Absent(absentTime) {
+		for _, m := range p.Placer.AbsentMembers(absentTime) {
 			n.remove(ctx, m)
 		}
 	}
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -132,8 +132,8 @@
 	rec *explain.Recorder, m *metrics.Registry, log hclog.Logger) *gateway.Gateway {
 	l := s.Routed.Limits
 	return gateway.New(gateway.Deps{
-		Snapshot: f.Snapshot, Doubtful: f.Doubtful, Dialect: a.Dialect, Placer: p, Budget: b, Client: c, Memory: a.Memory(c, p.Answered),
-		Gate: g, Left: p.Left, HeldOff: p.HeldOff, Answered: p.Answered, Explain: rec, Metrics: m, Log: log,
+		Snapshot: f.Snapshot, Doubtful: f.Doubtful, Dialect: a.Dialect, Placer: p, Budget: b, Client: c, Memory: a.Memory(c, p.ObserveAnswer),
+		Gate: g, Left: p.MarkLeaving, HeldOff: p.HeldOff, Answered: p.ObserveAnswer, Explain: rec, Metrics: m, Log: log,
 		Limits: gateway.Limits{
 			MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, MaxConnections: l.MaxConnections,
 			ReadTimeout: time.Duration(l.ReadTimeout), IdleTimeout: time.Duration(l.IdleTimeout), WriteStall: writeStall,
@@ -258,7 +258,7 @@
 func (n *Node) Dispatcher() string { return string(n.parts.Placer.Dispatcher()) }
 
 // Limited is the number of upstreams' limits that the instance believes to be in force.
-func (n *Node) Limited() int { return n.parts.Placer.Limited() }
+func (n *Node) Limited() int { return n.parts.Placer.LimitsInForce() }
 
 // Snapshot is what the instance knows of the fleet now.
 func (n *Node) Snapshot() *catalog.Snapshot { return n.parts.Follower.Snapshot() }
--- a/internal/routed/side.go
+++ b/internal/routed/side.go
@@ -47,8 +47,8 @@
 		if o.DroppedLines != nil {
 			m.Gauge("log_dropped").Update(int64(o.DroppedLines()))
 		}
-		m.Gauge("upstreams_held_off").Update(int64(p.HoldOffs()))
-		m.Gauge("upstreams_limited").Update(int64(p.Limited()))
+		m.Gauge("upstreams_held_off").Update(int64(p.HoldOffCount()))
+		m.Gauge("upstreams_limited").Update(int64(p.LimitsInForce()))
 		ctx.SetBody(m.Text())
 	})
 	return &side{ready: sideServer(ready, log), metrics: sideServer(numbers, log), served: make(chan error, 2)}
