--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -24,31 +24,31 @@
 )
 
 const (
-	// rendezvousKey orders the instances as dispatchers.
+	// rendezvousKey is the key under which rendezvous hashing ranks instances as dispatchers.
 	rendezvousKey = "dispatcher"
-	// lookEvery is how often the order of dispatchers is looked at while a session lasts.
-	lookEvery = 200 * time.Millisecond
-	// seekEvery is how often an instance that is its own dispatcher looks for a way to one before it, and
-	// seekMost how many others it asks then.
-	seekEvery = time.Second
-	seekMost  = 3
-	// askAgain is how long a copy that was asked for may take to come.
-	askAgain = time.Second
-	// sessionWait is how long a request waits while its instance has no session: usually it has the next one within
-	// some ms, and a place given without the dispatcher is given beside what all others have.
+	// orderCheckInterval is how often an instance with a session checks the dispatcher order.
+	orderCheckInterval = 200 * time.Millisecond
+	// relaySearchInterval is how often an instance that is its own dispatcher searches for a relay to a preceding
+	// dispatcher, and maxRelayAttempts is how many instances it tries in one search.
+	relaySearchInterval = time.Second
+	maxRelayAttempts    = 3
+	// fullCopyTimeout is how long after requesting a full copy an instance may request it again.
+	fullCopyTimeout = time.Second
+	// sessionWait is how long a request waits for a session before it is placed locally. The next session usually
+	// opens within some ms, and a local placement ignores the work of all other instances.
 	sessionWait = 100 * time.Millisecond
-	// handoverPause is how long an instance waits before it follows one that gave its session up right away:
-	// the two learn of a change of the members some ms apart.
+	// handoverPause is the delay before the next attach when a session is handed over right after it opened: the two
+	// instances see a membership change some ms apart.
 	handoverPause = 10 * time.Millisecond
 )
 
-// errSilent: nothing came from the dispatcher for too long, or it closed the session.
-var errSilent = errors.New("dispatcher fell silent or closed the session")
+// errSessionLost reports that the other side sent nothing within the timeout, or closed the session.
+var errSessionLost = errors.New("dispatcher timed out or closed the session")
 
-// Client places requests through the dispatcher: the instance that rendezvous hashing names among those
-// that can be reached. When it falls silent the next one takes over, and rebuilds its state from what the
-// instances tell of their work under way. Two dispatchers at once place worse and break nothing: every rule
-// is checked where a request is sent.
+// Client places requests through the dispatcher, which is the first reachable member in dispatcher order. When the
+// dispatcher times out, the next member takes over and rebuilds its state from the in-flight work that the instances
+// report. Two dispatchers at one time place requests less well, but break no rule: every rule is checked where a
+// request is sent.
 type Client struct {
 	self     fleet.InstanceID
 	domain   fleet.DomainID
@@ -59,39 +59,39 @@
 	local    *LocalPlacer
 	limits   *limitTable
 	holdoffs *holdoffs
-	news     *outbox[news]
+	updates  *outbox[update]
 
-	mu      sync.Mutex
-	session *session                         // guarded by mu; nil: none
-	waiting map[fleet.RequestID]*waiting     // guarded by mu
-	running map[fleet.RequestID]*dispatched  // guarded by mu
-	rests   map[fleet.InstanceID]rest        // guarded by mu
-	behind  map[fleet.InstanceID]*remoteSink // guarded by mu: instances whose messages are passed on
-	sought  time.Time                        // guarded by mu: when a way to a dispatcher before this one was last sought
-	lacked  map[string]time.Time             // guarded by mu: when a kind was last asked for
-	lacks   map[string]time.Time             // guarded by mu: since when the dispatcher lacks something of a kind
-	inviter atomic.Pointer[catalog.Member]   // the dispatcher that invited this instance when it knew nobody
-	look    chan struct{}                    // holds a token while the order of dispatchers should be looked at
+	mu                    sync.Mutex
+	session               *session                             // guarded by mu; nil: none
+	waiting               map[fleet.RequestID]*waitingRequest  // guarded by mu
+	running               map[fleet.RequestID]*dispatchedGrant // guarded by mu
+	backoffs              map[fleet.InstanceID]backoff         // guarded by mu
+	relayed               map[fleet.InstanceID]*remoteSink     // guarded by mu: instances that this one relays for
+	lastRelaySearch       time.Time                            // guarded by mu: when a relay to a preceding dispatcher was last searched for
+	requestedAt           map[string]time.Time                 // guarded by mu: when each kind was last requested
+	dispatcherBehindSince map[string]time.Time                 // guarded by mu: since when the dispatcher has lacked changes, by kind
+	inviter               atomic.Pointer[catalog.Member]       // dispatcher that invited this instance while it knew no members
+	orderCheck            chan struct{}                        // holds a token while the dispatcher order should be checked
 }
 
-// NewClient gives a Client of instance self.
+// NewClient returns a Client for the instance self.
 func NewClient(self fleet.InstanceID, domain fleet.DomainID, f *watch.Follower, log hclog.Logger) *Client {
 	c := &Client{
 		self: self, domain: domain, follower: f, snapshot: f.Snapshot, log: log.Named("placement"), hub: newHub(f, log),
 		limits: newLimitTable(log.Named("placement")), holdoffs: newHoldoffs(log.Named("placement")),
-		waiting: map[fleet.RequestID]*waiting{}, running: map[fleet.RequestID]*dispatched{},
-		rests: map[fleet.InstanceID]rest{}, behind: map[fleet.InstanceID]*remoteSink{}, lacked: map[string]time.Time{}, news: newOutbox[news](),
-		look: make(chan struct{}, 1),
+		waiting: map[fleet.RequestID]*waitingRequest{}, running: map[fleet.RequestID]*dispatchedGrant{},
+		backoffs: map[fleet.InstanceID]backoff{}, relayed: map[fleet.InstanceID]*remoteSink{}, requestedAt: map[string]time.Time{}, updates: newOutbox[update](),
+		orderCheck: make(chan struct{}, 1),
 	}
-	c.local = NewLocalPlacer(f.Snapshot, c.limits.limited)
-	f.Share(c.stateChanged)
+	c.local = NewLocalPlacer(f.Snapshot, c.limits.isLimited)
+	f.Share(c.queueChange)
 	return c
 }
 
-// Serve answers other instances as a dispatcher until ctx ends, then closes l.
+// Serve serves the sessions of other instances, as a dispatcher or a relay, until ctx ends. It then closes l.
 func (c *Client) Serve(ctx context.Context, l net.Listener) error {
 	mux := drpcmux.New()
-	if err := pb.DRPCRegisterPlacement(mux, service{c: c}); err != nil {
+	if err := pb.DRPCRegisterPlacement(mux, rpcServer{c: c}); err != nil {
 		return err
 	}
 	options := drpcserver.Options{Manager: drpcmanager.Options{
@@ -100,111 +100,112 @@
 	return drpcserver.NewWithOptions(mux, options).Serve(ctx, peer.Bounded(l))
 }
 
-// Run keeps a session with the dispatcher until ctx ends.
+// Run keeps a session with the dispatcher and does this instance's own work as a dispatcher until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	var all sync.WaitGroup
-	all.Go(func() { c.hub.run(ctx, c.beat) })
-	all.Go(func() { c.tellNews(ctx) })
-	all.Go(func() { c.inviteMembers(ctx) })
+	var wg sync.WaitGroup
+	wg.Go(func() { c.hub.run(ctx, c.queueProofs) })
+	wg.Go(func() { c.sendUpdates(ctx) })
+	wg.Go(func() { c.inviteMembers(ctx) })
 	for ctx.Err() == nil {
-		c.follow(ctx)
+		c.selectDispatcher(ctx)
 		c.mu.Lock()
 		s := c.session
 		c.mu.Unlock()
 		if s == nil {
-			c.freeWaiting()
+			c.releaseWaiting()
 			select {
-			case <-c.look:
-			case <-time.After(lookEvery / 4):
+			case <-c.orderCheck:
+			case <-time.After(orderCheckInterval / 4):
 			case <-ctx.Done():
 			}
 			continue
 		}
 		select {
 		case <-s.done:
-			c.over(ctx, s)
-		case <-c.look:
-		case <-time.After(lookEvery):
+			c.handleSessionEnd(ctx, s)
+		case <-c.orderCheck:
+		case <-time.After(orderCheckInterval):
 		case <-ctx.Done():
 		}
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// follow attaches to the first dispatcher that can be reached, if it isn't the one attached to.
-func (c *Client) follow(ctx context.Context) {
-	members := c.candidates()
+// selectDispatcher attaches to the first reachable member in dispatcher order, unless the current session is with it.
+func (c *Client) selectDispatcher(ctx context.Context) {
+	members := c.dispatcherOrder()
 	if inviter := c.inviter.Load(); len(members) == 0 && inviter != nil {
 		members = []*catalog.Member{inviter}
 	}
 	for i, m := range members {
-		resting := c.resting(m, time.Now())
+		backingOff := c.inBackoff(m, time.Now())
 		c.mu.Lock()
 		current := c.session
 		c.mu.Unlock()
 		if m.ID == c.self && i > 0 {
-			if s := c.seek(ctx, members[i+1:]); s != nil {
-				c.moved(s)
+			if s := c.findRelay(ctx, members[i+1:]); s != nil {
+				c.switchSession(s)
 				return
 			}
 		}
-		if current != nil && current.with == m.ID {
+		if current != nil && current.peerID == m.ID {
 			return
 		}
-		if resting || ctx.Err() != nil {
+		if backingOff || ctx.Err() != nil {
 			continue
 		}
-		s, err := c.open(ctx, m)
-		if drpcerr.Code(err) == codeKnowsLess {
-			c.startsYet(m.ID)
+		s, err := c.openSession(ctx, m)
+		if drpcerr.Code(err) == codeStateIncomplete {
+			c.deferStarting(m.ID)
 			continue
 		}
 		if err != nil {
-			c.rested(m.ID, err)
+			c.recordFailure(m.ID, err)
 			continue
 		}
-		c.moved(s)
+		c.switchSession(s)
 		return
 	}
 }
 
-// open attaches to a dispatcher, which may be this instance itself.
-func (c *Client) open(ctx context.Context, m *catalog.Member) (*session, error) {
+// openSession attaches to a dispatcher, which may be this instance itself.
+func (c *Client) openSession(ctx context.Context, m *catalog.Member) (*session, error) {
 	if m.ID == c.self {
-		return c.openSelf(ctx), nil
+		return c.openLocalSession(ctx), nil
 	}
-	return c.dialSession(ctx, m, c.first)
+	return c.dialSession(ctx, m, c.firstMessage)
 }
 
-// selfSink passes on what the own hub decides. The hub must not be called back under its lock.
-type selfSink struct{ out *outbox[*pb.ToEntry] }
+// localSink queues the messages of this instance's own hub. Handling them directly would call back into the hub while
+// its lock is held.
+type localSink struct{ out *outbox[*pb.ToEntry] }
 
-func (s selfSink) send(m *pb.ToEntry) { s.out.put(m) }
+func (s localSink) send(m *pb.ToEntry) { s.out.put(m) }
 
-func (c *Client) openSelf(ctx context.Context) *session {
-	life, cancel := context.WithCancel(ctx)
-	to := selfSink{out: newOutbox[*pb.ToEntry]()}
+func (c *Client) openLocalSession(ctx context.Context) *session {
+	sessionCtx, cancel := context.WithCancel(ctx)
+	to := localSink{out: newOutbox[*pb.ToEntry]()}
 	from := newOutbox[*pb.FromEntry]()
-	first := c.first()
-	s := &session{with: c.self, first: first, tell: func(m *pb.FromEntry) { from.put(m) }, end: cancel, done: life.Done()}
+	first := c.firstMessage()
+	s := &session{peerID: c.self, firstMessage: first, send: func(m *pb.FromEntry) { from.put(m) }, end: cancel, done: sessionCtx.Done()}
 	go func() {
-		for items := to.out.take(life); items != nil; items = to.out.take(life) {
-			c.gotOver(s, merge(items))
+		for items := to.out.takeAll(sessionCtx); items != nil; items = to.out.takeAll(sessionCtx) {
+			c.receiveFrom(s, mergeToEntry(items))
 		}
 	}()
-	go c.sayAlive(life, s)
+	go c.sendHeartbeats(sessionCtx, s)
 	go func() {
 		c.hub.attach(c.self, to, first)
 		defer c.hub.detach(c.self, to)
-		for items := from.take(life); items != nil; items = from.take(life) {
-			c.hub.tell(c.self, to, mergeFrom(items))
+		for items := from.takeAll(sessionCtx); items != nil; items = from.takeAll(sessionCtx) {
+			c.hub.receive(c.self, to, mergeFromEntry(items))
 		}
 	}()
 	return s
 }
 
-// first is the first message of a session: all work under way, and all that waits.
-func (c *Client) first() *pb.FromEntry {
+// firstMessage returns the first message of a session, which holds all requests in flight and all waiting ones.
+func (c *Client) firstMessage() *pb.FromEntry {
 	proofs := c.follower.Proofs()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -217,47 +218,48 @@
 		m.Running = append(m.Running, r.message(now))
 	}
 	for _, w := range c.waiting {
-		m.Asks = append(m.Asks, message(&w.ask, w.asked, now))
+		m.Asks = append(m.Asks, askMessage(&w.ask, w.askedAt, now))
 	}
 	return m
 }
 
-// moved makes s the session, and tells it what has changed since its first message: that was told to the old one.
-// A run whose end the new dispatcher never heard of kept its engines' places and reading in the dispatcher's book
-// until the next change of dispatcher, and those engines got no short prompts.
-func (c *Client) moved(s *session) {
+// switchSession makes s the current session and reports what has changed since its first message, because those
+// changes went to the previous session only. Without the report, the new dispatcher would keep a finished run, with
+// its engines' slots and prefill, in its records until the next change of dispatcher, and those engines would get no
+// short prompts.
+func (c *Client) switchSession(s *session) {
 	c.mu.Lock()
 	old := c.session
 	c.session = s
-	delete(c.rests, s.with)
-	s.tell(c.since(s.first)) // under the lock: what follows must come after it
-	c.takeDuty()
+	delete(c.backoffs, s.peerID)
+	s.send(c.changesSince(s.firstMessage)) // under the lock, so that later messages follow it
+	c.applyDuty()
 	c.mu.Unlock()
-	c.log.Info("dispatcher", "instance", s.with)
+	c.log.Info("dispatcher", "instance", s.peerID)
 	if old != nil {
 		old.end()
 	}
 }
 
-// since is what has become of the requests and what was heard of upstreams that leave since a session's first message; mu
-// is held. Limits are told again each second.
-func (c *Client) since(first *pb.FromEntry) *pb.FromEntry {
+// changesSince returns the changes to requests, and the departures, since a session's first message; mu is held.
+// Limits are not included, because they are reported again each second.
+func (c *Client) changesSince(first *pb.FromEntry) *pb.FromEntry {
 	now := time.Now()
 	m := &pb.FromEntry{Departures: c.departuresSince(first)}
-	told := map[fleet.RequestID]*pb.Running{}
+	reported := map[fleet.RequestID]*pb.Running{}
 	for _, r := range first.GetRunning() {
 		id := fleet.RequestID(r.Ask.Id)
-		told[id] = r
+		reported[id] = r
 		if c.running[id] == nil {
 			m.Ended = append(m.Ended, &pb.Ended{Id: r.Ask.Id, How: pb.Ended_WHOLE})
 		}
 	}
 	for id, g := range c.running {
-		was := told[id]
+		sent := reported[id]
 		switch {
-		case was == nil || was.Upstream != string(g.upstream.ID):
+		case sent == nil || sent.Upstream != string(g.upstream.ID):
 			m.Running = append(m.Running, g.message(now))
-		case g.writing && !was.Writing:
+		case g.writing && !sent.Writing:
 			m.Began = append(m.Began, string(id))
 		}
 	}
@@ -268,49 +270,51 @@
 		}
 	}
 	for _, w := range c.waiting {
-		m.Asks = append(m.Asks, message(&w.ask, w.asked, now))
+		m.Asks = append(m.Asks, askMessage(&w.ask, w.askedAt, now))
 	}
 	return m
 }
 
-// over ends a session. One that the other side gave up in order, or that was reset, is followed by another at
-// once, with the same instance if that still answers. Resting it as if it were lost made this one a dispatcher
-// of its own for half a second at each planned stop of the dispatcher, or left a dispatcher alone with its own
-// requests when its connections were reset, and short prompts on all engines were late.
-func (c *Client) over(ctx context.Context, s *session) {
+// handleSessionEnd clears an ended session and backs off from its peer if the session timed out or was short-lived.
+// After an orderly handover or a reset, the instance attaches again at once, to the same peer if that still answers.
+// A backoff in these cases would make this instance its own dispatcher for half a second at each planned stop of the
+// dispatcher, or would leave the dispatcher with only its own requests after its connections were reset. Short
+// prompts on all engines would be late.
+func (c *Client) handleSessionEnd(ctx context.Context, s *session) {
 	c.mu.Lock()
 	if c.session == s {
 		c.session = nil
-		c.takeDuty()
+		c.applyDuty()
 	}
 	c.mu.Unlock()
-	brief := time.Since(s.opened) < beat
+	shortLived := time.Since(s.openedAt) < heartbeatInterval
 	switch {
-	case s.handedOver.Load() && brief:
+	case s.handedOver.Load() && shortLived:
 		wait.For(ctx, handoverPause)
 	case s.handedOver.Load():
-	case s.silent.Load() || brief:
-		c.rested(s.with, errSilent)
+	case s.timedOut.Load() || shortLived:
+		c.recordFailure(s.peerID, errSessionLost)
 	default:
-		c.log.Warn("session with the dispatcher was reset", "instance", s.with)
+		c.log.Warn("session with the dispatcher was reset", "instance", s.peerID)
 	}
 }
 
-// Dispatcher is the instance whose session this one has now; empty: none.
+// Dispatcher returns the instance that this one is attached to, which is the dispatcher or a relay to it, or "" if
+// there is no session.
 func (c *Client) Dispatcher() fleet.InstanceID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.session == nil {
 		return ""
 	}
-	return c.session.with
+	return c.session.peerID
 }
 
-// Absent gives the members of which this instance, as the dispatcher, has had no session for so long; none
-// while it is not the dispatcher.
-func (c *Client) AbsentMembers(long time.Duration) []*catalog.Member {
+// AbsentMembers returns the members that have had no session with this instance for longer than minAbsence. It
+// returns nil while this instance is not the dispatcher.
+func (c *Client) AbsentMembers(minAbsence time.Duration) []*catalog.Member {
 	if c.Dispatcher() != c.self {
 		return nil
 	}
-	return c.hub.absent(c.snapshot().Members, long)
+	return c.hub.absentMembers(c.snapshot().Members, minAbsence)
 }
--- a/internal/placement/convert.go
+++ b/internal/placement/convert.go
@@ -12,8 +12,8 @@
 	pb "github.com/damaskshelf/damaskshelf/internal/placement/placementpb"
 )
 
-// message gives the ask as it goes to the dispatcher at now; a is as of asked.
-func message(a *gateway.Ask, asked, now time.Time) *pb.Ask {
+// askMessage converts a placement request for sending at now. The durations in a count from asked.
+func askMessage(a *gateway.Ask, asked, now time.Time) *pb.Ask {
 	since := now.Sub(asked)
 	m := &pb.Ask{
 		Id: string(a.ID), Service: string(a.Service), Workspace: string(a.Workspace),
@@ -32,10 +32,10 @@
 
 func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// job gives an ask that came from entry at now.
-func job(m *pb.Ask, entry fleet.InstanceID, now decide.Instant) *dispatch.Job {
+// newJob converts a placement request that arrived from an instance at now.
+func newJob(m *pb.Ask, instance fleet.InstanceID, now decide.Instant) *dispatch.Job {
 	j := &dispatch.Job{
-		ID: fleet.RequestID(m.Id), Entry: entry, Workspace: fleet.WorkspaceID(m.Workspace),
+		ID: fleet.RequestID(m.Id), Entry: instance, Workspace: fleet.WorkspaceID(m.Workspace),
 		Priority: int(m.Priority), Prompt: int(m.Prompt), Output: int(m.Output), Arrived: now.Add(-ms(m.WaitedMs)),
 		Patience: now.Add(ms(m.PatienceMs)), Deadline: now.Add(ms(m.DeadlineMs)),
 		MaxGap: ms(int64(m.MaxGapMs)), Attempt: int(m.Attempt), Resumed: m.Resumed, Avoid: upstreamIDs(m.Avoid),
@@ -54,7 +54,7 @@
 	return out
 }
 
-func names(all []fleet.UpstreamID) []string {
+func idStrings(all []fleet.UpstreamID) []string {
 	out := make([]string, len(all))
 	for i, id := range all {
 		out[i] = string(id)
@@ -62,15 +62,15 @@
 	return out
 }
 
-// model gives a service's engines as the dispatcher reckons with them; nil for a plain service.
-func model(s *catalog.Service) *dispatch.Model {
+// dispatchModel returns the performance model of a service's engines, or nil for a plain service.
+func dispatchModel(s *catalog.Service) *dispatch.Model {
 	e := s.Engine
 	if e == nil || e.ReadPerMs <= 0 {
 		return nil
 	}
 	memory := e.Memory
 	if memory <= 0 {
-		memory = math.MaxInt32 // not stated
+		memory = math.MaxInt32 // not configured
 	}
 	return &dispatch.Model{
 		Slots: max(1, e.Slots), Memory: memory, Stride: e.Stride, Step: e.Step, PerWriter: e.PerWriter,
--- a/internal/placement/departures.go
+++ b/internal/placement/departures.go
@@ -9,21 +9,24 @@
 	pb "github.com/damaskshelf/damaskshelf/internal/placement/placementpb"
 )
 
-// An upstream's leaving can be known from its answer, to one instance, before the store says so. That instance sends it
-// nothing more, and tells the dispatcher, which tells all: each would learn it by a request of its own otherwise. Both tell
-// all that they know when they attach, for whoever dispatches next.
+// An upstream's answer can show one instance that the upstream is leaving before the store says so. That instance
+// sends it no more requests and reports the departure to the dispatcher, which broadcasts it. Otherwise every
+// instance would learn of it from a request of its own. Both sides send all departures that they know when an
+// instance attaches, so that the next dispatcher knows them.
 
-// maxSpread bounds the departures that are remembered as told to all; beyond it some are told again.
-const maxSpread = 10_000
+// maxAnnounced bounds the departures that are remembered as broadcast. When it is reached, all are dropped, and some
+// are broadcast again.
+const maxAnnounced = 10_000
 
-// Left takes that an upstream leaves, by a sign that this instance saw.
+// MarkLeaving records that an upstream is leaving, by a sign that this instance saw, and reports it to the
+// dispatcher.
 func (c *Client) MarkLeaving(u *catalog.Upstream, sign string) {
 	p := u.Process()
 	if now := c.snapshot().Running(p); now != nil && now.Leaving {
 		return
 	}
 	if c.follower.Left(p, sign, c.self) {
-		c.tell(&pb.FromEntry{Departures: []*pb.Departure{departureMessage(p, sign, c.self)}})
+		c.sendToDispatcher(&pb.FromEntry{Departures: []*pb.Departure{departureMessage(p, sign, c.self)}})
 	}
 }
 
@@ -39,38 +42,38 @@
 	return out
 }
 
-// departuresSince gives those that a session's first message doesn't have.
+// departuresSince returns the known departures that a session's first message lacks.
 func (c *Client) departuresSince(first *pb.FromEntry) []*pb.Departure {
-	told := map[fleet.Process]bool{}
+	sent := map[fleet.Process]bool{}
 	for _, m := range first.GetDepartures() {
-		told[departed(m)] = true
+		sent[departedProcess(m)] = true
 	}
-	news := slices.DeleteFunc(c.follower.Departures(), func(p fleet.Process) bool { return told[p] })
-	return departureMessages(news)
+	unsent := slices.DeleteFunc(c.follower.Departures(), func(p fleet.Process) bool { return sent[p] })
+	return departureMessages(unsent)
 }
 
-func departed(m *pb.Departure) fleet.Process {
+func departedProcess(m *pb.Departure) fleet.Process {
 	return fleet.Process{ID: fleet.UpstreamID(m.Upstream), Born: m.Born}
 }
 
-// takeDepartures takes what instances saw, and tells all of them; mu is held.
-func (h *hub) takeDepartures(now decide.Instant, all []*pb.Departure) {
-	var news []*pb.Departure
+// applyDepartures records the departures that an instance reports, and broadcasts the new ones; mu is held.
+func (h *hub) applyDepartures(now decide.Instant, all []*pb.Departure) {
+	var added []*pb.Departure
 	for _, m := range all {
-		p := departed(m)
+		p := departedProcess(m)
 		h.follower.Left(p, m.Sign, fleet.InstanceID(m.By))
-		if h.spreadDepartures[p] {
+		if h.announcedDepartures[p] {
 			continue
 		}
-		if len(h.spreadDepartures) >= maxSpread {
-			clear(h.spreadDepartures)
+		if len(h.announcedDepartures) >= maxAnnounced {
+			clear(h.announcedDepartures)
 		}
-		h.spreadDepartures[p] = true
-		news = append(news, m)
+		h.announcedDepartures[p] = true
+		added = append(added, m)
 	}
-	if len(news) == 0 {
+	if len(added) == 0 {
 		return
 	}
-	h.tellAll(&pb.ToEntry{Departures: news})
+	h.broadcastLocked(&pb.ToEntry{Departures: added})
 	h.refresh(now)
 }
--- a/internal/placement/departures_test.go
+++ b/internal/placement/departures_test.go
@@ -14,7 +14,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/watch"
 )
 
-// upstreamDecoder reads entries of upstreams that started at 7.
+// upstreamDecoder decodes upstream entries whose process started at 7.
 type upstreamDecoder struct{}
 
 func (upstreamDecoder) Config(wire.Object) (*catalog.Config, error) { return &catalog.Config{}, nil }
@@ -23,12 +23,12 @@
 	return &catalog.Upstream{ID: fleet.UpstreamID(o.Name), Service: "s", Born: 7, Revision: o.Version}, nil
 }
 
-// told is a sink that keeps what it is sent.
-type told struct{ departures []*pb.Departure }
+// recordingSink is a sink that records the departures that it is sent.
+type recordingSink struct{ departures []*pb.Departure }
 
-func (s *told) send(m *pb.ToEntry) { s.departures = append(s.departures, m.Departures...) }
+func (s *recordingSink) send(m *pb.ToEntry) { s.departures = append(s.departures, m.Departures...) }
 
-func followerOf(upstreams ...string) *watch.Follower {
+func followerWithUpstreams(upstreams ...string) *watch.Follower {
 	f := watch.New(watch.Deps{
 		Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Decoder: upstreamDecoder{}, Log: hclog.NewNullLogger(),
 	})
@@ -40,43 +40,44 @@
 	return f
 }
 
-// Guards against a departure that a new dispatcher doesn't know, or an instance that attaches after it was told.
-func TestADepartureIsKnownAfterAChangeOfDispatcher(t *testing.T) {
+// Guards against a departure that is lost to a new dispatcher, or to an instance that attaches after the broadcast.
+func TestNewDispatcherLearnsDepartures(t *testing.T) {
 	is := is.New(t)
-	c := NewClient("i1", "d", followerOf("x", "y"), hclog.NewNullLogger())
+	c := NewClient("i1", "d", followerWithUpstreams("x", "y"), hclog.NewNullLogger())
 	c.MarkLeaving(&catalog.Upstream{ID: "x", Born: 7}, "its answer")
-	first := c.first()
+	first := c.firstMessage()
 	is.Equal(len(first.Departures), 1)
-	h := newHub(followerOf("x", "y"), hclog.NewNullLogger())
-	before, after := &told{}, &told{}
+	h := newHub(followerWithUpstreams("x", "y"), hclog.NewNullLogger())
+	before, after := &recordingSink{}, &recordingSink{}
 	h.attach("i0", before, &pb.FromEntry{})
-	h.attach("i1", &told{}, first)
+	h.attach("i1", &recordingSink{}, first)
 	is.True(h.snapshot().Upstream("x").Leaving)
 	is.Equal(h.snapshot().Upstream("y").Leaving, false)
 	is.Equal(len(before.departures), 1)
 	h.attach("i2", after, &pb.FromEntry{})
 	is.Equal(len(after.departures), 1)
-	h.tell("i1", h.entries["i1"], first) // told once more, it goes no further
+	h.receive("i1", h.sinks["i1"], first) // a repeated report is not broadcast again
 	is.Equal(len(before.departures), 1)
 }
 
-// Guards against a departure that nobody else learns, since it is heard after the first message to a new dispatcher was made.
-func TestADepartureHeardWhileTheDispatcherChangesIsTold(t *testing.T) {
+// Guards against a departure that is never reported because it arrives after the first message to a new dispatcher
+// was built.
+func TestDepartureDuringSessionSwitchIsReported(t *testing.T) {
 	is := is.New(t)
-	c := NewClient("i1", "d", followerOf("x", "y", "z"), hclog.NewNullLogger())
-	c.session = &session{with: "old", end: func() {}, tell: func(*pb.FromEntry) {}}
+	c := NewClient("i1", "d", followerWithUpstreams("x", "y", "z"), hclog.NewNullLogger())
+	c.session = &session{peerID: "old", end: func() {}, send: func(*pb.FromEntry) {}}
 	c.MarkLeaving(&catalog.Upstream{ID: "x", Born: 7}, "its answer")
-	first := c.first()
+	first := c.firstMessage()
 	c.MarkLeaving(&catalog.Upstream{ID: "y", Born: 7}, "its answer")
 	var since *pb.FromEntry
-	c.moved(&session{with: "next", first: first, end: func() {}, tell: func(m *pb.FromEntry) { since = m }})
+	c.switchSession(&session{peerID: "next", firstMessage: first, end: func() {}, send: func(m *pb.FromEntry) { since = m }})
 	is.Equal(len(since.Departures), 1)
-	h := newHub(followerOf("x", "y", "z"), hclog.NewNullLogger())
-	other := &told{}
+	h := newHub(followerWithUpstreams("x", "y", "z"), hclog.NewNullLogger())
+	other := &recordingSink{}
 	h.attach("i0", other, &pb.FromEntry{})
-	to := &told{}
+	to := &recordingSink{}
 	h.attach("i1", to, first)
-	h.tell("i1", to, since)
+	h.receive("i1", to, since)
 	for id, leaving := range map[fleet.UpstreamID]bool{"x": true, "y": true, "z": false} {
 		is.Equal(h.snapshot().Upstream(id).Leaving, leaving)
 	}
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -9,11 +9,11 @@
 	pb "github.com/damaskshelf/damaskshelf/internal/placement/placementpb"
 )
 
-// dispatched is a place that the dispatcher gave.
-type dispatched struct {
+// dispatchedGrant is a gateway.Grant for a place that the dispatcher assigned.
+type dispatchedGrant struct {
 	c        *Client
 	ask      gateway.Ask
-	asked    time.Time
+	askedAt  time.Time
 	upstream *catalog.Upstream
 	helpers  []fleet.UpstreamID
 	addrs    []string
@@ -23,33 +23,33 @@
 	writing  bool // guarded by c.mu
 }
 
-func (g *dispatched) Upstream() *catalog.Upstream { return g.upstream }
-func (g *dispatched) Helpers() []string           { return g.addrs }
-func (g *dispatched) Holders() []gateway.Holder   { return g.holders }
-func (g *dispatched) Reason() string              { return g.reason }
+func (g *dispatchedGrant) Upstream() *catalog.Upstream { return g.upstream }
+func (g *dispatchedGrant) Helpers() []string           { return g.addrs }
+func (g *dispatchedGrant) Holders() []gateway.Holder   { return g.holders }
+func (g *dispatchedGrant) Reason() string              { return g.reason }
 
-func (g *dispatched) Overdue() time.Duration { return g.overdue }
+func (g *dispatchedGrant) Overdue() time.Duration { return g.overdue }
 
-func (g *dispatched) Began() {
+func (g *dispatchedGrant) Began() {
 	g.c.mu.Lock()
 	g.writing = true
 	g.c.mu.Unlock()
-	g.c.tell(&pb.FromEntry{Began: []string{string(g.ask.ID)}})
+	g.c.sendToDispatcher(&pb.FromEntry{Began: []string{string(g.ask.ID)}})
 }
 
-func (g *dispatched) Done(o gateway.Outcome, atFault fleet.UpstreamID) {
+func (g *dispatchedGrant) Done(o gateway.Outcome, atFault fleet.UpstreamID) {
 	g.c.mu.Lock()
 	if g.c.running[g.ask.ID] == g {
 		delete(g.c.running, g.ask.ID)
 	}
 	g.c.mu.Unlock()
-	g.c.tell(&pb.FromEntry{Ended: []*pb.Ended{{Id: string(g.ask.ID), How: hows[o], AtFault: string(atFault)}}})
+	g.c.sendToDispatcher(&pb.FromEntry{Ended: []*pb.Ended{{Id: string(g.ask.ID), How: wireOutcomes[o], AtFault: string(atFault)}}})
 }
 
-// message is what a dispatcher is told of the grant; c.mu is held.
-func (g *dispatched) message(now time.Time) *pb.Running {
+// message returns the grant as it is reported to a dispatcher; c.mu is held.
+func (g *dispatchedGrant) message(now time.Time) *pb.Running {
 	return &pb.Running{
-		Ask: message(&g.ask, g.asked, now), Upstream: string(g.upstream.ID), Helpers: names(g.helpers), Writing: g.writing,
+		Ask: askMessage(&g.ask, g.askedAt, now), Upstream: string(g.upstream.ID), Helpers: idStrings(g.helpers), Writing: g.writing,
 		Holders: holdings(g.holders),
 	}
 }
@@ -62,6 +62,6 @@
 	return out
 }
 
-var hows = map[gateway.Outcome]pb.Ended_How{
+var wireOutcomes = map[gateway.Outcome]pb.Ended_How{
 	gateway.Failed: pb.Ended_FAILED, gateway.Unreachable: pb.Ended_UNREACHABLE, gateway.Rejected: pb.Ended_FULL,
 }
--- a/internal/placement/holdoff.go
+++ b/internal/placement/holdoff.go
@@ -12,12 +12,12 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// holdoffs are the upstreams that turned a request of this instance away and asked it to stay away for a while. They bind this
-// instance alone: what it asks a dispatcher for leaves them out, so that no place there is given to it, whoever dispatches. It
-// is safe for concurrent use.
+// holdoffs holds the upstreams that rejected a request of this instance and asked it to hold off. A holdoff binds
+// this instance alone. Its placement requests name these upstreams as ones to avoid, so that no dispatcher assigns it
+// a place there. It is safe for concurrent use.
 type holdoffs struct {
 	log   hclog.Logger
-	count atomic.Int32 // kept ones, read on a request's path
+	count atomic.Int32 // kept entries, read on the request path
 
 	mu    sync.Mutex
 	until map[fleet.Process]time.Time // guarded by mu
@@ -27,8 +27,8 @@
 	return &holdoffs{log: log, until: map[fleet.Process]time.Time{}}
 }
 
-// hold takes that an upstream wants nothing from here until a moment.
-func (h *holdoffs) hold(u *catalog.Upstream, until time.Time) {
+// set records that an upstream wants no requests from this instance before until. It never shortens a holdoff.
+func (h *holdoffs) set(u *catalog.Upstream, until time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := u.Process()
@@ -40,8 +40,8 @@
 	h.log.Info("upstream wants nothing from here", "upstream", u.ID, "born", u.Born, "for_ms", time.Until(until).Milliseconds())
 }
 
-// held tells whether an upstream wants nothing from here now.
-func (h *holdoffs) held(u *catalog.Upstream) bool {
+// active reports whether a holdoff of an upstream is in effect now.
+func (h *holdoffs) active(u *catalog.Upstream) bool {
 	if h.count.Load() == 0 {
 		return false
 	}
@@ -50,8 +50,8 @@
 	return time.Now().Before(h.until[u.Process()])
 }
 
-// added gives the upstreams to avoid with those added that want nothing from here now.
-func (h *holdoffs) added(avoid []fleet.UpstreamID) []fleet.UpstreamID {
+// addTo returns avoid with all upstreams added whose holdoff is in effect. It removes holdoffs that are over.
+func (h *holdoffs) addTo(avoid []fleet.UpstreamID) []fleet.UpstreamID {
 	if h.count.Load() == 0 {
 		return avoid
 	}
--- a/internal/placement/holdoff_test.go
+++ b/internal/placement/holdoff_test.go
@@ -15,34 +15,34 @@
 	pb "github.com/damaskshelf/damaskshelf/internal/placement/placementpb"
 )
 
-// Guards against a pause that ends too soon, never, or with another process under the upstream's id.
-func TestAPauseLastsAsLongAsWasAskedFor(t *testing.T) {
+// Guards against a holdoff that ends too early, never ends, or applies to another process under the upstream's id.
+func TestHoldoffLastsForRequestedDuration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHoldoffs(hclog.NewNullLogger())
 		u, again := &catalog.Upstream{ID: "u", Born: 7}, &catalog.Upstream{ID: "u", Born: 8}
-		h.hold(u, time.Now().Add(3*time.Second))
-		h.hold(u, time.Now().Add(time.Second)) // a later answer that asks for less takes nothing back
-		is.True(h.held(u))
-		is.True(!h.held(again))
-		is.Equal(h.added([]fleet.UpstreamID{"v"}), []fleet.UpstreamID{"v", "u"})
-		is.Equal(h.added([]fleet.UpstreamID{"u"}), []fleet.UpstreamID{"u"})
+		h.set(u, time.Now().Add(3*time.Second))
+		h.set(u, time.Now().Add(time.Second)) // a later answer with a shorter holdoff does not shorten it
+		is.True(h.active(u))
+		is.True(!h.active(again))
+		is.Equal(h.addTo([]fleet.UpstreamID{"v"}), []fleet.UpstreamID{"v", "u"})
+		is.Equal(h.addTo([]fleet.UpstreamID{"u"}), []fleet.UpstreamID{"u"})
 		time.Sleep(2900 * time.Millisecond)
-		is.True(h.held(u))
+		is.True(h.active(u))
 		time.Sleep(200 * time.Millisecond)
-		is.True(!h.held(u))
-		is.Equal(h.added(nil), nil)
+		is.True(!h.active(u))
+		is.Equal(h.addTo(nil), nil)
 		is.Equal(int(h.count.Load()), 0)
 	})
 }
 
-// Guards against a place that a dispatcher gives, or an instance takes for itself, where it was asked to stay away: what it asks
-// for leaves the upstream out, whoever dispatches.
-func TestWhatIsAskedForLeavesOutWhoAskedForAPause(t *testing.T) {
+// Guards against placement on an upstream that asked this instance to hold off. Placement requests name it as one to
+// avoid, so that neither a dispatcher nor the instance itself places there.
+func TestPlacementRequestAvoidsHeldOffUpstreams(t *testing.T) {
 	is := is.New(t)
-	c := NewClient("i1", "d", followerOf("u", "v"), hclog.NewNullLogger())
+	c := NewClient("i1", "d", followerWithUpstreams("u", "v"), hclog.NewNullLogger())
 	asks := make(chan *pb.Ask, 1)
-	c.session = &session{tell: func(m *pb.FromEntry) {
+	c.session = &session{send: func(m *pb.FromEntry) {
 		if len(m.Asks) > 0 {
 			asks <- m.Asks[0]
 		}
--- a/internal/placement/hub.go
+++ b/internal/placement/hub.go
@@ -16,43 +16,46 @@
 )
 
 const (
-	// tick is how often waiting jobs are looked at without an event: a job is refused when its time is over.
-	tick = 10 * time.Millisecond
-	// beat is the longest silence towards an attached instance.
-	beat = 100 * time.Millisecond
-	// longStep is a step's time from which the next one is put off.
-	longStep = time.Millisecond
-	// settleTime is how long a dispatcher that has just been attached to waits for the other instances' work:
-	// what it doesn't know of yet it would place beside. Those that live miss the old dispatcher within a beat
-	// of each other, and attach within another. A member that died with it never attaches.
-	settleTime = 2 * beat
+	// stepInterval is the time between steps while jobs wait and no event arrives: a job is refused when its time is
+	// over.
+	stepInterval = 10 * time.Millisecond
+	// heartbeatInterval is the longest time for which no message is sent on a session.
+	heartbeatInterval = 100 * time.Millisecond
+	// longStepTime is the duration of a step from which the next one is delayed.
+	longStepTime = time.Millisecond
+	// settleTime is how long a dispatcher waits, after the first instance attached, for the in-flight work of the
+	// others: placing without knowing that work would overload engines. Live instances detect the loss of the
+	// previous dispatcher within one heartbeat of each other, and attach within another. A member that failed
+	// together with it never attaches.
+	settleTime = 2 * heartbeatInterval
 )
 
-// sink takes what is due to one attached instance.
+// sink sends messages to one attached instance.
 type sink interface{ send(*pb.ToEntry) }
 
-// hub is the dispatcher's side: it holds a dispatch.State for each service, for all attached instances.
+// hub is the dispatcher's side of the sessions. It holds a dispatch.State for each service, shared by all attached
+// instances.
 type hub struct {
 	follower *watch.Follower
 	snapshot func() *catalog.Snapshot
 	log      hclog.Logger
 	start    time.Time
 
-	mu               sync.Mutex
-	services         map[catalog.ServiceName]*dispatch.State // guarded by mu
-	entries          map[fleet.InstanceID]sink               // guarded by mu
-	domains          map[fleet.InstanceID]fleet.DomainID     // guarded by mu: of the attached instances
-	seen             *catalog.Snapshot                       // guarded by mu: that the states go by
-	missed           map[fleet.InstanceID]decide.Instant     // guarded by mu: since when members have had no session
-	stepTook         time.Duration                           // guarded by mu: by the last step
-	dirty            chan struct{}                           // holds a token while something has changed since the last step
-	wholes           wholes                                  // guarded by mu
-	opened           decide.Instant                          // guarded by mu: when the first instance attached
-	readers          readers.State                           // guarded by mu
-	duties           map[fleet.InstanceID]pb.ToEntry_Duty    // guarded by mu: as last told
-	spreadDepartures map[fleet.Process]bool                  // guarded by mu: that all were told
-	limits           *limitTable                             // what upstreams say that they take; the services' states go by it
-	ordered          ordering
+	mu                  sync.Mutex
+	services            map[catalog.ServiceName]*dispatch.State // guarded by mu
+	sinks               map[fleet.InstanceID]sink               // guarded by mu
+	domains             map[fleet.InstanceID]fleet.DomainID     // guarded by mu: of the attached instances
+	lastSnapshot        *catalog.Snapshot                       // guarded by mu: the snapshot that the states reflect
+	absentSince         map[fleet.InstanceID]decide.Instant     // guarded by mu: since when members have had no session
+	stepTook            time.Duration                           // guarded by mu: duration of the last step
+	dirty               chan struct{}                           // holds a token while something has changed since the last step
+	fullCopies          fullCopyCache                           // guarded by mu
+	firstAttached       decide.Instant                          // guarded by mu: when the first instance attached
+	readers             readers.State                           // guarded by mu
+	duties              map[fleet.InstanceID]pb.ToEntry_Duty    // guarded by mu: as last sent
+	announcedDepartures map[fleet.Process]bool                  // guarded by mu: departures already broadcast
+	limits              *limitTable                             // limits that upstreams advertise, which the services' states apply
+	orderCache          orderCache
 	// stallLogged is when a stall was last logged.
 	stallLogged decide.Instant // guarded by mu
 }
@@ -60,84 +63,86 @@
 func newHub(f *watch.Follower, log hclog.Logger) *hub {
 	return &hub{
 		follower: f, snapshot: f.Snapshot, log: log.Named("dispatcher"), start: time.Now(),
-		services: map[catalog.ServiceName]*dispatch.State{}, entries: map[fleet.InstanceID]sink{}, missed: map[fleet.InstanceID]decide.Instant{},
-		spreadDepartures: map[fleet.Process]bool{},
-		wholes:           wholes{}, limits: newLimitTable(log.Named("dispatcher")),
+		services: map[catalog.ServiceName]*dispatch.State{}, sinks: map[fleet.InstanceID]sink{}, absentSince: map[fleet.InstanceID]decide.Instant{},
+		announcedDepartures: map[fleet.Process]bool{},
+		fullCopies:          fullCopyCache{}, limits: newLimitTable(log.Named("dispatcher")),
 		domains: map[fleet.InstanceID]fleet.DomainID{}, duties: map[fleet.InstanceID]pb.ToEntry_Duty{},
 	}
 }
 
-// order gives the members in the order in which they are dispatchers.
-func (h *hub) order() []*catalog.Member { return h.ordered.of(h.snapshot().Members) }
+// order returns the members in dispatcher order.
+func (h *hub) order() []*catalog.Member { return h.orderCache.get(h.snapshot().Members) }
 
 func (h *hub) now() decide.Instant { return decide.Instant(time.Since(h.start)) }
 
-// attach opens the session of an instance; an older one of it ends.
-func (h *hub) attach(entry fleet.InstanceID, s sink, first *pb.FromEntry) {
+// attach opens a session of an instance, and replaces an earlier one.
+func (h *hub) attach(instance fleet.InstanceID, s sink, first *pb.FromEntry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	if len(h.entries) == 0 {
-		h.opened = now
+	if len(h.sinks) == 0 {
+		h.firstAttached = now
 	}
-	h.entries[entry] = s
-	h.domains[entry] = fleet.DomainID(first.Domain)
-	h.log.Info("instance attached", "entry", entry, "attached", len(h.entries), "running", len(first.Running), "waiting", len(first.Asks))
+	h.sinks[instance] = s
+	h.domains[instance] = fleet.DomainID(first.Domain)
+	h.log.Info("instance attached", "entry", instance, "attached", len(h.sinks), "running", len(first.Running), "waiting", len(first.Asks))
 	for _, st := range h.services {
-		st.Forget(entry)
+		st.Forget(instance)
 	}
 	h.catchUp(s, first.Proofs)
 	s.send(&pb.ToEntry{
 		Proofs: proofMessages(h.follower.Proofs()), Limits: h.limits.messages(h.snapshot()),
 		Departures: departureMessages(h.follower.Departures()),
 	})
-	delete(h.duties, entry)
+	delete(h.duties, instance)
 	h.chooseReaders()
 	h.refresh(now)
-	h.setLimits(now) // its part of them has grown
-	h.take(now, entry, first)
+	h.setLimits(now) // this dispatcher's share of the limits has grown
+	h.apply(now, instance, first)
 }
 
-// detach ends the session s of an instance, with its work: what it still does is told when it attaches anew.
-func (h *hub) detach(entry fleet.InstanceID, s sink) {
-	h.detachBehind(s)
+// detach ends the session s of an instance and drops its work. The instance reports work that is still running when
+// it attaches again.
+func (h *hub) detach(instance fleet.InstanceID, s sink) {
+	h.detachRelayed(s)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.entries[entry] != s {
+	if h.sinks[instance] != s {
 		return
 	}
-	delete(h.entries, entry)
-	delete(h.domains, entry)
-	h.log.Info("instance detached", "entry", entry, "attached", len(h.entries))
+	delete(h.sinks, instance)
+	delete(h.domains, instance)
+	h.log.Info("instance detached", "entry", instance, "attached", len(h.sinks))
 	h.chooseReaders()
 	for _, st := range h.services {
-		st.Forget(entry)
+		st.Forget(instance)
 	}
 	h.setLimits(h.now())
 	h.wake()
 }
 
-// tell takes what an attached instance says.
-func (h *hub) tell(entry fleet.InstanceID, s sink, m *pb.FromEntry) {
-	h.passed(s, m.Passed)
+// receive handles a message on the session s of an attached instance. Messages that it relays are always handled; the
+// rest is ignored if the session has been replaced.
+func (h *hub) receive(instance fleet.InstanceID, s sink, m *pb.FromEntry) {
+	h.receiveRelayed(s, m.Passed)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.entries[entry] != s {
+	if h.sinks[instance] != s {
 		return
 	}
 	now := h.now()
-	h.takeReads(entry, m.Reads)
+	h.recordReads(instance, m.Reads)
 	h.catchUp(s, m.Proofs)
 	h.refresh(now)
-	h.take(now, entry, m)
+	h.apply(now, instance, m)
 }
 
-// catchUp sends an instance what it lacks of the copies here.
+// catchUp sends full copies of the kinds of which an instance lacks changes that are held here; mu is held.
 func (h *hub) catchUp(s sink, theirs []*pb.Proof) {
 	if len(theirs) == 0 {
 		return
 	}
-	changes, err := newer(h.follower, h.wholes, theirs)
+	changes, err := newerCopies(h.follower, h.fullCopies, theirs)
 	if err != nil {
 		h.log.Error("state can't be sent", "error", err)
 	}
@@ -146,61 +151,62 @@
 	}
 }
 
-// spread sends every attached instance the same.
-func (h *hub) spread(m *pb.ToEntry) {
+// broadcast sends a message to all attached instances.
+func (h *hub) broadcast(m *pb.ToEntry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tellAll(m)
+	h.broadcastLocked(m)
 }
 
-// tellAll is spread where mu is held.
-func (h *hub) tellAll(m *pb.ToEntry) {
-	for _, s := range h.entries {
+// broadcastLocked is broadcast for callers that hold mu.
+func (h *hub) broadcastLocked(m *pb.ToEntry) {
+	for _, s := range h.sinks {
 		s.send(m)
 	}
 }
 
-// hear takes what an instance that reads the store has seen. It is called without mu: decoding a long copy
-// must not hold up who asks for places.
-func (h *hub) hear(m *pb.FromEntry) {
+// applyChanges applies the state changes that an instance has read from the store. It is called without mu, because
+// decoding a long copy must not delay placement requests.
+func (h *hub) applyChanges(m *pb.FromEntry) {
 	if len(m.Changes) == 0 {
 		return
 	}
-	// What is missing here is read from the store, or told whole by the instance when it sees that it is lacked.
-	if _, err := takeState(h.follower, m.Changes, nil); err != nil {
-		h.log.Error("state of another instance can't be read", "error", err)
+	// Changes that are missing here are read from the store, or the instance sends a full copy when it sees that they
+	// are missing.
+	if _, err := applyState(h.follower, m.Changes, nil); err != nil {
+		h.log.Error("failed to decode state from an instance", "error", err)
 	}
 }
 
-// take carries a message out; mu is held.
-func (h *hub) take(now decide.Instant, entry fleet.InstanceID, m *pb.FromEntry) {
-	h.takeDepartures(now, m.Departures)
+// apply applies the parts of a message, then runs a step or schedules one; mu is held.
+func (h *hub) apply(now decide.Instant, instance fleet.InstanceID, m *pb.FromEntry) {
+	h.applyDepartures(now, m.Departures)
 	for _, r := range m.Running {
-		h.of(r.Ask.Service).Adopt(now, h.job(r.Ask, entry, now), fleet.UpstreamID(r.Upstream), upstreamIDs(r.Helpers), holdingsOf(r.Holders), r.Writing)
+		h.serviceState(r.Ask.Service).Adopt(now, h.newJob(r.Ask, instance, now), fleet.UpstreamID(r.Upstream), upstreamIDs(r.Helpers), decodeHoldings(r.Holders), r.Writing)
 	}
 	for _, id := range m.Began {
-		h.each(func(st *dispatch.State) { st.Began(now, fleet.RequestID(id)) })
+		h.forEachState(func(st *dispatch.State) { st.Began(now, fleet.RequestID(id)) })
 	}
 	for _, e := range m.Ended {
-		h.each(func(st *dispatch.State) {
-			st.Done(now, fleet.RequestID(e.Id), ends[e.How], fleet.UpstreamID(e.AtFault))
+		h.forEachState(func(st *dispatch.State) {
+			st.Done(now, fleet.RequestID(e.Id), dispatchEnds[e.How], fleet.UpstreamID(e.AtFault))
 		})
 	}
 	for _, id := range m.Withdrawn {
-		h.each(func(st *dispatch.State) { st.Withdraw(fleet.RequestID(id)) })
+		h.forEachState(func(st *dispatch.State) { st.Withdraw(fleet.RequestID(id)) })
 	}
 	for _, a := range m.Asks {
-		h.of(a.Service).Ask(h.job(a, entry, now))
+		h.serviceState(a.Service).Ask(h.newJob(a, instance, now))
 	}
-	h.takeLimits(now, m.Limits)
-	if h.stepTook > longStep {
-		h.wake() // one step for all messages that come meanwhile
+	h.applyLimits(now, m.Limits)
+	if h.stepTook > longStepTime {
+		h.wake() // one step then serves all messages that arrive meanwhile
 		return
 	}
 	h.step(now)
 }
 
-// wake has waiting jobs looked at soon.
+// wake schedules a step.
 func (h *hub) wake() {
 	select {
 	case h.dirty <- struct{}{}:
@@ -208,89 +214,90 @@
 	}
 }
 
-// absent gives the members without a session for so long, as far as this instance has looked.
-func (h *hub) absent(members []*catalog.Member, long time.Duration) []*catalog.Member {
+// absentMembers returns the members that have had no session for longer than minAbsence. A member's absence counts
+// from the first call that finds it without a session.
+func (h *hub) absentMembers(members []*catalog.Member, minAbsence time.Duration) []*catalog.Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	missed := make(map[fleet.InstanceID]decide.Instant, len(members))
+	absent := make(map[fleet.InstanceID]decide.Instant, len(members))
 	var out []*catalog.Member
 	for _, m := range members {
-		if h.entries[m.ID] != nil {
+		if h.sinks[m.ID] != nil {
 			continue
 		}
-		since, ok := h.missed[m.ID]
+		since, ok := h.absentSince[m.ID]
 		if !ok {
 			since = now
 		}
-		missed[m.ID] = since
-		if now.Sub(since) > long {
+		absent[m.ID] = since
+		if now.Sub(since) > minAbsence {
 			out = append(out, m)
 		}
 	}
-	h.missed = missed
+	h.absentSince = absent
 	return out
 }
 
-// job gives an ask of an attached instance; mu is held.
-func (h *hub) job(a *pb.Ask, entry fleet.InstanceID, now decide.Instant) *dispatch.Job {
-	j := job(a, entry, now)
-	j.From = h.domains[entry]
+// newJob converts a placement request of an attached instance and adds the instance's failure domain; mu is held.
+func (h *hub) newJob(a *pb.Ask, instance fleet.InstanceID, now decide.Instant) *dispatch.Job {
+	j := newJob(a, instance, now)
+	j.From = h.domains[instance]
 	return j
 }
 
-var ends = map[pb.Ended_How]dispatch.End{
+var dispatchEnds = map[pb.Ended_How]dispatch.End{
 	pb.Ended_WHOLE: dispatch.Whole, pb.Ended_FAILED: dispatch.Failed,
 	pb.Ended_UNREACHABLE: dispatch.Unreachable, pb.Ended_FULL: dispatch.Full,
 }
 
-func (h *hub) each(f func(*dispatch.State)) {
+func (h *hub) forEachState(f func(*dispatch.State)) {
 	for _, st := range h.services {
 		f(st)
 	}
 }
 
-// of gives the state of a service; mu is held.
-func (h *hub) of(service string) *dispatch.State {
+// serviceState returns the state of a service, and creates it if necessary; mu is held.
+func (h *hub) serviceState(service string) *dispatch.State {
 	name := catalog.ServiceName(service)
 	st := h.services[name]
 	if st == nil {
 		st = dispatch.New(nil, dispatch.DefaultParams())
 		h.services[name] = st
-		h.load(h.now(), name, st)
+		h.loadService(h.now(), name, st)
 	}
 	return st
 }
 
-// refresh takes what is newly known of the fleet; mu is held.
+// refresh updates the states if the snapshot has changed; mu is held.
 func (h *hub) refresh(now decide.Instant) {
 	snap := h.snapshot()
-	if snap == h.seen {
+	if snap == h.lastSnapshot {
 		return
 	}
-	h.seen = snap
+	h.lastSnapshot = snap
 	for name, st := range h.services {
-		h.load(now, name, st)
+		h.loadService(now, name, st)
 	}
 }
 
-// load gives a state its service's figures and upstreams.
-func (h *hub) load(now decide.Instant, name catalog.ServiceName, st *dispatch.State) {
-	snap := h.seen
+// loadService updates a service's state with the model, upstreams and limits of the last snapshot; mu is held.
+func (h *hub) loadService(now decide.Instant, name catalog.ServiceName, st *dispatch.State) {
+	snap := h.lastSnapshot
 	if snap == nil || snap.Config == nil {
 		return
 	}
 	p := dispatch.DefaultParams()
 	if s := snap.Config.Service(name); s != nil {
 		p.ColdPerS = s.ColdPerSecond * coldShare
-		st.SetModel(model(s), p)
+		st.SetModel(dispatchModel(s), p)
 	}
 	var open []dispatch.Upstream
-	wall := time.Now()
+	wallNow := time.Now()
 	for _, u := range snap.Upstreams(name) {
 		if snap.Open(u) {
 			open = append(open, dispatch.Upstream{
-				ID: u.ID, Domain: u.Domain, Slots: u.Slots, Born: u.Born, ColdUntil: now.Add(u.ColdUntil.Sub(wall)),
+				ID: u.ID, Domain: u.Domain, Slots: u.Slots, Born: u.Born, ColdUntil: now.Add(u.ColdUntil.Sub(wallNow)),
 			})
 		}
 	}
@@ -298,6 +305,6 @@
 	st.SetLimits(now, h.rates(name))
 }
 
-// coldShare is the part of a cold upstream's limit that one dispatcher gives out. Two may do so at once
-// while one takes over from the other, and together they stay under the limit with its allowance of a half.
+// coldShare is the fraction of a cold upstream's limit that one dispatcher uses. Two dispatchers may place at one
+// time during a takeover, and together they stay under the limit with its allowance of a half.
 const coldShare = 0.7
--- a/internal/placement/limits_test.go
+++ b/internal/placement/limits_test.go
@@ -23,49 +23,50 @@
 	"github.com/damaskshelf/damaskshelf/internal/watch"
 )
 
-// What the users allow an upstream that names a limit: from limitFrom on, in any limitWindow half as much again as it takes,
-// and limitSlack more.
+// Bounds on an upstream that advertises a limit: from limitEffectiveAfter on, it receives in any limitWindow at most
+// one and a half times its limit, plus limitSlack requests.
 const (
-	limitFrom   = 3 * time.Second
-	limitWindow = 4 * time.Second
-	limitSlack  = 5
+	limitEffectiveAfter = 3 * time.Second
+	limitWindow         = 4 * time.Second
+	limitSlack          = 5
 )
 
-// limitedFleet are instances with their dispatchers in virtual time, before two upstreams: one names a limit for a while.
+// limitedFleet simulates instances and their dispatchers in virtual time, with two upstreams, one of which advertises
+// a limit for a while.
 type limitedFleet struct {
-	rate  float64 // requests a second that "needy" takes
-	total float64 // requests a second that callers send
-	names atomic.Bool
-	known atomic.Pointer[catalog.Snapshot]
-
-	mu      sync.Mutex
-	rand    *rand.Rand    // guarded by mu
-	nodes   []*limitedOne // guarded by mu
-	arrived []time.Time   // guarded by mu: at "needy"
+	rate       float64 // limit of the upstream "needy", in requests a second
+	total      float64 // load of all callers, in requests a second
+	sendsLimit atomic.Bool
+	snapshot   atomic.Pointer[catalog.Snapshot]
+
+	mu        sync.Mutex
+	rand      *rand.Rand         // guarded by mu
+	instances []*limitedInstance // guarded by mu
+	arrived   []time.Time        // guarded by mu: arrival times at "needy"
 }
 
-// limitedOne is an instance: what it believes, and its side as a dispatcher.
-type limitedOne struct {
-	f      *limitedFleet
-	id     fleet.InstanceID
-	hub    *hub
-	limits *limitTable
-	local  *LocalPlacer
-	dead   atomic.Bool
-	with   atomic.Pointer[hub] // its dispatcher; nil: none
+// limitedInstance is an instance with its table of limits and its hub as a dispatcher.
+type limitedInstance struct {
+	fleet      *limitedFleet
+	id         fleet.InstanceID
+	hub        *hub
+	limits     *limitTable
+	local      *LocalPlacer
+	dead       atomic.Bool
+	dispatcher atomic.Pointer[hub] // nil: none
 }
 
 func newLimitedFleet(n int, rate, total float64, seed uint64) *limitedFleet {
 	f := &limitedFleet{rate: rate, total: total, rand: rand.New(rand.NewPCG(seed, 1))}
 	for i := range n {
-		f.nodes = append(f.nodes, f.newOne(i, f.known.Load))
+		f.instances = append(f.instances, f.newInstance(i, f.snapshot.Load))
 	}
-	f.lists(n)
+	f.setMembers(n)
 	return f
 }
 
-// lists has all know so many members.
-func (f *limitedFleet) lists(members int) { f.known.Store(limitedSnapshot(members)) }
+// setMembers sets the number of members that all instances know.
+func (f *limitedFleet) setMembers(members int) { f.snapshot.Store(limitedSnapshot(members)) }
 
 func limitedSnapshot(members int) *catalog.Snapshot {
 	all := make([]*catalog.Member, members)
@@ -78,39 +79,41 @@
 	return catalog.NewSnapshot(&catalog.Config{}, upstreams, nil, all, 1)
 }
 
-func (f *limitedFleet) newOne(i int, snapshot func() *catalog.Snapshot) *limitedOne {
+func (f *limitedFleet) newInstance(i int, snapshot func() *catalog.Snapshot) *limitedInstance {
 	log := hclog.NewNullLogger()
 	w := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: log})
-	n := &limitedOne{f: f, id: fleet.InstanceID(fmt.Sprint("i", i)), hub: newHub(w, log), limits: newLimitTable(log)}
+	n := &limitedInstance{fleet: f, id: fleet.InstanceID(fmt.Sprint("i", i)), hub: newHub(w, log), limits: newLimitTable(log)}
 	n.hub.snapshot = snapshot
-	n.local = NewLocalPlacer(snapshot, n.limits.limited)
+	n.local = NewLocalPlacer(snapshot, n.limits.isLimited)
 	return n
 }
 
-func (f *limitedFleet) draw(most time.Duration) time.Duration {
+func (f *limitedFleet) randomDuration(most time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Duration(f.rand.Int64N(int64(most)))
 }
 
-// trip is how long a message is on its way: they overtake each other.
-func (f *limitedFleet) trip() { time.Sleep(time.Millisecond + f.draw(7*time.Millisecond)) }
+// delayMessage waits for a message's random transit time, so that messages overtake each other.
+func (f *limitedFleet) delayMessage() {
+	time.Sleep(time.Millisecond + f.randomDuration(7*time.Millisecond))
+}
 
-func (n *limitedOne) tell(m *pb.FromEntry) {
-	if h := n.with.Load(); h != nil {
+func (n *limitedInstance) sendToDispatcher(m *pb.FromEntry) {
+	if h := n.dispatcher.Load(); h != nil {
 		go func() {
-			n.f.trip()
-			h.tell(n.id, n, m)
+			n.fleet.delayMessage()
+			h.receive(n.id, n, m)
 		}()
 	}
 }
 
 // send implements sink.
-func (n *limitedOne) send(m *pb.ToEntry) {
+func (n *limitedInstance) send(m *pb.ToEntry) {
 	go func() {
-		n.f.trip()
+		n.fleet.delayMessage()
 		for _, l := range m.Limits {
-			n.limits.take(n.limits.statement(l))
+			n.limits.record(n.limits.decode(l))
 		}
 		for _, p := range m.Places {
 			go n.request(p.Id, fleet.UpstreamID(p.Upstream))
@@ -118,22 +121,22 @@
 	}()
 }
 
-// follow moves the instance to another dispatcher; the one before hears of it later.
-func (n *limitedOne) follow(h *hub) {
-	before := n.with.Swap(h)
+// follow moves the instance to another dispatcher. The previous dispatcher detaches it after a random delay.
+func (n *limitedInstance) follow(h *hub) {
+	before := n.dispatcher.Swap(h)
 	if before != nil {
 		go func() {
-			time.Sleep(n.f.draw(silence))
+			time.Sleep(n.fleet.randomDuration(sessionTimeout))
 			before.detach(n.id, n)
 		}()
 	}
-	h.attach(n.id, n, &pb.FromEntry{Entry: string(n.id), Domain: "d", Limits: n.limits.messages(n.f.known.Load())})
+	h.attach(n.id, n, &pb.FromEntry{Entry: string(n.id), Domain: "d", Limits: n.limits.messages(n.fleet.snapshot.Load())})
 }
 
-// ask is a caller's request.
-func (n *limitedOne) ask(id string) {
-	if n.with.Load() != nil {
-		n.tell(&pb.FromEntry{Asks: []*pb.Ask{{Id: id, Service: "s", PatienceMs: 2500, DeadlineMs: 2500}}})
+// ask simulates a caller's request.
+func (n *limitedInstance) ask(id string) {
+	if n.dispatcher.Load() != nil {
+		n.sendToDispatcher(&pb.FromEntry{Asks: []*pb.Ask{{Id: id, Service: "s", PatienceMs: 2500, DeadlineMs: 2500}}})
 		return
 	}
 	if g, err := n.local.Place(context.Background(), gateway.Ask{Service: "s"}); err == nil {
@@ -142,116 +145,117 @@
 	}
 }
 
-// request sends a request to an upstream and takes the answer.
-func (n *limitedOne) request(id string, to fleet.UpstreamID) {
+// request sends a request to an upstream and processes the answer.
+func (n *limitedInstance) request(id string, to fleet.UpstreamID) {
 	if n.dead.Load() {
 		return
 	}
 	sent := time.Now()
-	n.f.trip()
+	n.fleet.delayMessage()
 	if to == "needy" {
-		n.f.mu.Lock()
-		n.f.arrived = append(n.f.arrived, time.Now())
-		n.f.mu.Unlock()
+		n.fleet.mu.Lock()
+		n.fleet.arrived = append(n.fleet.arrived, time.Now())
+		n.fleet.mu.Unlock()
 	}
 	time.Sleep(5 * time.Millisecond)
 	a := gateway.Answer{Sealed: true}
-	if to == "needy" && n.f.names.Load() {
-		a.Limited, a.Limit = true, n.f.rate
+	if to == "needy" && n.fleet.sendsLimit.Load() {
+		a.Limited, a.Limit = true, n.fleet.rate
 	}
-	n.f.trip()
-	if news := n.limits.answered(n.f.known.Load().Upstream(to), a, sent, n.id); news != nil {
-		n.tell(&pb.FromEntry{Limits: []*pb.Limit{news}})
+	n.fleet.delayMessage()
+	if limit := n.limits.recordAnswer(n.fleet.snapshot.Load().Upstream(to), a, sent, n.id); limit != nil {
+		n.sendToDispatcher(&pb.FromEntry{Limits: []*pb.Limit{limit}})
 	}
-	n.tell(&pb.FromEntry{Ended: []*pb.Ended{{Id: id, How: pb.Ended_WHOLE}}})
+	n.sendToDispatcher(&pb.FromEntry{Ended: []*pb.Ended{{Id: id, How: pb.Ended_WHOLE}}})
 }
 
-// living gives the instances that live, in the order in which they dispatch.
-func (f *limitedFleet) living() []*limitedOne {
+// live returns the live instances in dispatcher order.
+func (f *limitedFleet) live() []*limitedInstance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *limitedOne) bool { return n.dead.Load() })
+	return slices.DeleteFunc(slices.Clone(f.instances), func(n *limitedInstance) bool { return n.dead.Load() })
 }
 
-// start has every instance serve callers and the first one dispatch, until ctx ends.
+// start makes every instance serve callers, and the first one dispatch, until ctx ends.
 func (f *limitedFleet) start(ctx context.Context) {
-	for _, n := range f.living() {
+	for _, n := range f.live() {
 		go n.hub.run(ctx, func() {})
-		n.follow(f.nodes[0].hub)
+		n.follow(f.instances[0].hub)
 	}
 	go func() {
 		for i := 0; ctx.Err() == nil; i++ {
-			time.Sleep(f.draw(time.Duration(2 * float64(time.Second) / f.total)))
-			all := f.living()
-			go all[int(f.draw(time.Duration(len(all))))].ask(fmt.Sprint("r", i))
+			time.Sleep(f.randomDuration(time.Duration(2 * float64(time.Second) / f.total)))
+			all := f.live()
+			go all[int(f.randomDuration(time.Duration(len(all))))].ask(fmt.Sprint("r", i))
 		}
 	}()
 }
 
-// end ends the load, and waits until nothing is under way.
-func (f *limitedFleet) end(cancel context.CancelFunc) {
+// drain ends the load, and waits until no request is in flight.
+func (f *limitedFleet) drain(cancel context.CancelFunc) {
 	cancel()
 	time.Sleep(10 * time.Second)
 }
 
-// lose ends the dispatcher. The others miss it after a silence, each at another moment.
-func (f *limitedFleet) lose() {
-	all := f.living()
+// stopDispatcher stops the dispatcher. The other instances detect that within sessionTimeout, each at another time.
+func (f *limitedFleet) stopDispatcher() {
+	all := f.live()
 	if len(all) < 3 {
 		return
 	}
 	gone := all[0]
 	gone.dead.Store(true)
 	for _, n := range all[1:] {
-		if n.with.Load() == gone.hub {
+		if n.dispatcher.Load() == gone.hub {
 			go func() {
-				time.Sleep(silence/2 + f.draw(silence/2))
-				n.with.Store(nil)
-				time.Sleep(f.draw(50 * time.Millisecond))
+				time.Sleep(sessionTimeout/2 + f.randomDuration(sessionTimeout/2))
+				n.dispatcher.Store(nil)
+				time.Sleep(f.randomDuration(50 * time.Millisecond))
 				n.follow(all[1].hub)
 			}()
 		}
 	}
 }
 
-// part has some instances go by another dispatcher for a while, as when they can't reach the first.
-func (f *limitedFleet) part(share float64, long time.Duration) {
-	all := f.living()
+// partition makes some instances follow another dispatcher for a while, as if they could not reach the first one.
+func (f *limitedFleet) partition(share float64, long time.Duration) {
+	all := f.live()
 	if len(all) < 3 {
 		return
 	}
 	cut := all[len(all)-max(1, int(share*float64(len(all)))):]
 	for _, n := range cut {
 		go func() {
-			time.Sleep(f.draw(silence))
+			time.Sleep(f.randomDuration(sessionTimeout))
 			n.follow(cut[0].hub)
 			time.Sleep(long)
-			if first := f.living()[0]; !n.dead.Load() {
+			if first := f.live()[0]; !n.dead.Load() {
 				n.follow(first.hub)
 			}
 		}()
 	}
 }
 
-// join adds an instance. It knows the others at once and dispatches for itself at first; they know it a second later.
+// join adds an instance. It knows the other members at once and dispatches for itself at first; the others know it
+// about a second later.
 func (f *limitedFleet) join(ctx context.Context) {
 	f.mu.Lock()
-	members := len(f.nodes) + 1
+	members := len(f.instances) + 1
 	f.mu.Unlock()
-	n := f.newOne(members-1, func() *catalog.Snapshot { return limitedSnapshot(members) })
+	n := f.newInstance(members-1, func() *catalog.Snapshot { return limitedSnapshot(members) })
 	go n.hub.run(ctx, func() {})
 	n.follow(n.hub)
 	f.mu.Lock()
-	f.nodes = append(f.nodes, n)
+	f.instances = append(f.instances, n)
 	f.mu.Unlock()
-	time.Sleep(f.draw(time.Second))
-	n.follow(f.living()[0].hub)
-	time.Sleep(f.draw(time.Second))
-	f.lists(members)
+	time.Sleep(f.randomDuration(time.Second))
+	n.follow(f.live()[0].hub)
+	time.Sleep(f.randomDuration(time.Second))
+	f.setMembers(members)
 }
 
-// worst is the greatest number of arrivals in any window that begins between two moments.
-func (f *limitedFleet) worst(from, to time.Time) int {
+// maxArrivals returns the largest number of arrivals in any window that begins between two times.
+func (f *limitedFleet) maxArrivals(from, to time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	worst := 0
@@ -270,43 +274,45 @@
 	return worst
 }
 
-func (f *limitedFleet) allowed() float64 { return 1.5*f.rate*limitWindow.Seconds() + limitSlack }
+func (f *limitedFleet) allowedArrivals() float64 {
+	return 1.5*f.rate*limitWindow.Seconds() + limitSlack
+}
 
-// longestEvent is the longest pause between two events, and the longest time for which instances go by two dispatchers, in ms.
-const longestEvent = 5000
+// maxEventMs is the longest pause between two events, and the longest time with two dispatchers, in ms.
+const maxEventMs = 5000
 
-// Guards against the sum over all instances growing past an upstream's limit while dispatchers end, instances go by two of
-// them, and others join.
-func TestALimitHoldsWhoeverDispatches(t *testing.T) {
+// Guards against the sum over all instances exceeding an upstream's limit while dispatchers stop, instances follow
+// two dispatchers, or others join.
+func TestUpstreamLimitHoldsAcrossDispatcherChanges(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.SampledFrom([]int{7, 76, 195}).Draw(r, "instances")
 		rate := math.Exp(rapid.Float64Range(math.Log(0.2), math.Log(50)).Draw(r, "requests a second"))
 		seed := rapid.Uint64().Draw(r, "seed")
 		events := rapid.SliceOfN(rapid.IntRange(0, 2), 0, 5).Draw(r, "events")
-		pauses := rapid.SliceOfN(rapid.IntRange(0, longestEvent), 5, 5).Draw(r, "pauses in ms")
+		pauses := rapid.SliceOfN(rapid.IntRange(0, maxEventMs), 5, 5).Draw(r, "pauses in ms")
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			f := newLimitedFleet(n, rate, 5*rate+20, seed)
 			f.start(ctx)
 			time.Sleep(time.Second)
-			f.names.Store(true)
-			from := time.Now().Add(limitFrom)
+			f.sendsLimit.Store(true)
+			from := time.Now().Add(limitEffectiveAfter)
 			for i, e := range events {
 				pause := time.Duration(pauses[i]) * time.Millisecond
 				time.Sleep(pause)
 				switch e {
 				case 0:
-					f.lose()
+					f.stopDispatcher()
 				case 1:
-					f.part(0.1+0.8*float64(pauses[i])/longestEvent, pause)
+					f.partition(0.1+0.8*float64(pauses[i])/maxEventMs, pause)
 				case 2:
 					go f.join(ctx)
 				}
 			}
 			time.Sleep(time.Until(from.Add(2 * limitWindow)))
-			f.end(cancel)
-			if got := f.worst(from, time.Now()); float64(got) > f.allowed() {
-				t.Errorf("%d requests in %s reach an upstream that takes %.2f a second, allowed %.0f", got, limitWindow, rate, f.allowed())
+			f.drain(cancel)
+			if got := f.maxArrivals(from, time.Now()); float64(got) > f.allowedArrivals() {
+				t.Errorf("%d requests in %s reach an upstream that takes %.2f a second, allowed %.0f", got, limitWindow, rate, f.allowedArrivals())
 			}
 		})
 		if t.Failed() {
@@ -315,66 +321,67 @@
 	})
 }
 
-// Guards against a limit that only the instance knows which heard it, until each has spent a request on learning it.
-func TestALimitIsToldToAll(t *testing.T) {
+// Guards against a limit that only the instance which received it knows, so that every other instance spends a
+// request to learn it.
+func TestLimitReachesAllInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		f := newLimitedFleet(7, 1, 10, 1)
-		defer f.end(cancel)
+		defer f.drain(cancel)
 		f.start(ctx)
 		time.Sleep(time.Second)
-		needy := f.known.Load().Upstream("needy")
-		f.nodes[5].tell(&pb.FromEntry{Limits: []*pb.Limit{f.nodes[5].limits.answered(needy, gateway.Answer{Limited: true, Limit: 1}, time.Now(), "i5")}})
+		needy := f.snapshot.Load().Upstream("needy")
+		f.instances[5].sendToDispatcher(&pb.FromEntry{Limits: []*pb.Limit{f.instances[5].limits.recordAnswer(needy, gateway.Answer{Limited: true, Limit: 1}, time.Now(), "i5")}})
 		time.Sleep(50 * time.Millisecond)
-		for _, n := range f.nodes {
-			is.True(n.limits.limited(needy))
+		for _, n := range f.instances {
+			is.True(n.limits.isLimited(needy))
 		}
-		is.Equal(len(f.nodes[0].hub.rates("s")), 1)
-		late := f.newOne(7, f.known.Load)
-		late.follow(f.nodes[0].hub)
+		is.Equal(len(f.instances[0].hub.rates("s")), 1)
+		late := f.newInstance(7, f.snapshot.Load)
+		late.follow(f.instances[0].hub)
 		time.Sleep(50 * time.Millisecond)
-		is.True(late.limits.limited(needy)) // it attached after all this
+		is.True(late.limits.isLimited(needy)) // it attached after the broadcast
 	})
 }
 
-// Guards against an upstream that gets nothing, or for ever only its limit, for having been in need once.
-func TestALimitIsUsedAndEnds(t *testing.T) {
+// Guards against an upstream that gets no requests, or stays limited forever, after it advertised a limit once.
+func TestLimitIsUsedAndExpires(t *testing.T) {
 	for _, rate := range []float64{0.2, 1.4, 20} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx, cancel := context.WithCancel(t.Context())
 				f := newLimitedFleet(7, rate, 100, 1)
-				defer f.end(cancel)
+				defer f.drain(cancel)
 				f.start(ctx)
 				time.Sleep(time.Second)
-				f.names.Store(true)
+				f.sendsLimit.Store(true)
 				time.Sleep(time.Second)
-				before := f.count()
+				before := f.arrivals()
 				time.Sleep(20 * time.Second)
-				got := float64(f.count()-before) / 20
+				got := float64(f.arrivals()-before) / 20
 				t.Logf("%.2f requests a second", got)
 				is.True(got >= 0.7*rate && got <= 1.1*rate)
-				f.names.Store(false)
+				f.sendsLimit.Store(false)
 				time.Sleep(20 * time.Second)
-				before = f.count()
+				before = f.arrivals()
 				time.Sleep(5 * time.Second)
-				is.True(float64(f.count()-before)/5 > 30) // half of what comes, without a limit
-				is.Equal(f.nodes[3].limits.limited(f.known.Load().Upstream("needy")), false)
+				is.True(float64(f.arrivals()-before)/5 > 30) // half of the load, without a limit
+				is.Equal(f.instances[3].limits.isLimited(f.snapshot.Load().Upstream("needy")), false)
 			})
 		})
 	}
 }
 
-func (f *limitedFleet) count() int {
+func (f *limitedFleet) arrivals() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.arrived)
 }
 
-// Guards against a limit that each instance without a dispatcher uses up for itself.
-func TestWithoutADispatcherALimitedUpstreamGetsNothing(t *testing.T) {
+// Guards against every instance without a dispatcher using up a limit by itself.
+func TestLocalPlacerSkipsLimitedUpstreams(t *testing.T) {
 	is := is.New(t)
 	needy := true
 	l := NewLocalPlacer(func() *catalog.Snapshot { return limitedSnapshot(1) }, func(u *catalog.Upstream) bool { return needy && u.ID == "needy" })
@@ -391,26 +398,26 @@
 	is.Equal(g.Upstream().ID, fleet.UpstreamID("needy"))
 }
 
-// Guards against work and memory on every answer while no upstream names a limit.
-func TestAnswersWithoutALimitCostNothing(t *testing.T) {
+// Guards against cost in time and memory on every answer while no upstream advertises a limit.
+func TestAnswerWithoutLimitDoesNotAllocate(t *testing.T) {
 	b := newLimitTable(hclog.NewNullLogger())
 	u := &catalog.Upstream{ID: "u", Service: "s"}
 	sent := time.Now()
-	if n := testing.AllocsPerRun(100, func() { b.answered(u, gateway.Answer{Sealed: true}, sent, "i") }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { b.recordAnswer(u, gateway.Answer{Sealed: true}, sent, "i") }); n > 0 {
 		t.Errorf("%.0f allocations an answer", n)
 	}
 }
 
-// Guards against a new dispatcher that doesn't know a limit which its instances heard before.
-func TestASessionBeginsWithTheLimitsThatAreKnown(t *testing.T) {
+// Guards against a new dispatcher that doesn't know a limit that its instances received earlier.
+func TestFirstMessageHoldsKnownLimits(t *testing.T) {
 	is := is.New(t)
-	c := NewClient("i1", "d", followerOf("x", "y"), hclog.NewNullLogger())
+	c := NewClient("i1", "d", followerWithUpstreams("x", "y"), hclog.NewNullLogger())
 	c.ObserveAnswer(c.snapshot().Upstream("x"), gateway.Answer{Limited: true, Limit: 2}, time.Now())
 	c.ObserveAnswer(&catalog.Upstream{ID: "gone", Born: 7}, gateway.Answer{Limited: true, Limit: 2}, time.Now())
-	first := c.first()
+	first := c.firstMessage()
 	is.Equal(len(first.Limits), 1)
 	is.Equal(first.Limits[0].Upstream, "x")
-	h := newHub(followerOf("x", "y"), hclog.NewNullLogger())
-	h.attach("i1", &told{}, first)
+	h := newHub(followerWithUpstreams("x", "y"), hclog.NewNullLogger())
+	h.attach("i1", &recordingSink{}, first)
 	is.Equal(h.rates("s"), map[fleet.UpstreamID]float64{"x": 2})
 }
--- a/internal/placement/local.go
+++ b/internal/placement/local.go
@@ -1,4 +1,5 @@
-// Package placement finds places for requests on upstreams.
+// Package placement assigns requests to upstreams. One instance, the dispatcher, does so for all; an instance without
+// a session places its requests by its own view.
 package placement
 
 import (
@@ -13,47 +14,49 @@
 	"github.com/damaskshelf/damaskshelf/internal/gateway"
 )
 
-// Local places by what this instance alone knows: the upstream with the least of its own work for its slots.
+// LocalPlacer places requests by this instance's view alone, on the upstream with the fewest of its own requests per
+// slot.
 type LocalPlacer struct {
-	snapshot func() *catalog.Snapshot
-	limited  func(*catalog.Upstream) bool // it takes only so many requests of all instances
+	snapshot  func() *catalog.Snapshot
+	isLimited func(*catalog.Upstream) bool // reports whether a limit on the requests of all instances applies
 
-	mu   sync.Mutex
-	work map[fleet.UpstreamID]int // guarded by mu: own requests in flight
+	mu       sync.Mutex
+	inFlight map[fleet.UpstreamID]int // guarded by mu: number of this instance's requests in flight
 }
 
-// NewLocal gives a Local.
-func NewLocalPlacer(snapshot func() *catalog.Snapshot, limited func(*catalog.Upstream) bool) *LocalPlacer {
-	return &LocalPlacer{snapshot: snapshot, limited: limited, work: map[fleet.UpstreamID]int{}}
+// NewLocalPlacer returns a LocalPlacer.
+func NewLocalPlacer(snapshot func() *catalog.Snapshot, isLimited func(*catalog.Upstream) bool) *LocalPlacer {
+	return &LocalPlacer{snapshot: snapshot, isLimited: isLimited, inFlight: map[fleet.UpstreamID]int{}}
 }
 
-// Place implements gateway.Placer. It never waits. An upstream under a limit gets nothing: what others send there isn't
-// known, and each instance's request would be one too many.
+// Place implements gateway.Placer. It never waits. It skips upstreams under a limit: the requests of other instances
+// are unknown here, and one more from each instance would exceed the limit.
 func (l *LocalPlacer) Place(_ context.Context, a gateway.Ask) (gateway.Grant, error) {
 	snap := l.snapshot()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var best *catalog.Upstream
 	for _, u := range snap.Upstreams(a.Service) {
-		if !snap.Open(u) || slices.Contains(a.Avoid, u.ID) || l.limited(u) {
+		if !snap.Open(u) || slices.Contains(a.Avoid, u.ID) || l.isLimited(u) {
 			continue
 		}
-		if best == nil || l.load(u) < l.load(best) {
+		if best == nil || l.loadPerSlot(u) < l.loadPerSlot(best) {
 			best = u
 		}
 	}
 	if best == nil {
 		return nil, fault.New(fault.NoUpstream, "no upstream of %s may take the request", a.Service)
 	}
-	l.work[best.ID]++
-	return &localGrant{l: l, u: best}, nil
+	l.inFlight[best.ID]++
+	return &localGrant{placer: l, upstream: best}, nil
 }
 
-// coldLoad puts a cold upstream behind every warm one: alone, an instance doesn't know what others send there.
+// coldLoad ranks a cold upstream behind every warm one, because an instance alone doesn't know what others send
+// there.
 const coldLoad = 1000
 
-func (l *LocalPlacer) load(u *catalog.Upstream) float64 {
-	load := float64(l.work[u.ID]) / float64(max(1, u.Slots))
+func (l *LocalPlacer) loadPerSlot(u *catalog.Upstream) float64 {
+	load := float64(l.inFlight[u.ID]) / float64(max(1, u.Slots))
 	if time.Now().Before(u.ColdUntil) {
 		load += coldLoad
 	}
@@ -61,11 +64,11 @@
 }
 
 type localGrant struct {
-	l *LocalPlacer
-	u *catalog.Upstream
+	placer   *LocalPlacer
+	upstream *catalog.Upstream
 }
 
-func (g *localGrant) Upstream() *catalog.Upstream { return g.u }
+func (g *localGrant) Upstream() *catalog.Upstream { return g.upstream }
 func (g *localGrant) Helpers() []string           { return nil }
 func (g *localGrant) Holders() []gateway.Holder   { return nil }
 func (g *localGrant) Reason() string              { return "least_own_work" }
@@ -73,9 +76,9 @@
 func (g *localGrant) Began()                      {}
 
 func (g *localGrant) Done(gateway.Outcome, fleet.UpstreamID) {
-	g.l.mu.Lock()
-	defer g.l.mu.Unlock()
-	if g.l.work[g.u.ID]--; g.l.work[g.u.ID] <= 0 {
-		delete(g.l.work, g.u.ID)
+	g.placer.mu.Lock()
+	defer g.placer.mu.Unlock()
+	if g.placer.inFlight[g.upstream.ID]--; g.placer.inFlight[g.upstream.ID] <= 0 {
+		delete(g.placer.inFlight, g.upstream.ID)
 	}
 }
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -10,24 +10,24 @@
 	"github.com/damaskshelf/damaskshelf/internal/rendezvous"
 )
 
-// strong is the part of the strongest member's power from which a member counts as strong.
-const strong = 0.7
+// strongShare is the fraction of the highest dispatch capacity from which a member counts as strong.
+const strongShare = 0.7
 
-// power is what an instance can bear as a dispatcher: its processor, or its link where that is narrow. A
-// dispatcher sends each instance a few KB a second; 200 Mbit/s bear as much as a core does.
-func power(m *catalog.Member) float64 {
+// dispatchCapacity returns an instance's capacity as a dispatcher: its CPU share, or that of its link where the link
+// is narrow. A dispatcher sends each instance a few KB a second; a link of 200 Mbit/s has the capacity of one core.
+func dispatchCapacity(m *catalog.Member) float64 {
 	if m.LinkMbps <= 0 {
 		return m.CPUShare
 	}
 	return min(m.CPUShare, m.LinkMbps/200)
 }
 
-// Order gives the members in the order in which they are dispatchers: the strong ones first, each group by
-// rendezvous hashing. All that know the same members agree on it.
+// DispatcherOrder returns the members in the order in which they become the dispatcher: strong members first, and
+// each group by rendezvous hashing. Instances that know the same members compute the same order.
 func DispatcherOrder(all []*catalog.Member) []*catalog.Member {
-	most := 0.0
+	highest := 0.0
 	for _, m := range all {
-		most = max(most, power(m))
+		highest = max(highest, dispatchCapacity(m))
 	}
 	type ranked struct {
 		*catalog.Member
@@ -36,7 +36,7 @@
 	}
 	members := make([]ranked, len(all))
 	for i, m := range all {
-		members[i] = ranked{m, power(m) < strong*most, rendezvous.Score(rendezvousKey, string(m.ID))}
+		members[i] = ranked{m, dispatchCapacity(m) < strongShare*highest, rendezvous.Score(rendezvousKey, string(m.ID))}
 	}
 	slices.SortFunc(members, func(a, b ranked) int {
 		if a.weak != b.weak {
@@ -54,28 +54,30 @@
 	return order
 }
 
-// ordering keeps the order of the last members, which is asked for far more often than they change. It is safe for
+// orderCache keeps the order of the last members, which is read far more often than they change. It is safe for
 // concurrent use.
-type ordering struct{ last atomic.Pointer[ordered] }
+type orderCache struct{ last atomic.Pointer[cachedOrder] }
 
-type ordered struct{ members, order []*catalog.Member }
+type cachedOrder struct{ members, order []*catalog.Member }
 
-// of gives the order of a snapshot's members; it is not to be changed.
-func (o *ordering) of(members []*catalog.Member) []*catalog.Member {
+// get returns the dispatcher order of a snapshot's members. The result must not be modified.
+func (o *orderCache) get(members []*catalog.Member) []*catalog.Member {
 	if len(members) == 0 {
 		return nil
 	}
 	last := o.last.Load()
 	if last == nil || !sameMembers(last.members, members) {
-		last = &ordered{members: members, order: DispatcherOrder(members)}
+		last = &cachedOrder{members: members, order: DispatcherOrder(members)}
 		o.last.Store(last)
 	}
 	return last.order
 }
 
-// sameMembers tells whether two snapshots share their members: those that have not changed are not built anew.
+// sameMembers reports whether two snapshots share their list of members; a list that has not changed is not rebuilt.
 func sameMembers(a, b []*catalog.Member) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (c *Client) candidates() []*catalog.Member { return c.hub.ordered.of(c.snapshot().Members) }
+func (c *Client) dispatcherOrder() []*catalog.Member {
+	return c.hub.orderCache.get(c.snapshot().Members)
+}
--- a/internal/placement/reading.go
+++ b/internal/placement/reading.go
@@ -11,54 +11,54 @@
 	"github.com/damaskshelf/damaskshelf/internal/watch"
 )
 
-// Who reads the store: the dispatcher names two of the instances that are attached to it, and those say with each beat
-// how their reads go.
+// The dispatcher chooses two of its attached instances as readers of the store. They report with each heartbeat how
+// their reads go.
 
-// neverProven is the age of a proof that there isn't.
-const neverProven = time.Hour
+// unprovenAge is the reported age if there is no proof.
+const unprovenAge = time.Hour
 
-var roles = map[pb.ToEntry_Duty]watch.Role{
+var rolesByDuty = map[pb.ToEntry_Duty]watch.Role{
 	pb.ToEntry_AS_BEFORE: watch.Told, pb.ToEntry_TOLD: watch.Told,
 	pb.ToEntry_FIRST: watch.FirstReader, pb.ToEntry_SECOND: watch.SecondReader,
 }
 
-// takeDuty has the copies followed in the part that the current session gives; mu is held.
-func (c *Client) takeDuty() {
+// applyDuty sets the Follower's role to the duty of the current session; mu is held.
+func (c *Client) applyDuty() {
 	if c.session == nil {
 		c.follower.SetRole(watch.Unattached)
 		return
 	}
-	c.follower.SetRole(roles[pb.ToEntry_Duty(c.session.duty.Load())])
+	c.follower.SetRole(rolesByDuty[pb.ToEntry_Duty(c.session.duty.Load())])
 }
 
-// sayAlive tells the other side of a session with each beat that this instance lives, and how its reads of the store go.
-// It doesn't wait for the dispatcher's beats: those may be late behind a long copy, and an instance that is quiet for as
-// long loses its work in the dispatcher's book.
-func (c *Client) sayAlive(ctx context.Context, s *session) {
-	for wait.For(ctx, beat) {
-		s.tell(&pb.FromEntry{Reads: proofMessages(c.follower.Reads())})
+// sendHeartbeats sends heartbeats on a session until ctx ends; they also report how this instance's reads of the
+// store go. It doesn't wait for the dispatcher's heartbeats: those may be delayed behind a long copy, and the
+// dispatcher would drop the work of an instance that sends nothing for that long.
+func (c *Client) sendHeartbeats(ctx context.Context, s *session) {
+	for wait.For(ctx, heartbeatInterval) {
+		s.send(&pb.FromEntry{Reads: proofMessages(c.follower.Reads())})
 	}
 }
 
-// gotOver takes a message that came over a session.
-func (c *Client) gotOver(s *session, m *pb.ToEntry) {
+// receiveFrom handles a message that arrived on the session s.
+func (c *Client) receiveFrom(s *session, m *pb.ToEntry) {
 	if m.Duty != pb.ToEntry_AS_BEFORE {
 		s.duty.Store(int32(m.Duty))
 		c.mu.Lock()
 		if c.session == s {
-			c.takeDuty()
+			c.applyDuty()
 		}
 		c.mu.Unlock()
 	}
-	c.got(m)
+	c.receive(m)
 }
 
-// chooseReaders names the readers anew, and tells those whose part has changed; mu is held.
+// chooseReaders selects the readers, and sends a new duty to each instance whose duty has changed; mu is held.
 func (h *hub) chooseReaders() {
 	now := h.now()
 	var all []readers.Candidate
 	for _, m := range h.order() {
-		if h.entries[m.ID] != nil {
+		if h.sinks[m.ID] != nil {
 			all = append(all, readers.Candidate{ID: m.ID, Domain: m.Domain})
 		}
 	}
@@ -69,39 +69,40 @@
 			duties[id] = pb.ToEntry_SECOND
 		}
 	}
-	for entry, s := range h.entries {
-		duty := max(duties[entry], pb.ToEntry_TOLD)
-		if h.duties[entry] != duty {
-			h.duties[entry] = duty
+	for instance, s := range h.sinks {
+		duty := max(duties[instance], pb.ToEntry_TOLD)
+		if h.duties[instance] != duty {
+			h.duties[instance] = duty
 			s.send(&pb.ToEntry{Duty: duty})
 		}
 	}
-	for entry := range h.duties {
-		if h.entries[entry] == nil {
-			delete(h.duties, entry)
+	for instance := range h.duties {
+		if h.sinks[instance] == nil {
+			delete(h.duties, instance)
 		}
 	}
 }
 
-// takeReads takes how the reads of an instance go; mu is held. Its proofs are this instance's, which tells all others.
-func (h *hub) takeReads(entry fleet.InstanceID, reads []*pb.Proof) {
+// recordReads records how an instance's reads of the store go; mu is held. Its proofs also count for the copies here,
+// whose proofs go to all other instances.
+func (h *hub) recordReads(instance fleet.InstanceID, reads []*pb.Proof) {
 	if len(reads) == 0 {
 		return
 	}
 	now := h.now()
-	report := readers.Report{Age: neverProven}
+	report := readers.Report{Age: unprovenAge}
 	for _, m := range reads {
-		p := readProof(m)
+		p := decodeProof(m)
 		report.Failing = max(report.Failing, p.Failing)
 		if p.Known {
 			report.Age = min(report.Age, p.Age)
 		}
 	}
-	h.readers.Report(now, entry, report)
-	lost := h.readers.Lost(now)
+	h.readers.Report(now, instance, report)
+	outage := h.readers.Lost(now)
 	for _, m := range reads {
-		p := readProof(m)
-		p.Failing = lost
-		h.follower.Prove(p) // what this one lacks of it the reader tells whole
+		p := decodeProof(m)
+		p.Failing = outage
+		h.follower.Prove(p) // if changes are missing here, the reader sends a full copy
 	}
 }
--- a/internal/placement/requests.go
+++ b/internal/placement/requests.go
@@ -12,53 +12,54 @@
 	pb "github.com/damaskshelf/damaskshelf/internal/placement/placementpb"
 )
 
-// waiting is a request that waits for a place.
-type waiting struct {
-	ask   gateway.Ask
-	asked time.Time
-	reply chan reply // holds one
+// waitingRequest is a request that waits for a place.
+type waitingRequest struct {
+	ask     gateway.Ask
+	askedAt time.Time
+	reply   chan reply // buffered, with room for one
 }
 
-// reply is the dispatcher's answer; neither part: there is no dispatcher.
+// reply is the dispatcher's answer to a placement request. If neither field is set, there is no dispatcher.
 type reply struct {
 	place   *pb.Place
 	refused *pb.Refusal
 }
 
-// freeWaiting has the requests that wait for a dispatcher placed by this instance's own view: there is none
-// that it can reach, and nobody would ever answer them.
-func (c *Client) freeWaiting() {
+// releaseWaiting places all waiting requests locally. It is called while no dispatcher is reachable, when nothing
+// else would answer them.
+func (c *Client) releaseWaiting() {
 	c.mu.Lock()
-	free := c.waiting
-	c.waiting = map[fleet.RequestID]*waiting{}
+	released := c.waiting
+	c.waiting = map[fleet.RequestID]*waitingRequest{}
 	c.mu.Unlock()
-	for _, w := range free {
+	for _, w := range released {
 		w.reply <- reply{}
 	}
 }
 
-// got takes a message of the dispatcher.
-func (c *Client) got(m *pb.ToEntry) {
-	c.gotBack(m.Back)
+// receive handles a message from the dispatcher.
+func (c *Client) receive(m *pb.ToEntry) {
+	c.deliverRelayed(m.Back)
 	for _, d := range m.Departures {
-		c.follower.Left(departed(d), d.Sign, fleet.InstanceID(d.By))
+		c.follower.Left(departedProcess(d), d.Sign, fleet.InstanceID(d.By))
 	}
 	for _, l := range m.Limits {
-		c.limits.take(c.limits.statement(l))
+		c.limits.record(c.limits.decode(l))
 	}
 	if len(m.Changes)+len(m.Proofs) > 0 {
-		c.gotState(m)
+		c.applyDispatcherState(m)
 	}
 	for _, p := range m.Places {
-		c.settle(fleet.RequestID(p.Id), reply{place: p})
+		c.deliverReply(fleet.RequestID(p.Id), reply{place: p})
 	}
 	for _, r := range m.Refusals {
-		c.settle(fleet.RequestID(r.Id), reply{refused: r})
+		c.deliverReply(fleet.RequestID(r.Id), reply{refused: r})
 	}
 }
 
-// settle hands a reply to the request that waits for it. A place that nobody waits for is given back.
-func (c *Client) settle(id fleet.RequestID, r reply) {
+// deliverReply delivers a reply to the request that waits for it. A place is returned to the dispatcher if its
+// request neither waits nor runs.
+func (c *Client) deliverReply(id fleet.RequestID, r reply) {
 	c.mu.Lock()
 	w := c.waiting[id]
 	delete(c.waiting, id)
@@ -69,49 +70,49 @@
 		return
 	}
 	if r.place != nil && !runs {
-		c.tell(&pb.FromEntry{Withdrawn: []string{string(id)}})
+		c.sendToDispatcher(&pb.FromEntry{Withdrawn: []string{string(id)}})
 	}
 }
 
-func (c *Client) tell(m *pb.FromEntry) {
+func (c *Client) sendToDispatcher(m *pb.FromEntry) {
 	c.mu.Lock()
 	s := c.session
 	c.mu.Unlock()
 	if s != nil {
-		s.tell(m)
+		s.send(m)
 	}
 }
 
 // Place implements gateway.Placer.
 func (c *Client) Place(ctx context.Context, a gateway.Ask) (gateway.Grant, error) {
-	a.Avoid = c.holdoffs.added(a.Avoid)
-	w := &waiting{ask: a, asked: time.Now(), reply: make(chan reply, 1)}
+	a.Avoid = c.holdoffs.addTo(a.Avoid)
+	w := &waitingRequest{ask: a, askedAt: time.Now(), reply: make(chan reply, 1)}
 	c.mu.Lock()
 	s := c.session
 	c.waiting[a.ID] = w
 	c.mu.Unlock()
 	if s != nil {
-		s.tell(&pb.FromEntry{Asks: []*pb.Ask{message(&a, w.asked, w.asked)}})
+		s.send(&pb.FromEntry{Asks: []*pb.Ask{askMessage(&a, w.askedAt, w.askedAt)}})
 	}
-	alone := time.NewTimer(sessionWait)
-	defer alone.Stop()
+	sessionTimer := time.NewTimer(sessionWait)
+	defer sessionTimer.Stop()
 	for {
 		select {
 		case r := <-w.reply:
-			return c.answer(ctx, w, r)
-		case <-alone.C:
-			if c.withdrawAlone(w) {
+			return c.grantFromReply(ctx, w, r)
+		case <-sessionTimer.C:
+			if c.withdrawIfNoSession(w) {
 				return c.local.Place(ctx, a)
 			}
 		case <-ctx.Done():
-			c.withdraw(a.ID)
-			return nil, fault.New(fault.Infeasible, "waited until its time was over")
+			c.withdrawRequest(a.ID)
+			return nil, fault.New(fault.Infeasible, "request timed out while waiting for a place")
 		}
 	}
 }
 
-// withdrawAlone takes a request back that no dispatcher can have been asked for; false: one was.
-func (c *Client) withdrawAlone(w *waiting) bool {
+// withdrawIfNoSession removes a waiting request if there is no session, and reports whether it did.
+func (c *Client) withdrawIfNoSession(w *waitingRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.session != nil || c.waiting[w.ask.ID] != w {
@@ -121,23 +122,24 @@
 	return true
 }
 
-func (c *Client) withdraw(id fleet.RequestID) {
+func (c *Client) withdrawRequest(id fleet.RequestID) {
 	c.mu.Lock()
 	delete(c.waiting, id)
 	c.mu.Unlock()
-	c.tell(&pb.FromEntry{Withdrawn: []string{string(id)}})
+	c.sendToDispatcher(&pb.FromEntry{Withdrawn: []string{string(id)}})
 }
 
-// refusalKinds are the kinds of refusals that don't come from the request itself.
-var refusalKinds = map[decide.Reason]fault.Kind{
+// faultKinds maps the reasons of refusals that don't come from the request itself to kinds of faults.
+var faultKinds = map[decide.Reason]fault.Kind{
 	dispatch.NoUpstream: fault.NoUpstream, dispatch.RateLimited: fault.UpstreamLimit,
 }
 
-// answer turns the dispatcher's reply into a grant or a refusal.
-func (c *Client) answer(ctx context.Context, w *waiting, r reply) (gateway.Grant, error) {
+// grantFromReply returns the grant or error that the dispatcher's reply stands for. It places the request locally if
+// there is no dispatcher, or if the upstream is unknown here.
+func (c *Client) grantFromReply(ctx context.Context, w *waitingRequest, r reply) (gateway.Grant, error) {
 	if r.refused != nil {
 		f := fault.New(fault.Infeasible, "%s", r.refused.Reason)
-		if kind, ok := refusalKinds[decide.Reason(r.refused.Reason)]; ok {
+		if kind, ok := faultKinds[decide.Reason(r.refused.Reason)]; ok {
 			f.Kind = kind
 		}
 		f.RetryAfter = ms(r.refused.RetryAfterMs)
@@ -149,11 +151,11 @@
 	snap := c.snapshot()
 	u := snap.Upstream(fleet.UpstreamID(r.place.Upstream))
 	if u == nil || ctx.Err() != nil {
-		// The dispatcher knows of an upstream that this instance doesn't know yet, or any more.
-		c.tell(&pb.FromEntry{Withdrawn: []string{string(w.ask.ID)}})
+		// The dispatcher knows an upstream that this instance doesn't know yet, or no longer knows.
+		c.sendToDispatcher(&pb.FromEntry{Withdrawn: []string{string(w.ask.ID)}})
 		return c.local.Place(ctx, w.ask)
 	}
-	g := &dispatched{c: c, ask: w.ask, asked: w.asked, upstream: u, reason: r.place.Reason, overdue: ms(r.place.OverdueMs)}
+	g := &dispatchedGrant{c: c, ask: w.ask, askedAt: w.askedAt, upstream: u, reason: r.place.Reason, overdue: ms(r.place.OverdueMs)}
 	for _, id := range r.place.Helpers {
 		if h := snap.Upstream(fleet.UpstreamID(id)); h != nil && snap.Open(h) {
 			g.helpers = append(g.helpers, h.ID)
@@ -163,8 +165,8 @@
 	for _, m := range r.place.Holders {
 		h := snap.Upstream(fleet.UpstreamID(m.Upstream))
 		if h == nil || !snap.Open(h) {
-			// Without all of its memory the prompt can't be read: another place is needed.
-			c.tell(&pb.FromEntry{Withdrawn: []string{string(w.ask.ID)}})
+			// The prompt can't be processed without all of its memory, so it needs another place.
+			c.sendToDispatcher(&pb.FromEntry{Withdrawn: []string{string(w.ask.ID)}})
 			return nil, fault.New(fault.NoUpstream, "holder %s is not open here", m.Upstream)
 		}
 		g.holders = append(g.holders, gateway.Holder{Upstream: h, Tokens: int(m.Tokens)})
--- a/internal/placement/session.go
+++ b/internal/placement/session.go
@@ -15,19 +15,22 @@
 )
 
 const (
-	// connectTimeout bounds connecting to a dispatcher: some trips between the farthest failure domains. One without
-	// power doesn't refuse, and whoever waits for it has no dispatcher meanwhile: after a stop of all instances those
-	// that are up first would place by their own view, each beside the others, until the last is up.
+	// connectTimeout bounds connecting to a dispatcher: some trips between the farthest failure domains. A machine
+	// without power doesn't refuse connections, and an instance that waits for it has no dispatcher meanwhile. After
+	// a stop of all instances, those that start first would place by their own views, each without knowing the
+	// others' work, until the last has started.
 	connectTimeout = 80 * time.Millisecond
-	// attachTimeout bounds the whole of it, with the first message and its answer.
+	// attachTimeout bounds attaching, with the first message and its answer.
 	attachTimeout = 250 * time.Millisecond
-	// silence is how long either side of a session may be quiet before the other gives it up: three beats.
-	silence = 3 * beat
-	// maxOutbox bounds what waits to be sent to one instance; one that takes nothing is cut off.
+	// sessionTimeout is how long either side of a session may send nothing before the other ends it: three
+	// heartbeats.
+	sessionTimeout = 3 * heartbeatInterval
+	// maxOutbox bounds the messages that wait to be sent to one instance; an instance that doesn't receive them is
+	// disconnected.
 	maxOutbox = 4096
 )
 
-// outbox is a queue of messages that one goroutine sends. Putting something in never blocks.
+// outbox is a queue of messages that one goroutine sends. Adding a message never blocks.
 type outbox[T any] struct {
 	mu     sync.Mutex
 	items  []T           // guarded by mu
@@ -37,7 +40,7 @@
 
 func newOutbox[T any]() *outbox[T] { return &outbox[T]{ready: make(chan struct{}, 1)} }
 
-// put queues an item, and tells whether it was taken.
+// put queues an item, and reports whether it was accepted.
 func (o *outbox[T]) put(item T) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -52,8 +55,8 @@
 	return true
 }
 
-// take gives all items; it waits for the first until ctx ends.
-func (o *outbox[T]) take(ctx context.Context) []T {
+// takeAll returns all items. It waits for the first one, and returns nil if ctx ends before.
+func (o *outbox[T]) takeAll(ctx context.Context) []T {
 	for {
 		select {
 		case <-o.ready:
@@ -76,91 +79,91 @@
 	o.closed = true
 }
 
-// service is the other side of sessions: that of the dispatcher, or of an instance that passes on.
-type service struct{ c *Client }
+// rpcServer serves the sessions of other instances, as the dispatcher or as a relay.
+type rpcServer struct{ c *Client }
 
 // remoteSink sends to an instance over its stream.
 type remoteSink struct {
-	out *outbox[*pb.ToEntry]
-	cut func()
+	out        *outbox[*pb.ToEntry]
+	disconnect func()
 }
 
-// send queues m. An instance that takes nothing any more is cut off: it must not believe that it is told
-// everything.
+// send queues m. If the queue is full, it disconnects the instance, which must not miss a message without noticing.
 func (s *remoteSink) send(m *pb.ToEntry) {
 	if !s.out.put(m) {
-		s.cut()
+		s.disconnect()
 	}
 }
 
-// entryStream is the dispatcher's side of a session. An instance says with each beat that it lives; one that lost power or was
-// cut off says nothing, and its connection may never end. Its reads would stay in the dispatcher's book, and their
-// engines get no short prompts for as long as the dispatcher lives.
-type entryStream struct {
+// timeoutStream is the dispatcher's side of a session, which ends if nothing arrives within sessionTimeout. Instances
+// send heartbeats, but one that lost power or was cut off sends nothing, and its connection may never close. Without
+// the timeout, its prefill work would stay in the dispatcher's records, and the engines involved would get no short
+// prompts for as long as the dispatcher lives.
+type timeoutStream struct {
 	pb.DRPCPlacement_AttachStream
-	quiet *time.Timer // gives the session up
+	timer *time.Timer // ends the session
 }
 
 // Recv implements placementpb.DRPCPlacement_AttachStream.
-func (s entryStream) Recv() (*pb.FromEntry, error) {
+func (s timeoutStream) Recv() (*pb.FromEntry, error) {
 	m, err := s.DRPCPlacement_AttachStream.Recv()
-	s.quiet.Reset(silence)
+	s.timer.Reset(sessionTimeout)
 	return m, err
 }
 
-// Attach implements placementpb.DRPCPlacementServer.
-func (s service) Attach(raw pb.DRPCPlacement_AttachStream) error {
+// Attach implements placementpb.DRPCPlacementServer. It accepts an invitation, or serves a session until it ends.
+func (s rpcServer) Attach(raw pb.DRPCPlacement_AttachStream) error {
 	first, err := raw.Recv()
 	if err != nil {
 		return err
 	}
 	if first.Invitation != nil {
-		s.c.invited(first.Invitation)
-		return raw.Send(&pb.ToEntry{}) // shows that it was taken
+		s.c.acceptInvitation(first.Invitation)
+		return raw.Send(&pb.ToEntry{}) // confirms receipt
 	}
-	if len(s.c.candidates()) == 0 {
+	if len(s.c.dispatcherOrder()) == 0 {
 		s.c.follower.ListNow()
 	}
-	entry := fleet.InstanceID(first.Entry)
+	instance := fleet.InstanceID(first.Entry)
 	ctx, cancel := context.WithCancel(raw.Context())
 	defer cancel()
-	stream := entryStream{raw, time.AfterFunc(silence, cancel)}
-	defer stream.quiet.Stop()
-	to := &remoteSink{out: newOutbox[*pb.ToEntry](), cut: cancel}
+	stream := timeoutStream{raw, time.AfterFunc(sessionTimeout, cancel)}
+	defer stream.timer.Stop()
+	to := &remoteSink{out: newOutbox[*pb.ToEntry](), disconnect: cancel}
 	go func() {
 		defer func() { _ = stream.Close() }()
-		for items := to.out.take(ctx); items != nil; items = to.out.take(ctx) {
-			if err := stream.Send(merge(items)); err != nil {
+		for items := to.out.takeAll(ctx); items != nil; items = to.out.takeAll(ctx) {
+			if err := stream.Send(mergeToEntry(items)); err != nil {
 				cancel()
 				return
 			}
 		}
 	}()
-	through, err := s.c.admit(entry, first)
+	via, err := s.c.admit(instance, first)
 	if err != nil {
 		return err
 	}
-	to.send(&pb.ToEntry{}) // shows the instance that it is attached
+	to.send(&pb.ToEntry{}) // confirms that the instance is attached
 	defer to.out.close()
-	if through != nil {
-		return s.c.pass(stream, entry, to, through, first)
+	if via != nil {
+		return s.c.relay(stream, instance, to, via, first)
 	}
 	h := s.c.hub
-	h.hear(first)
-	h.attach(entry, to, first)
-	defer h.detach(entry, to)
+	h.applyChanges(first)
+	h.attach(instance, to, first)
+	defer h.detach(instance, to)
 	for {
 		m, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		h.hear(m)
-		h.tell(entry, to, m)
+		h.applyChanges(m)
+		h.receive(instance, to, m)
 	}
 }
 
-// merge makes one message of several. Of a kind's whole copies the last one is enough.
-func merge(items []*pb.ToEntry) *pb.ToEntry {
+// mergeToEntry merges several messages into one, in their order. Of several duties, the last one is kept.
+func mergeToEntry(items []*pb.ToEntry) *pb.ToEntry {
 	if len(items) == 1 {
 		return items[0]
 	}
@@ -180,48 +183,50 @@
 	return all
 }
 
-// session is an instance's side of its session with a dispatcher.
+// session is an instance's side of its session with a dispatcher or a relay.
 type session struct {
-	with  fleet.InstanceID
-	first *pb.FromEntry       // what the dispatcher was told with it
-	tell  func(*pb.FromEntry) // never blocks
-	end   func()
-	done  <-chan struct{} // closed when the session is over
+	peerID       fleet.InstanceID
+	firstMessage *pb.FromEntry       // as sent
+	send         func(*pb.FromEntry) // never blocks
+	end          func()
+	done         <-chan struct{} // closed when the session has ended
 
-	opened     time.Time
-	handedOver atomic.Bool  // the other side ended the session in order: it has another dispatcher now
-	silent     atomic.Bool  // the session was given up because nothing was heard
-	heard      atomic.Int64 // when bytes came last, in ns since opened; 0: none came yet
-	duty       atomic.Int32 // the last pb.ToEntry_Duty that was told
+	openedAt     time.Time
+	handedOver   atomic.Bool  // the other side closed the session in order: it has another dispatcher now
+	timedOut     atomic.Bool  // the session ended because nothing arrived in time
+	lastReceived atomic.Int64 // when bytes last arrived, in ns since openedAt; 0: none yet
+	duty         atomic.Int32 // the last pb.ToEntry_Duty that arrived
 }
 
-// fresh tells whether the dispatcher was heard of so lately that it lives.
-func (s *session) fresh() bool { return s.quiet() < beat+beat/2 }
+// isLive reports whether bytes arrived recently enough that the dispatcher counts as alive.
+func (s *session) isLive() bool { return s.idleTime() < heartbeatInterval+heartbeatInterval/2 }
 
-// hears takes that bytes came from the dispatcher. A long copy for hundreds of instances fills its link for longer than
-// a silence may last, and beats wait behind it: whoever gets a part of it is not cut off.
-func (s *session) hears() { s.heard.Store(int64(time.Since(s.opened))) }
+// recordReceived records that bytes arrived. Those of an incomplete message count as well: a long copy for hundreds
+// of instances fills the dispatcher's link for longer than sessionTimeout, and heartbeats wait behind it.
+func (s *session) recordReceived() { s.lastReceived.Store(int64(time.Since(s.openedAt))) }
 
-// quiet is for how long nothing was heard.
-func (s *session) quiet() time.Duration { return time.Since(s.opened) - time.Duration(s.heard.Load()) }
+// idleTime returns how long ago bytes last arrived.
+func (s *session) idleTime() time.Duration {
+	return time.Since(s.openedAt) - time.Duration(s.lastReceived.Load())
+}
 
-// endSilent ends the session once nothing was heard for too long: first within limit, then within each silence. That is
-// the only sign of a connection that something between the ends has lost track of.
-func (s *session) endSilent(limit time.Duration, stop func()) {
+// endOnTimeout ends the session if nothing arrives within limit, and later if nothing arrives for sessionTimeout.
+// Only a timeout reveals a connection whose state was lost between the two ends.
+func (s *session) endOnTimeout(limit time.Duration, stop func()) {
 	time.AfterFunc(limit, func() {
-		left := silence - s.quiet()
+		remaining := sessionTimeout - s.idleTime()
 		switch {
-		case s.over():
-		case s.heard.Load() > 0 && left > 0:
-			s.endSilent(left, stop)
+		case s.isDone():
+		case s.lastReceived.Load() > 0 && remaining > 0:
+			s.endOnTimeout(remaining, stop)
 		default:
-			s.silent.Store(true)
+			s.timedOut.Store(true)
 			stop()
 		}
 	})
 }
 
-func (s *session) over() bool {
+func (s *session) isDone() bool {
 	select {
 	case <-s.done:
 		return true
@@ -230,29 +235,29 @@
 	}
 }
 
-// dialSession attaches to another instance; first is sent first.
-func (c *Client) dialSession(ctx context.Context, to *catalog.Member, first func() *pb.FromEntry) (*session, error) {
-	dialing, cancelDial := context.WithTimeout(ctx, connectTimeout)
+// dialSession attaches to another instance, and sends the result of firstMessage first.
+func (c *Client) dialSession(ctx context.Context, member *catalog.Member, firstMessage func() *pb.FromEntry) (*session, error) {
+	dialCtx, cancelDial := context.WithTimeout(ctx, connectTimeout)
 	defer cancelDial()
-	opened := &session{with: to.ID, opened: time.Now()}
-	conn, err := peer.DialHeard(dialing, to.Addr, opened.hears)
+	s := &session{peerID: member.ID, openedAt: time.Now()}
+	conn, err := peer.DialHeard(dialCtx, member.Addr, s.recordReceived)
 	if err != nil {
 		return nil, err
 	}
-	life, cancel := context.WithCancel(ctx)
+	sessionCtx, cancel := context.WithCancel(ctx)
 	stop := func() {
 		cancel()
 		_ = conn.Close()
 	}
-	stream, err := pb.NewDRPCPlacementClient(conn).Attach(life)
+	stream, err := pb.NewDRPCPlacementClient(conn).Attach(sessionCtx)
 	if err != nil {
 		stop()
 		return nil, err
 	}
-	opened.end, opened.done = stop, life.Done()
-	opened.endSilent(attachTimeout, stop)
-	opened.first = first()
-	if err := stream.Send(opened.first); err != nil {
+	s.end, s.done = stop, sessionCtx.Done()
+	s.endOnTimeout(attachTimeout, stop)
+	s.firstMessage = firstMessage()
+	if err := stream.Send(s.firstMessage); err != nil {
 		stop()
 		return nil, err
 	}
@@ -262,33 +267,33 @@
 		return nil, err
 	}
 	out := newOutbox[*pb.FromEntry]()
-	opened.tell = func(m *pb.FromEntry) {
+	s.send = func(m *pb.FromEntry) {
 		if !out.put(m) {
 			stop()
 		}
 	}
-	go c.sayAlive(life, opened)
+	go c.sendHeartbeats(sessionCtx, s)
 	go func() {
 		defer stop()
 		for ; err == nil; m, err = stream.Recv() {
-			c.gotOver(opened, m)
+			c.receiveFrom(s, m)
 		}
-		opened.handedOver.Store(errors.Is(err, io.EOF))
+		s.handedOver.Store(errors.Is(err, io.EOF))
 	}()
 	go func() {
 		defer stop()
-		for items := out.take(life); items != nil; items = out.take(life) {
-			if err := stream.Send(mergeFrom(items)); err != nil {
+		for items := out.takeAll(sessionCtx); items != nil; items = out.takeAll(sessionCtx) {
+			if err := stream.Send(mergeFromEntry(items)); err != nil {
 				return
 			}
 		}
 	}()
-	return opened, nil
+	return s, nil
 }
 
-// mergeFrom makes one message of several. An ask may follow the end of the same request's last use, and the
-// parts of a message take effect in the order of its fields, so that the order is kept.
-func mergeFrom(items []*pb.FromEntry) *pb.FromEntry {
+// mergeFromEntry merges several messages into one. A placement request may follow the end of the same request's last
+// use of a place. Merging keeps that order, because the parts of a message take effect in the order of its fields.
+func mergeFromEntry(items []*pb.FromEntry) *pb.FromEntry {
 	all := items[0]
 	for _, m := range items[1:] {
 		all.Running = append(all.Running, m.Running...)
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// packFrom is the length in bytes of a change's values from which they are sent packed: a configuration of
+	// packThreshold is the length in bytes of a change's values from which they are sent packed. A configuration of
 	// many routes, or a long list of upstreams, goes to every instance, and the links of small ones are narrow.
-	packFrom = 2 << 10
-	// differFrom is the length in bytes of a value from which its new version is sent as a difference.
-	differFrom = 8 << 10
-	// maxUnpacked bounds what a change may unpack to: some tens of thousands of entries.
+	packThreshold = 2 << 10
+	// diffThreshold is the length in bytes of a value from which its new version is sent as a difference.
+	diffThreshold = 8 << 10
+	// maxUnpacked bounds, in bytes, what a change may unpack to: some tens of thousands of entries.
 	maxUnpacked = 64 << 20
 )
 
@@ -28,11 +28,11 @@
 	for i, o := range c.Objects {
 		objects[i] = &pb.Object{Name: o.Name, Version: o.Version, Value: o.Value}
 	}
-	return messageOf(c, objects)
+	return newChangeMessage(c, objects)
 }
 
-// messageOf gives a change's message with objects as they are sent.
-func messageOf(c watch.Change, objects []*pb.Object) (*pb.Change, error) {
+// newChangeMessage returns the message of a change with the given objects, which it packs if they are long.
+func newChangeMessage(c watch.Change, objects []*pb.Object) (*pb.Change, error) {
 	m := &pb.Change{Kind: c.Kind, Whole: c.Whole, From: c.From, To: c.To, Deleted: c.Deleted, Lapsing: c.Lapsing, Objects: objects}
 	for _, span := range c.Without {
 		m.Without = append(m.Without, &pb.Span{After: span.After, Through: span.Through})
@@ -41,7 +41,7 @@
 	for _, o := range objects {
 		length += len(o.Value)
 	}
-	if length < packFrom {
+	if length < packThreshold {
 		return m, nil
 	}
 	raw, err := proto.Marshal(&pb.Objects{Objects: m.Objects})
@@ -55,17 +55,18 @@
 	return m, nil
 }
 
-// lastSent are the long objects as they were told to all last, by kind and name. A new version goes out as the difference
-// from that: a configuration of a thousand routes, told whole to hundreds of instances, fills the dispatcher's link for a
-// third of a second, and places wait behind it. It is not safe for concurrent use.
-type lastSent map[string]wire.Object
+// sentObjects holds the long objects as last broadcast, by kind and name. A new version is sent as the difference
+// from the last one: a configuration of a thousand routes, sent in full to hundreds of instances, fills the
+// dispatcher's link for a third of a second, and places wait behind it. It is not safe for concurrent use.
+type sentObjects map[string]wire.Object
 
-// changeMessage gives a change's message, and takes it as sent.
-func (l lastSent) changeMessage(c watch.Change) (*pb.Change, error) {
+// changeMessage encodes a change, with long objects as differences where these are short, and records the long
+// objects as sent.
+func (l sentObjects) changeMessage(c watch.Change) (*pb.Change, error) {
 	objects := make([]*pb.Object, len(c.Objects))
 	for i, o := range c.Objects {
 		objects[i] = &pb.Object{Name: o.Name, Version: o.Version, Value: o.Value}
-		if len(o.Value) < differFrom {
+		if len(o.Value) < diffThreshold {
 			continue
 		}
 		key := c.Kind + "/" + o.Name
@@ -82,14 +83,14 @@
 			objects[i].Value, objects[i].Base = difference, base.Version
 		}
 	}
-	return messageOf(c, objects)
+	return newChangeMessage(c, objects)
 }
 
-// errOtherBase: an object came as a difference from a version that isn't held here.
-var errOtherBase = errors.New("comes as a difference from another version than the one here")
+// errBaseMismatch reports an object that arrived as a difference from a version that isn't held here.
+var errBaseMismatch = errors.New("comes as a difference from another version than the one here")
 
-// readChange reads a change; held gives what the copy here holds, for objects that come as differences.
-func readChange(m *pb.Change, held func(kind, name string) (wire.Object, bool)) (watch.Change, error) {
+// decodeChange decodes a change. lookup returns the object held here, for objects that arrive as differences.
+func decodeChange(m *pb.Change, lookup func(kind, name string) (wire.Object, bool)) (watch.Change, error) {
 	c := watch.Change{Kind: m.Kind, Whole: m.Whole, From: m.From, To: m.To, Deleted: m.Deleted, Lapsing: m.Lapsing}
 	for _, span := range m.Without {
 		c.Without = append(c.Without, watch.Span{After: span.After, Through: span.Through})
@@ -107,7 +108,7 @@
 		all = objects.Objects
 	}
 	for _, o := range all {
-		value, err := valueOf(m.Kind, o, held)
+		value, err := decodeValue(m.Kind, o, lookup)
 		if err != nil {
 			return c, fmt.Errorf("%s %q: %w", m.Kind, o.Name, err)
 		}
@@ -116,27 +117,27 @@
 	return c, nil
 }
 
-// valueOf gives an object's value, from the one held here where it came as a difference.
-func valueOf(kind string, o *pb.Object, held func(kind, name string) (wire.Object, bool)) ([]byte, error) {
+// decodeValue returns an object's value, which it computes from the one held here if a difference arrived.
+func decodeValue(kind string, o *pb.Object, lookup func(kind, name string) (wire.Object, bool)) ([]byte, error) {
 	if o.Base == 0 {
 		return o.Value, nil
 	}
-	base, ok := held(kind, o.Name)
+	base, ok := lookup(kind, o.Name)
 	switch {
 	case ok && base.Version == o.Version:
-		return base.Value, nil // it came on another way
+		return base.Value, nil // this version already arrived by another path
 	case !ok || base.Version != o.Base:
-		return nil, fmt.Errorf("%w: %d, and %d is held", errOtherBase, o.Base, base.Version)
+		return nil, fmt.Errorf("%w: base %d, held %d", errBaseMismatch, o.Base, base.Version)
 	}
 	return packed.Patch(base.Value, o.Value, maxUnpacked)
 }
 
-// wholes keeps the last message of each kind's whole copy: many instances that attach at one time are sent
-// the same bytes. It is not safe for concurrent use.
-type wholes map[string]*pb.Change
+// fullCopyCache keeps the last full-copy message of each kind, so that many instances that attach at one time are
+// sent the same bytes. It is not safe for concurrent use.
+type fullCopyCache map[string]*pb.Change
 
-// of gives the message of a whole copy.
-func (w wholes) of(c watch.Change) (*pb.Change, error) {
+// message returns the message of a full copy.
+func (w fullCopyCache) message(c watch.Change) (*pb.Change, error) {
 	if m := w[c.Kind]; m != nil && m.From == c.From {
 		return m, nil
 	}
@@ -158,15 +159,15 @@
 	return out
 }
 
-func readProof(m *pb.Proof) watch.Proof {
+func decodeProof(m *pb.Proof) watch.Proof {
 	return watch.Proof{
 		Kind: m.Kind, Known: m.Known, Revision: m.Revision, Latest: m.Latest, Age: ms(m.AgeMs), Failing: ms(m.FailingMs),
 	}
 }
 
-// knowsAll tells whether every kind that another instance's copies hold is known here. Members don't count: an
-// instance that has just started lists them anew for half a second, and a dispatcher needs them for nothing.
-func knowsAll(own []watch.Proof, theirs []*pb.Proof) bool {
+// hasAllKinds reports whether every kind that another instance knows is known here. Members don't count: an instance
+// that has just started lists them anew for half a second, and a dispatcher doesn't need them.
+func hasAllKinds(own []watch.Proof, theirs []*pb.Proof) bool {
 	known := map[string]bool{}
 	for _, p := range own {
 		known[p.Kind] = p.Known
@@ -176,12 +177,13 @@
 	})
 }
 
-// takeState takes what another instance tells of its copies, and gives the kinds that are needed whole.
-func takeState(f *watch.Follower, changes []*pb.Change, proofs []*pb.Proof) (needed []string, err error) {
+// applyState applies the changes and proofs that another instance sends. It returns the kinds that are needed in
+// full.
+func applyState(f *watch.Follower, changes []*pb.Change, proofs []*pb.Proof) (needed []string, err error) {
 	for _, m := range changes {
-		c, e := readChange(m, f.Object)
+		c, e := decodeChange(m, f.Object)
 		if e != nil {
-			if !errors.Is(e, errOtherBase) { // it is asked for whole
+			if !errors.Is(e, errBaseMismatch) { // a full copy is requested
 				err = e
 			}
 			needed = append(needed, m.Kind)
@@ -192,22 +194,22 @@
 		}
 	}
 	for _, m := range proofs {
-		if f.Prove(readProof(m)) {
+		if f.Prove(decodeProof(m)) {
 			needed = append(needed, m.Kind)
 		}
 	}
 	return needed, err
 }
 
-// newer gives all of the kinds of which the sender of the proofs lacks something.
-func newer(f *watch.Follower, sent wholes, theirs []*pb.Proof) ([]*pb.Change, error) {
+// newerCopies returns full copies of the kinds of which the sender of the proofs lacks changes.
+func newerCopies(f *watch.Follower, sent fullCopyCache, theirs []*pb.Proof) ([]*pb.Change, error) {
 	var out []*pb.Change
-	for _, theirs := range theirs {
-		c, ok := f.Whole(theirs.Kind)
-		if !ok || (theirs.Known && theirs.Revision >= c.From) {
+	for _, proof := range theirs {
+		c, ok := f.Whole(proof.Kind)
+		if !ok || (proof.Known && proof.Revision >= c.From) {
 			continue
 		}
-		m, err := sent.of(c)
+		m, err := sent.message(c)
 		if err != nil {
 			return out, err
 		}
--- a/internal/placement/state_test.go
+++ b/internal/placement/state_test.go
@@ -15,7 +15,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/watch"
 )
 
-func entries(n int) watch.Change {
+func upstreamEntries(n int) watch.Change {
 	c := watch.Change{Kind: "u", Whole: true, From: 9, To: 9}
 	for i := range n {
 		c.Objects = append(c.Objects, wire.Object{Kind: "u", Name: fmt.Sprint("upstream-", i), Version: 9,
@@ -24,59 +24,62 @@
 	return c
 }
 
-// The dispatcher's link is full for minutes at three hundred instances: each that attaches is sent a megabyte
-// of entries, packed anew. A long copy goes out packed, and the same bytes to all.
-func TestALongCopyIsPackedOnce(t *testing.T) {
+// Guards against the dispatcher's link being full for minutes at three hundred instances, when each that attaches is
+// sent a megabyte of entries, packed anew. A long copy is packed once, and the same bytes go to all.
+func TestFullCopyIsPackedOnce(t *testing.T) {
 	is := is.New(t)
-	c := entries(3000)
-	w := wholes{}
-	first, err := w.of(c)
+	c := upstreamEntries(3000)
+	w := fullCopyCache{}
+	first, err := w.message(c)
 	is.NoErr(err)
 	is.True(len(first.Packed) > 0 && len(first.Packed) < 150_000)
-	second, err := w.of(c)
+	second, err := w.message(c)
 	is.NoErr(err)
 	is.True(first == second)
-	back, err := readChange(first, nil)
+	back, err := decodeChange(first, nil)
 	is.NoErr(err)
 	is.Equal(back, c)
 	c.From = 10
-	third, err := w.of(c)
+	third, err := w.message(c)
 	is.NoErr(err)
 	is.True(third != first)
 }
 
-// Beats show ten times a second that a copy is missing while it is on its way; it is asked for once.
-func TestAMissingCopyIsAskedForOnce(t *testing.T) {
+// Guards against repeated requests for a copy in transit, since heartbeats show ten times a second that it is
+// missing.
+func TestMissingCopyIsRequestedOnce(t *testing.T) {
 	is := is.New(t)
-	c := &Client{lacked: map[string]time.Time{}}
-	is.Equal(c.unasked([]string{"u", "c"}), []string{"u", "c"})
-	is.Equal(len(c.unasked([]string{"u", "c"})), 0)
-	c.lacked["u"] = time.Now().Add(-2 * askAgain)
-	is.Equal(c.unasked([]string{"u", "c"}), []string{"u"})
+	c := &Client{requestedAt: map[string]time.Time{}}
+	is.Equal(c.notYetRequested([]string{"u", "c"}), []string{"u", "c"})
+	is.Equal(len(c.notYetRequested([]string{"u", "c"})), 0)
+	c.requestedAt["u"] = time.Now().Add(-2 * fullCopyTimeout)
+	is.Equal(c.notYetRequested([]string{"u", "c"}), []string{"u"})
 }
 
-// Bytes that are no packed copy are refused, and the copy here stays.
-func TestASpoiledCopyIsRefused(t *testing.T) {
+// Guards against corrupt packed bytes being applied to the copy here.
+func TestCorruptCopyIsRejected(t *testing.T) {
 	is := is.New(t)
-	m, err := changeMessage(entries(100))
+	m, err := changeMessage(upstreamEntries(100))
 	is.NoErr(err)
 	m.Packed[len(m.Packed)/2] ^= 0xff
-	_, err = readChange(m, nil)
+	_, err = decodeChange(m, nil)
 	is.True(err != nil)
 }
 
-// An instance that has just started lists the members anew for half a second. That must not keep it from being
-// the dispatcher: it is the first in the order, and meanwhile it dispatches for itself, beside another one.
-func TestMembersDontDecideWhoKnowsLess(t *testing.T) {
+// Guards against two dispatchers while an instance that has just started lists the members for half a second. Missing
+// members must not keep it from being the dispatcher: it is the first in dispatcher order, and meanwhile it
+// dispatches for itself.
+func TestMissingMembersDoNotMakeStateIncomplete(t *testing.T) {
 	is := is.New(t)
 	theirs := []*pb.Proof{{Kind: watch.KindMembers, Known: true}, {Kind: "u", Known: true}, {Kind: "c"}}
-	is.True(knowsAll([]watch.Proof{{Kind: "u", Known: true}}, theirs))
-	is.True(!knowsAll([]watch.Proof{{Kind: "u"}, {Kind: watch.KindMembers, Known: true}}, theirs))
+	is.True(hasAllKinds([]watch.Proof{{Kind: "u", Known: true}}, theirs))
+	is.True(!hasAllKinds([]watch.Proof{{Kind: "u"}, {Kind: watch.KindMembers, Known: true}}, theirs))
 }
 
-// A configuration of a thousand routes goes whole to hundreds of instances with each change, and fills the dispatcher's
-// link: the second goes out as the difference from the first. Who holds another version asks for all of the kind.
-func TestALongObjectsNextVersionIsADifference(t *testing.T) {
+// Guards against the dispatcher's link being full after each change of a configuration of a thousand routes, sent in
+// full to hundreds of instances. The next version is sent as a difference, and an instance that holds another version
+// requests a full copy.
+func TestLargeObjectIsSentAsDifference(t *testing.T) {
 	is := is.New(t)
 	value := func(timeout int) []byte {
 		var b []byte
@@ -90,7 +93,7 @@
 			{Kind: "c", Name: "main", Version: version, Value: value(timeout)},
 		}}
 	}
-	sent := lastSent{}
+	sent := sentObjects{}
 	first, err := sent.changeMessage(change(2, 1000))
 	is.NoErr(err)
 	second, err := sent.changeMessage(change(3, 2500))
@@ -98,18 +101,18 @@
 	is.True(proto.Size(second) < proto.Size(first)/10)
 
 	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: hclog.NewNullLogger()})
-	needed, err := takeState(f, []*pb.Change{second}, nil)
+	needed, err := applyState(f, []*pb.Change{second}, nil)
 	is.NoErr(err)
 	is.Equal(needed, []string{"c"}) // nothing is held yet
 	f.Offer(watch.Change{Kind: "c", Whole: true, To: 1})
-	needed, err = takeState(f, []*pb.Change{first, second}, nil)
+	needed, err = applyState(f, []*pb.Change{first, second}, nil)
 	is.NoErr(err)
 	is.Equal(len(needed), 0)
 	o, ok := f.Object("c", "main")
 	is.True(ok)
 	is.Equal(o.Version, uint64(3))
 	is.True(bytes.Equal(o.Value, value(2500)))
-	needed, err = takeState(f, []*pb.Change{second}, nil)
+	needed, err = applyState(f, []*pb.Change{second}, nil)
 	is.NoErr(err)
-	is.Equal(len(needed), 0) // it came twice
+	is.Equal(len(needed), 0) // a repeated difference
 }
--- a/internal/placement/step.go
+++ b/internal/placement/step.go
@@ -12,12 +12,13 @@
 	"github.com/damaskshelf/damaskshelf/internal/wait"
 )
 
-// settled tells whether the other instances' work is known, or as much of it as will come; mu is held.
+// settled reports whether the in-flight work of the other instances is known, or as much of it as will arrive; mu is
+// held.
 func (h *hub) settled(now decide.Instant) bool {
-	return now.Sub(h.opened) >= settleTime || len(h.entries) >= len(h.snapshot().Members)
+	return now.Sub(h.firstAttached) >= settleTime || len(h.sinks) >= len(h.snapshot().Members)
 }
 
-// step sends out what can be decided now; mu is held.
+// step makes the decisions that are due, and sends them; mu is held.
 func (h *hub) step(now decide.Instant) {
 	if !h.settled(now) {
 		return
@@ -33,18 +34,18 @@
 				m = &pb.ToEntry{}
 				out[d.Job.Entry] = m
 			}
-			add(m, d)
+			addDecision(m, d)
 		}
 		h.logStall(now, name, st)
 	}
-	for entry, m := range out {
-		if s := h.entries[entry]; s != nil {
+	for instance, m := range out {
+		if s := h.sinks[instance]; s != nil {
 			s.send(m)
 		}
 	}
 }
 
-// logRefusal writes the line of a refusal with what decided it; places are logged where they are used.
+// logRefusal logs a refusal with the values that led to it. Places are logged where they are used.
 func (h *hub) logRefusal(now decide.Instant, st *dispatch.State, d dispatch.Decision) {
 	if d.Upstream != "" {
 		return
@@ -57,12 +58,12 @@
 		"fleet_revision", h.fleetRevision(), "retry_after_ms", d.RetryAfter.Milliseconds())
 }
 
-// stallLogEvery bounds the lines of stalls.
-const stallLogEvery = time.Second
+// stallLogInterval is the minimum time between two log lines on stalls.
+const stallLogInterval = time.Second
 
-// logStall writes a line while work waits beside idle upstreams, with what is believed of them; mu is held.
+// logStall logs that work waits while upstreams are idle, with what is known of those upstreams; mu is held.
 func (h *hub) logStall(now decide.Instant, service catalog.ServiceName, st *dispatch.State) {
-	if now.Sub(h.stallLogged) < stallLogEvery {
+	if now.Sub(h.stallLogged) < stallLogInterval {
 		return
 	}
 	stall, stalled := st.Stalled(now)
@@ -70,19 +71,19 @@
 		return
 	}
 	h.stallLogged = now
-	h.log.Warn("work waits beside idle upstreams", "service", service, "for_ms", stall.For.Milliseconds(), "waiting", stall.Waiting,
+	h.log.Warn("requests wait while upstreams are idle", "service", service, "for_ms", stall.For.Milliseconds(), "waiting", stall.Waiting,
 		"idle", stall.Idle, "paused", stall.Paused, "full", stall.Full, "cold", stall.Cold, "limited", stall.Limited, "unreached", stall.Unreached,
 		"cut", stall.Cut, "fleet_revision", h.fleetRevision())
 }
 
 func (h *hub) fleetRevision() uint64 {
-	if h.seen == nil {
+	if h.lastSnapshot == nil {
 		return 0
 	}
-	return h.seen.FleetVersion
+	return h.lastSnapshot.FleetVersion
 }
 
-func add(m *pb.ToEntry, d dispatch.Decision) {
+func addDecision(m *pb.ToEntry, d dispatch.Decision) {
 	if d.Upstream == "" {
 		m.Refusals = append(m.Refusals, &pb.Refusal{
 			Id: string(d.Job.ID), Reason: string(d.Reason), RetryAfterMs: d.RetryAfter.Milliseconds(),
@@ -90,7 +91,7 @@
 		return
 	}
 	p := &pb.Place{
-		Id: string(d.Job.ID), Upstream: string(d.Upstream), Helpers: names(d.Helpers), Reason: string(d.Reason),
+		Id: string(d.Job.ID), Upstream: string(d.Upstream), Helpers: idStrings(d.Helpers), Reason: string(d.Reason),
 		OverdueMs: d.Overdue.Milliseconds(),
 	}
 	for _, h := range d.Holders {
@@ -99,7 +100,7 @@
 	m.Places = append(m.Places, p)
 }
 
-func holdingsOf(all []*pb.Holding) []dispatch.Holding {
+func decodeHoldings(all []*pb.Holding) []dispatch.Holding {
 	out := make([]dispatch.Holding, len(all))
 	for i, m := range all {
 		out[i] = dispatch.Holding{Upstream: fleet.UpstreamID(m.Upstream), Tokens: int(m.Tokens)}
@@ -107,35 +108,36 @@
 	return out
 }
 
-// run looks at waiting jobs whenever something has changed, and has beats sent, until ctx ends.
-func (h *hub) run(ctx context.Context, beats func()) {
-	lastBeat := time.Now()
+// run makes decisions whenever something has changed or a step is due, and calls sendProofs with each heartbeat,
+// until ctx ends.
+func (h *hub) run(ctx context.Context, sendProofs func()) {
+	lastHeartbeat := time.Now()
 	for ctx.Err() == nil {
-		h.sleep(ctx)
+		h.waitForWork(ctx)
 		h.mu.Lock()
 		now := h.now()
 		h.refresh(now)
 		h.step(now)
-		attached, took := len(h.entries), h.stepTook
+		attached, took := len(h.sinks), h.stepTook
 		h.mu.Unlock()
-		if attached > 0 && time.Since(lastBeat) >= beat {
-			lastBeat = time.Now()
+		if attached > 0 && time.Since(lastHeartbeat) >= heartbeatInterval {
+			lastHeartbeat = time.Now()
 			h.mu.Lock()
 			h.chooseReaders()
 			h.mu.Unlock()
-			beats()
+			sendProofs()
 		}
-		// A step that takes long, as with thousands of engines under overload, must leave time for the messages
-		// that it decides about: steps take a third of the processor at most.
-		if took > longStep {
+		// A step that takes long, as with thousands of engines under overload, must leave time for the messages that
+		// it decides about: steps take a third of the processor at most.
+		if took > longStepTime {
 			wait.For(ctx, 2*took)
 		}
 	}
 }
 
-// sleep waits until something has changed or jobs must be looked at anyway.
-func (h *hub) sleep(ctx context.Context) {
-	t := time.NewTimer(h.pause())
+// waitForWork waits until something has changed or the next step is due.
+func (h *hub) waitForWork(ctx context.Context) {
+	t := time.NewTimer(h.maxIdleWait())
 	defer t.Stop()
 	select {
 	case <-h.dirty:
@@ -144,14 +146,14 @@
 	}
 }
 
-// pause is how long nothing needs to be looked at.
-func (h *hub) pause() time.Duration {
+// maxIdleWait returns how long run may wait for a change.
+func (h *hub) maxIdleWait() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, st := range h.services {
 		if st.Waiting() > 0 {
-			return tick
+			return stepInterval
 		}
 	}
-	return beat
+	return heartbeatInterval
 }
