--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -156,7 +156,7 @@
 				version++
 				l.Version = version
 				k.SetInstances(l)
-				n.List(0, version, all)
+				n.UpdateInstances(0, version, all)
 			}
 		})
 	}
@@ -168,17 +168,17 @@
 	all := s.instances()
 	n := relay.NewNode(0, relay.NewParams(all[0], 1, 500*time.Millisecond, rand.New(rand.NewPCG(1, 1))))
 	now := decide.Instant(0)
-	answer(n, now, n.List(now, 1, all))
-	answer(n, now, n.Accepted(now, relay.Config{Version: 1, Packed: []byte{1}}))
+	answer(n, now, n.UpdateInstances(now, 1, all))
+	answer(n, now, n.ConfigAccepted(now, relay.Config{Version: 1, Packed: []byte{1}}))
 	peers := n.Members().Peers()
 	return func() {
 		for range 10 {
-			now = now.Add(relay.TickEvery)
+			now = now.Add(relay.TickInterval)
 			answer(n, now, n.Tick(now))
 		}
 		for i := range 12 {
 			p := peers[i%len(peers)]
-			n.Heartbeat(now, relay.Digest{Instance: p.ID, Incarnation: 1, ConfigVersion: 1, ListVersion: 1})
+			n.HeartbeatReceived(now, relay.Digest{Instance: p.ID, Incarnation: 1, ConfigVersion: 1, ListVersion: 1})
 		}
 	}
 }
@@ -309,7 +309,7 @@
 		before = heap()
 		all := s.instances()
 		n := relay.NewNode(0, relay.NewParams(all[0], 1, 500*time.Millisecond, rand.New(rand.NewPCG(1, 1))))
-		n.List(0, 1, all)
+		n.UpdateInstances(0, 1, all)
 		node := heap() - before
 		t.Logf("%s: view %d KB, node %d KB", s, view>>10, node>>10)
 		if view > 16<<20 || node > 1<<20 {
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -21,17 +21,17 @@
 
 // Reasons of a lease's steps.
 const (
-	Holds     decide.Reason = "lease_held"
-	Renews    decide.Reason = "lease_renewed"
-	Unread    decide.Reason = "lease_not_read"
-	Acquires  decide.Reason = "lease_free"
-	WaitsOut  decide.Reason = "lease_of_another"
-	TakesOver decide.Reason = "lease_waited_out"
-	Lapsed    decide.Reason = "lease_lapsed"
+	Held        decide.Reason = "lease_held"
+	Renewing    decide.Reason = "lease_renewed"
+	NotRead     decide.Reason = "lease_not_read"
+	Acquiring   decide.Reason = "lease_free"
+	HeldByOther decide.Reason = "lease_of_another"
+	TakingOver  decide.Reason = "lease_waited_out"
+	Expired     decide.Reason = "lease_lapsed"
 )
 
 // Reasons lists every reason that Step returns.
-var Reasons = []decide.Reason{Holds, Renews, Unread, Acquires, WaitsOut, TakesOver, Lapsed}
+var Reasons = []decide.Reason{Held, Renewing, NotRead, Acquiring, HeldByOther, TakingOver, Expired}
 
 // Config is the same on all instances.
 type Config struct {
@@ -89,22 +89,22 @@
 		// that jumped. Whoever took over has another version, which the conditional update finds.
 		l.held = false
 		l.read = false
-		return Read, Lapsed
+		return Read, Expired
 	}
 	if !l.read || l.unasked {
-		return Read, Unread
+		return Read, NotRead
 	}
 	switch {
 	case l.held && now.Before(l.renew):
-		return None, Holds
+		return None, Held
 	case l.held:
-		return Write, Renews
+		return Write, Renewing
 	case l.holder == "" || l.holder == l.self:
-		return Write, Acquires
+		return Write, Acquiring
 	case now.Sub(l.seen) >= l.cfg.TTL:
-		return Write, TakesOver
+		return Write, TakingOver
 	default:
-		return Read, WaitsOut
+		return Read, HeldByOther
 	}
 }
 
@@ -148,11 +148,11 @@
 func (l *Lease) IfVersion() uint64 { return l.version }
 
 // Sending notes the moment just before a write is sent.
-func (l *Lease) Sending(now decide.Instant) { l.sent = now }
+func (l *Lease) BeginWrite(now decide.Instant) { l.sent = now }
 
 // Written notes that the write took effect, known at now. Earlier writes in doubt had none then, being
 // conditional on the same version.
-func (l *Lease) Written(version uint64, now decide.Instant) {
+func (l *Lease) WriteSucceeded(version uint64, now decide.Instant) {
 	first := l.version == 0
 	l.take(version, l.sent)
 	if first {
@@ -162,10 +162,10 @@
 }
 
 // Refused notes that the write was in conflict and had no effect.
-func (l *Lease) Refused() { l.held, l.read, l.unasked = false, false, false }
+func (l *Lease) WriteConflicted() { l.held, l.read, l.unasked = false, false, false }
 
 // Unknown notes that the write's answer was lost. A lease held before stays trusted until its old end.
-func (l *Lease) Unknown() {
+func (l *Lease) WriteUnknown() {
 	if !l.doubt {
 		l.since = l.sent
 	}
@@ -182,7 +182,7 @@
 func (l *Lease) Settled(now decide.Instant) bool { return l.held && !now.Before(l.settled) }
 
 // Renounce ends the holding on this side only. The next write gets a new fence.
-func (l *Lease) Renounce() { l.held = false }
+func (l *Lease) Abandon() { l.held = false }
 
 // Released notes that the lease was given back in that version.
 func (l *Lease) Released(version uint64, now decide.Instant) {
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -96,7 +96,7 @@
 		}
 		p.lease.Observe(o.holder, o.version, p.now(a.now))
 	case lease.Write:
-		p.lease.Sending(p.now(a.now))
+		p.lease.BeginWrite(p.now(a.now))
 		a.send(p)
 	}
 	if p.lease.Valid(p.now(a.now)) && !slices.Contains(p.fences, p.lease.Fence()) {
@@ -109,18 +109,18 @@
 	switch rapid.IntRange(0, 5).Draw(a.t, "fate") {
 	case 0: // takes effect, the answer is lost
 		a.write(ifVersion, p.name)
-		p.lease.Unknown()
+		p.lease.WriteUnknown()
 	case 1: // arrives later, no answer
 		delay := time.Duration(rapid.IntRange(1, 25).Draw(a.t, "delay")) * time.Second
 		a.flying = append(a.flying, late{at: a.now.Add(delay), ifVersion: ifVersion, holder: p.name})
-		p.lease.Unknown()
+		p.lease.WriteUnknown()
 	case 2: // never arrives
-		p.lease.Unknown()
+		p.lease.WriteUnknown()
 	default:
 		if a.write(ifVersion, p.name) {
-			p.lease.Written(a.object.version, p.now(a.now))
+			p.lease.WriteSucceeded(a.object.version, p.now(a.now))
 		} else {
-			p.lease.Refused()
+			p.lease.WriteConflicted()
 		}
 	}
 }
@@ -179,18 +179,18 @@
 	l.Observe("", 0, 0)
 	effect, reason := l.Step(0)
 	is.Equal(effect, lease.Write)
-	is.Equal(reason, lease.Acquires)
-	l.Sending(0)
-	l.Written(7, 0)
+	is.Equal(reason, lease.Acquiring)
+	l.BeginWrite(0)
+	l.WriteSucceeded(7, 0)
 	is.True(l.Valid(0))
 	is.True(l.Settled(0)) // nobody held it before
 	woke := decide.Instant(time.Minute)
 	is.True(!l.Valid(woke))
 	_, reason = l.Step(woke)
-	is.Equal(reason, lease.Lapsed)
+	is.Equal(reason, lease.Expired)
 	l.Observe("a", 7, woke)
-	l.Sending(woke)
-	l.Written(9, woke)
+	l.BeginWrite(woke)
+	l.WriteSucceeded(9, woke)
 	is.Equal(l.Fence(), uint64(9))
 	is.True(!l.Settled(woke)) // its own orders from before the pause may still be on their way
 	is.True(l.Settled(woke.Add(cfg.OrderDelay)))
@@ -201,25 +201,25 @@
 	is := is.New(t)
 	a, b := lease.New(cfg, "a"), lease.New(cfg, "b")
 	a.Observe("", 0, 0)
-	a.Sending(0)
-	a.Written(1, 0)
+	a.BeginWrite(0)
+	a.WriteSucceeded(1, 0)
 	b.Observe("a", 1, decide.Instant(time.Second))
 	effect, reason := b.Step(decide.Instant(9 * time.Second))
 	is.Equal(effect, lease.Read)
-	is.Equal(reason, lease.WaitsOut)
+	is.Equal(reason, lease.HeldByOther)
 	at := decide.Instant(4 * time.Second)
 	effect, reason = a.Step(at)
 	is.Equal(effect, lease.Write)
-	is.Equal(reason, lease.Renews)
-	a.Sending(at)
-	a.Written(2, at)
+	is.Equal(reason, lease.Renewing)
+	a.BeginWrite(at)
+	a.WriteSucceeded(2, at)
 	is.Equal(a.Fence(), uint64(1))
 	is.True(a.Valid(decide.Instant(12 * time.Second)))
 	effect, reason = b.Step(decide.Instant(11 * time.Second))
 	is.Equal(effect, lease.Write) // on what it knows it may take over; the condition refuses it
-	is.Equal(reason, lease.TakesOver)
-	b.Refused()
+	is.Equal(reason, lease.TakingOver)
+	b.WriteConflicted()
 	b.Observe("a", 2, decide.Instant(11*time.Second))
 	_, reason = b.Step(decide.Instant(20 * time.Second))
-	is.Equal(reason, lease.WaitsOut)
+	is.Equal(reason, lease.HeldByOther)
 }
--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -21,24 +21,24 @@
 	PeerUnreachable decide.Reason = "peer_unreachable"
 	PeerRestarted   decide.Reason = "peer_restarted" // same id, higher incarnation
 	PeerReplaced    decide.Reason = "peer_replaced"  // another instance answers at its address
-	LateAnswer      decide.Reason = "late_answer"    // of an earlier incarnation, or of no peer any more
+	LateReply       decide.Reason = "late_answer"    // of an earlier incarnation, or of no peer any more
 	Unchanged       decide.Reason = "unchanged"
-	ListTaken       decide.Reason = "list_taken"
-	ListOlder       decide.Reason = "list_older" // a lagging replica of the list
+	ListApplied     decide.Reason = "list_taken"
+	ListStale       decide.Reason = "list_older" // a lagging replica of the list
 )
 
 // Reasons lists every reason of this package.
 var Reasons = []decide.Reason{
-	PeerReachable, PeerUnreachable, PeerRestarted, PeerReplaced, LateAnswer, Unchanged, ListTaken, ListOlder,
+	PeerReachable, PeerUnreachable, PeerRestarted, PeerReplaced, LateReply, Unchanged, ListApplied, ListStale,
 }
 
 // Params are the constants of one instance's membership.
 type Params struct {
-	Self     fleet.Instance
-	Fanout   int           // rings, and so peers
-	Interval time.Duration // between heartbeats to one peer
-	Bound    time.Duration // how long knowledge is trusted after it was asked for
-	Slowest  time.Duration // longest interval to a peer that does not answer
+	Self          fleet.Instance
+	Fanout        int           // rings, and so peers
+	Interval      time.Duration // between heartbeats to one peer
+	TrustDuration time.Duration // how long knowledge is trusted after it was asked for
+	MaxInterval   time.Duration // longest interval to a peer that does not answer
 }
 
 // Defaults of Params.
@@ -46,7 +46,7 @@
 	DefaultFanout = 6
 	// DefaultBound keeps the promise that a leaving upstream gets no new work after two seconds, with half
 	// a second left for the news to reach the instances that this one heard last.
-	DefaultBound = 1500 * time.Millisecond
+	DefaultTrustDuration = 1500 * time.Millisecond
 	// intervalsPerBound heartbeats to each peer fit in the bound at least: with six peers, all of them have
 	// to be lost before a reachable instance thinks that it was cut off.
 	intervalsPerBound = 3
@@ -58,18 +58,18 @@
 // NewParams gives the defaults around a heartbeat interval, which is shortened to fit the bound.
 func NewParams(self fleet.Instance, interval time.Duration) Params {
 	return Params{
-		Self: self, Fanout: DefaultFanout, Interval: min(interval, DefaultBound/intervalsPerBound),
-		Bound: DefaultBound, Slowest: slowestPerBound * DefaultBound,
+		Self: self, Fanout: DefaultFanout, Interval: min(interval, DefaultTrustDuration/intervalsPerBound),
+		TrustDuration: DefaultTrustDuration, MaxInterval: slowestPerBound * DefaultTrustDuration,
 	}
 }
 
 // Peer is the state of one peer.
 type Peer struct {
 	fleet.Instance
-	Incarnation uint64 // 0: never heard
-	Reachable   bool
-	Version     uint64 // of the configuration that it had when it was last heard
-	SignsHash   uint64 // of the leaving signs that it held then
+	Incarnation   uint64 // 0: never heard
+	Reachable     bool
+	ConfigVersion uint64 // of the configuration that it had when it was last heard
+	SignsHash     uint64 // of the leaving signs that it held then
 
 	told     uint64         // highest version that it has heard of from here
 	misses   int            // heartbeats in a row without an answer
@@ -105,9 +105,9 @@
 func New(p Params) *Members { return &Members{params: p, quorumSince: never} }
 
 // List takes the instance list. A lower version than the last is a lagging read and changes nothing.
-func (m *Members) List(now decide.Instant, version uint64, instances []fleet.Instance) decide.Reason {
+func (m *Members) UpdateInstances(now decide.Instant, version uint64, instances []fleet.Instance) decide.Reason {
 	if version <= m.version {
-		return ListOlder
+		return ListStale
 	}
 	m.version = version
 	m.all = m.all[:0]
@@ -118,14 +118,14 @@
 	}
 	slices.SortFunc(m.all, func(a, b fleet.Instance) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	m.choose(now)
-	return ListTaken
+	return ListApplied
 }
 
 // choose takes the peers anew and keeps the state of those that stay.
 func (m *Members) choose(now decide.Instant) {
 	before := m.peers
 	m.peers, m.foreign = nil, false
-	for i, c := range Choose(m.params.Self, m.all, m.params.Fanout) {
+	for i, c := range ChoosePeers(m.params.Self, m.all, m.params.Fanout) {
 		p := find(before, c.ID)
 		if p == nil || p.PeerAddr != c.PeerAddr {
 			p = &Peer{next: now, interval: m.params.Interval}
@@ -173,7 +173,7 @@
 	var due []*Peer
 	for _, p := range m.peers {
 		late := !now.Before(p.next)
-		behind := p.Reachable && max(p.Version, p.told) < news
+		behind := p.Reachable && max(p.ConfigVersion, p.told) < news
 		switch {
 		case p.inFlight:
 			p.again = p.again || behind
@@ -198,7 +198,7 @@
 }
 
 // Hurry makes every peer due now, as after a pause or with a sign to spread.
-func (m *Members) Hurry(now decide.Instant) {
+func (m *Members) MakeAllDue(now decide.Instant) {
 	for _, p := range m.peers {
 		p.next = now
 		p.again = p.inFlight
@@ -206,26 +206,26 @@
 }
 
 // Heard is what an instance says of itself.
-type Heard struct {
-	From        fleet.InstanceID
-	Incarnation uint64
-	Version     uint64 // of its configuration
-	SignsHash   uint64 // of the leaving signs that it holds
+type Status struct {
+	From          fleet.InstanceID
+	Incarnation   uint64
+	ConfigVersion uint64 // of its configuration
+	SignsHash     uint64 // of the leaving signs that it holds
 }
 
 // Reply is a peer's answer to a heartbeat.
 type Reply struct {
-	Heard
-	To   fleet.InstanceID // whom the heartbeat was sent to
-	Told uint64           // version that the heartbeat carried
+	Status
+	To          fleet.InstanceID // whom the heartbeat was sent to
+	SentVersion uint64           // version that the heartbeat carried
 }
 
 // Answer takes a reply. It tells whether the reply counts: one of another instance, of an earlier
 // incarnation or of no peer any more does not.
-func (m *Members) Answer(now decide.Instant, r Reply) (decide.Reason, bool) {
+func (m *Members) ReplyReceived(now decide.Instant, r Reply) (decide.Reason, bool) {
 	p := find(m.peers, r.To)
 	if p == nil {
-		return LateAnswer, false
+		return LateReply, false
 	}
 	if r.From != r.To {
 		m.failed(now, p)
@@ -233,7 +233,7 @@
 	}
 	m.landed(now, p)
 	if r.Incarnation < p.Incarnation {
-		return LateAnswer, false
+		return LateReply, false
 	}
 	reason := Unchanged
 	switch {
@@ -243,18 +243,18 @@
 		reason = PeerReachable
 	}
 	if r.Incarnation > p.Incarnation {
-		p.Version, p.told = 0, 0
+		p.ConfigVersion, p.told = 0, 0
 	}
 	p.Incarnation, p.Reachable, p.misses, p.interval = r.Incarnation, true, 0, m.params.Interval
-	p.Version, p.told, p.SignsHash = max(p.Version, r.Version), max(p.told, r.Told), r.SignsHash
+	p.ConfigVersion, p.told, p.SignsHash = max(p.ConfigVersion, r.ConfigVersion), max(p.told, r.SentVersion), r.SignsHash
 	return reason, true
 }
 
 // Failed takes that the peer did not answer.
-func (m *Members) Failed(now decide.Instant, to fleet.InstanceID) decide.Reason {
+func (m *Members) HeartbeatFailed(now decide.Instant, to fleet.InstanceID) decide.Reason {
 	p := find(m.peers, to)
 	if p == nil {
-		return LateAnswer
+		return LateReply
 	}
 	was := p.Reachable
 	m.failed(now, p)
@@ -271,7 +271,7 @@
 		return
 	}
 	p.Reachable = false
-	p.interval = min(2*p.interval, m.params.Slowest)
+	p.interval = min(2*p.interval, m.params.MaxInterval)
 }
 
 // landed ends the heartbeat in flight; with news since it was sent, the next one is due at once.
@@ -284,7 +284,7 @@
 
 // Heard notes what a peer's own heartbeat says. It does not extend the trust in what is known here: the
 // message may have been long on its way.
-func (m *Members) Heard(now decide.Instant, h Heard) {
+func (m *Members) HeartbeatReceived(now decide.Instant, h Status) {
 	p := find(m.peers, h.From)
 	if p == nil {
 		m.called(now, h)
@@ -293,27 +293,27 @@
 	if h.Incarnation < p.Incarnation {
 		return
 	}
-	p.Version, p.SignsHash = max(p.Version, h.Version), h.SignsHash
+	p.ConfigVersion, p.SignsHash = max(p.ConfigVersion, h.ConfigVersion), h.SignsHash
 	if !p.Reachable {
 		p.next = now // it is back: no need to wait out the long interval
 	}
 }
 
 // called notes the version of an instance that is no peer.
-func (m *Members) called(now decide.Instant, h Heard) {
+func (m *Members) called(now decide.Instant, h Status) {
 	if _, listed := m.Find(h.From); !listed {
 		return
 	}
-	c := caller{id: h.From, version: h.Version, heard: now}
+	c := caller{id: h.From, version: h.ConfigVersion, heard: now}
 	m.callers = slices.DeleteFunc(m.callers, func(o caller) bool {
-		return o.id == c.id || now.Sub(o.heard) > m.params.Slowest
+		return o.id == c.id || now.Sub(o.heard) > m.params.MaxInterval
 	})
 	m.callers = append(m.callers, c)
 }
 
 // InForce tells how many of the instances that are heard here, this one aside, have a configuration
 // version in force: peers, whether they answer now or not, and instances that have lately sent a heartbeat.
-func (m *Members) InForce(now decide.Instant, version uint64) (have, of int) {
+func (m *Members) CountInForce(now decide.Instant, version uint64) (have, of int) {
 	count := func(v uint64) {
 		of++
 		if v >= version {
@@ -321,10 +321,10 @@
 		}
 	}
 	for _, p := range m.peers {
-		count(p.Version)
+		count(p.ConfigVersion)
 	}
 	for _, c := range m.callers {
-		if find(m.peers, c.id) == nil && now.Sub(c.heard) <= m.params.Slowest {
+		if find(m.peers, c.id) == nil && now.Sub(c.heard) <= m.params.MaxInterval {
 			count(c.version)
 		}
 	}
--- a/internal/decide/member/member_test.go
+++ b/internal/decide/member/member_test.go
@@ -35,7 +35,7 @@
 			callers := map[fleet.InstanceID]int{}
 			foreign := 0
 			for _, self := range all {
-				peers := member.Choose(self, all, member.DefaultFanout)
+				peers := member.ChoosePeers(self, all, member.DefaultFanout)
 				is.Equal(len(peers), member.DefaultFanout)
 				for _, p := range peers {
 					is.True(p.ID != self.ID)
@@ -66,8 +66,8 @@
 	without := append(append([]fleet.Instance(nil), all[:100]...), all[101:]...)
 	moved := 0
 	for _, self := range without {
-		before := member.Choose(self, all, member.DefaultFanout)
-		for _, p := range member.Choose(self, without, member.DefaultFanout) {
+		before := member.ChoosePeers(self, all, member.DefaultFanout)
+		for _, p := range member.ChoosePeers(self, without, member.DefaultFanout) {
 			kept := false
 			for _, b := range before {
 				kept = kept || b.ID == p.ID
@@ -84,7 +84,7 @@
 func newMembers(n int) (*member.Members, []fleet.Instance) {
 	all := list(n, 3)
 	m := member.New(member.NewParams(all[0], 500*time.Millisecond))
-	m.List(0, 5, all)
+	m.UpdateInstances(0, 5, all)
 	return m, all
 }
 
@@ -93,11 +93,11 @@
 func TestAnOlderListIsNotTaken(t *testing.T) {
 	is := is.New(t)
 	m, all := newMembers(9)
-	is.Equal(m.List(0, 4, all[:2]), member.ListOlder)
+	is.Equal(m.UpdateInstances(0, 4, all[:2]), member.ListStale)
 	is.Equal(len(m.Peers()), member.DefaultFanout)
-	is.Equal(m.List(0, 6, all[:2]), member.ListTaken)
+	is.Equal(m.UpdateInstances(0, 6, all[:2]), member.ListApplied)
 	is.Equal(len(m.Peers()), 1)
-	is.Equal(m.FreshUntil(), decide.Instant(0)) // being listed is no contact
+	is.Equal(m.TrustedUntil(), decide.Instant(0)) // being listed is no contact
 }
 
 // An instance was restarted and a late answer of its former self arrives after the new one's: it must not
@@ -107,8 +107,8 @@
 	m, _ := newMembers(9)
 	p := m.Peers()[1]
 	answer := func(from fleet.InstanceID, incarnation, version uint64) (decide.Reason, bool) {
-		return m.Answer(0, member.Reply{
-			To: p.ID, Heard: member.Heard{From: from, Incarnation: incarnation, Version: version},
+		return m.ReplyReceived(0, member.Reply{
+			To: p.ID, Status: member.Status{From: from, Incarnation: incarnation, ConfigVersion: version},
 		})
 	}
 	reason, counts := answer(p.ID, 1, 7)
@@ -117,11 +117,11 @@
 	reason, counts = answer(p.ID, 2, 0)
 	is.True(counts)
 	is.Equal(reason, member.PeerRestarted)
-	is.Equal(p.Version, uint64(0))
+	is.Equal(p.ConfigVersion, uint64(0))
 	reason, counts = answer(p.ID, 1, 7)
 	is.True(!counts)
-	is.Equal(reason, member.LateAnswer)
-	is.Equal(p.Version, uint64(0))
+	is.Equal(reason, member.LateReply)
+	is.Equal(p.ConfigVersion, uint64(0))
 	reason, counts = answer("entry-999", 9, 9) // another instance at its address
 	is.True(!counts)
 	is.Equal(reason, member.PeerReplaced)
@@ -138,14 +138,14 @@
 		for _, due := range m.Due(now, 0) {
 			if due.ID == p.ID {
 				sent++
-				m.Failed(now, p.ID)
+				m.HeartbeatFailed(now, p.ID)
 				continue
 			}
-			m.Answer(now, member.Reply{To: due.ID, Heard: member.Heard{From: due.ID, Incarnation: 1}})
+			m.ReplyReceived(now, member.Reply{To: due.ID, Status: member.Status{From: due.ID, Incarnation: 1}})
 		}
 	}
 	is.True(sent < 30) // of 120 that a live one gets
-	m.Answer(now, member.Reply{To: p.ID, Heard: member.Heard{From: p.ID, Incarnation: 1}})
+	m.ReplyReceived(now, member.Reply{To: p.ID, Status: member.Status{From: p.ID, Incarnation: 1}})
 	is.True(p.Reachable)
 }
 
@@ -155,7 +155,7 @@
 	all := list(930, 16)
 	watchers := map[fleet.DomainID]int{}
 	for _, self := range all {
-		if member.Watches("config/current", self, all, 2) {
+		if member.IsWatcher("config/current", self, all, 2) {
 			watchers[self.Domain]++
 		}
 	}
@@ -171,7 +171,7 @@
 			all := list(z.n, z.domains)
 			b.ReportAllocs()
 			for b.Loop() {
-				member.Choose(all[0], all, member.DefaultFanout)
+				member.ChoosePeers(all[0], all, member.DefaultFanout)
 			}
 		})
 	}
--- a/internal/decide/member/ring.go
+++ b/internal/decide/member/ring.go
@@ -13,7 +13,7 @@
 // orders the instances by a hash of its own, so that with equal lists every instance is the successor
 // of about n others, whatever the fleet's size. Every second ring takes the next successor in another
 // failure domain. The cost is one pass over the list for each ring.
-func Choose(self fleet.Instance, all []fleet.Instance, n int) []fleet.Instance {
+func ChoosePeers(self fleet.Instance, all []fleet.Instance, n int) []fleet.Instance {
 	var chosen []fleet.Instance
 	for ring := range n {
 		other := ring%2 == 1
@@ -75,7 +75,7 @@
 
 // Watches tells whether self is one of the n instances of its failure domain that watch the store for
 // key. Two instances with different lists may both think so: that costs calls and breaks nothing.
-func Watches(key string, self fleet.Instance, all []fleet.Instance, n int) bool {
+func IsWatcher(key string, self fleet.Instance, all []fleet.Instance, n int) bool {
 	mine := rendezvous.Score(key, string(self.ID))
 	ahead := 0
 	for i := range all {
--- a/internal/decide/member/trust.go
+++ b/internal/decide/member/trust.go
@@ -21,7 +21,7 @@
 // others elsewhere, for a domain that is cut off as a whole would vouch for itself for ever; and a peer
 // that is not trusted itself, for two that come back at the same time would vouch for each other before
 // either has heard what happened.
-func (m *Members) Contact(sent decide.Instant, with fleet.InstanceID, trusted bool) {
+func (m *Members) RecordContact(sent decide.Instant, with fleet.InstanceID, trusted bool) {
 	p := find(m.peers, with)
 	if p == nil {
 		return
@@ -36,23 +36,23 @@
 func (m *Members) elsewhere(p *Peer) bool { return !m.foreign || p.Domain != m.params.Self.Domain }
 
 // StoreContact notes a read of the store that began at sent and whose answer is known here in full.
-func (m *Members) StoreContact(sent decide.Instant) { m.trust(sent) }
+func (m *Members) RecordStoreRead(sent decide.Instant) { m.trust(sent) }
 
 // Quorum lets a fleet that lost trust as a whole begin again while the store is lost: when the network
 // failed everywhere for longer than the bound, nobody is left who is trusted. Trust comes back when more
 // than half of the peers, one elsewhere among them, have been in contact for a whole bound.
-func (m *Members) Quorum(now decide.Instant, storeLost bool) {
+func (m *Members) RegainByQuorum(now decide.Instant, storeLost bool) {
 	if !storeLost {
 		m.quorumSince = never
 		return
 	}
 	sent, ok := m.majority()
-	if !ok || now.Sub(sent) > m.params.Bound {
+	if !ok || now.Sub(sent) > m.params.TrustDuration {
 		m.quorumSince = never
 		return
 	}
 	m.quorumSince = min(m.quorumSince, now)
-	if now.Sub(m.quorumSince) >= m.params.Bound {
+	if now.Sub(m.quorumSince) >= m.params.TrustDuration {
 		m.trust(sent)
 	}
 }
@@ -77,11 +77,11 @@
 }
 
 func (m *Members) trust(sent decide.Instant) {
-	m.freshUntil = max(m.freshUntil, sent.Add(m.params.Bound))
+	m.freshUntil = max(m.freshUntil, sent.Add(m.params.TrustDuration))
 }
 
 // Forget ends the trust in all that is known, as after a pause.
-func (m *Members) Forget() {
+func (m *Members) ClearTrust() {
 	m.freshUntil = 0
 	m.quorumSince = never
 	for _, p := range m.peers {
@@ -91,7 +91,7 @@
 
 // FreshUntil is the instant after which this instance sends no new work. An instance that the list shows
 // alone has nobody to ask, and is held by the store's reads only as far as they succeed.
-func (m *Members) FreshUntil() decide.Instant {
+func (m *Members) TrustedUntil() decide.Instant {
 	if m.version > 0 && m.alone {
 		return never
 	}
@@ -99,10 +99,10 @@
 }
 
 // Trusted tells whether this instance may send new work now.
-func (m *Members) Trusted(now decide.Instant) bool { return !m.FreshUntil().Before(now) }
+func (m *Members) Trusted(now decide.Instant) bool { return !m.TrustedUntil().Before(now) }
 
 // Lonely tells whether trust will end within half the bound unless somebody answers: time to ask the
 // store itself.
-func (m *Members) Lonely(now decide.Instant) bool {
-	return m.FreshUntil().Sub(now) < m.params.Bound/2
+func (m *Members) TrustEndsSoon(now decide.Instant) bool {
+	return m.TrustedUntil().Sub(now) < m.params.TrustDuration/2
 }
--- a/internal/decide/readers/readers.go
+++ b/internal/decide/readers/readers.go
@@ -36,8 +36,8 @@
 
 // Report is what a reader says of its reads.
 type Report struct {
-	Failing time.Duration // how long its reads have failed or hung; 0: it reads
-	Age     time.Duration // of its newest proof of the kind that it reads first
+	FailingFor time.Duration // how long its reads have failed or hung; 0: it reads
+	ProofAge   time.Duration // of its newest proof of the kind that it reads first
 }
 
 // reader is an instance that was chosen once.
@@ -50,7 +50,7 @@
 }
 
 // State is what the dispatcher knows of readers. The zero value is ready for use; it is not safe for concurrent use.
-type State struct {
+type Selector struct {
 	known  map[fleet.InstanceID]*reader
 	turns  int            // that ended in failure since anybody read
 	lost   decide.Instant // since when nobody could read; 0: somebody can
@@ -58,22 +58,22 @@
 }
 
 // Report takes what a reader says.
-func (s *State) Report(now decide.Instant, id fleet.InstanceID, r Report) {
+func (s *Selector) HandleReport(now decide.Instant, id fleet.InstanceID, r Report) {
 	k := s.known[id]
 	if k == nil || !k.chosen {
 		return
 	}
-	k.failing = r.Failing
+	k.failing = r.FailingFor
 	switch {
-	case r.Failing == 0 && r.Age < now.Sub(k.since):
+	case r.FailingFor == 0 && r.ProofAge < now.Sub(k.since):
 		k.rest, s.turns, s.lost, s.served = 0, 0, 0, now
-	case r.Failing > 0 && s.lost == 0 && now.Sub(s.served) > firstTurn:
-		s.lost = now.Add(-r.Failing)
+	case r.FailingFor > 0 && s.lost == 0 && now.Sub(s.served) > firstTurn:
+		s.lost = now.Add(-r.FailingFor)
 	}
 }
 
 // Lost is how long nobody has been able to read the store; 0: somebody is.
-func (s *State) Lost(now decide.Instant) time.Duration {
+func (s *Selector) OutageDuration(now decide.Instant) time.Duration {
 	if s.lost == 0 {
 		return 0
 	}
@@ -81,10 +81,10 @@
 }
 
 // turn is how long a reader may fail.
-func (s *State) turn() time.Duration { return min(longestTurn, firstTurn<<min(s.turns, 8)) }
+func (s *Selector) turn() time.Duration { return min(longestTurn, firstTurn<<min(s.turns, 8)) }
 
 // Choose gives the readers among the candidates, which come in the order of preference: the dispatcher first.
-func (s *State) Choose(now decide.Instant, all []Candidate) []fleet.InstanceID {
+func (s *Selector) Choose(now decide.Instant, all []Candidate) []fleet.InstanceID {
 	s.forget(all)
 	s.endTurns(now)
 	chosen := s.spread(all, s.withFirst(now, all, s.kept(all)))
@@ -101,7 +101,7 @@
 }
 
 // kept gives the readers whose turn goes on.
-func (s *State) kept(all []Candidate) []Candidate {
+func (s *Selector) kept(all []Candidate) []Candidate {
 	var kept []Candidate
 	for _, c := range all {
 		if k := s.known[c.ID]; k != nil && k.chosen {
@@ -113,7 +113,7 @@
 
 // withFirst gives the first candidate a turn that it may not have had, since others were attached before it: a
 // dispatcher that doesn't read tells each change a trip later. One that failed waits for its turn like the others.
-func (s *State) withFirst(now decide.Instant, all, kept []Candidate) []Candidate {
+func (s *Selector) withFirst(now decide.Instant, all, kept []Candidate) []Candidate {
 	if len(kept) < count || kept[0] == all[0] || s.failed(all[0]) {
 		return kept
 	}
@@ -124,7 +124,7 @@
 
 // spread ends the turn of a second reader of the first one's failure domain once there is a better one: the two may be
 // the first that were attached, and a cut of their domain would leave nobody who reads.
-func (s *State) spread(all, kept []Candidate) []Candidate {
+func (s *Selector) spread(all, kept []Candidate) []Candidate {
 	if len(kept) < count || kept[0].Domain != kept[1].Domain {
 		return kept
 	}
@@ -138,18 +138,18 @@
 }
 
 // begin gives a candidate its turn.
-func (s *State) begin(now decide.Instant, c Candidate) {
+func (s *Selector) begin(now decide.Instant, c Candidate) {
 	k := s.of(c.ID)
 	k.chosen, k.since, k.failing = true, now, 0
 }
 
 // failed tells whether a candidate's last turn ended in failure.
-func (s *State) failed(c Candidate) bool {
+func (s *Selector) failed(c Candidate) bool {
 	k := s.known[c.ID]
 	return k != nil && k.rest > 0
 }
 
-func (s *State) of(id fleet.InstanceID) *reader {
+func (s *Selector) of(id fleet.InstanceID) *reader {
 	k := s.known[id]
 	if k == nil {
 		k = &reader{}
@@ -159,7 +159,7 @@
 }
 
 // forget drops what is known of instances that are no candidates any more.
-func (s *State) forget(all []Candidate) {
+func (s *Selector) forget(all []Candidate) {
 	if s.known == nil {
 		s.known = map[fleet.InstanceID]*reader{}
 	}
@@ -171,7 +171,7 @@
 }
 
 // endTurns takes the turn from readers that have failed for too long.
-func (s *State) endTurns(now decide.Instant) {
+func (s *Selector) endTurns(now decide.Instant) {
 	for _, k := range s.known {
 		if !k.chosen || k.failing < s.turn() || now.Sub(k.since) < s.turn() {
 			continue
@@ -186,7 +186,7 @@
 // next gives the best candidate that isn't chosen: one that doesn't rest, then one of another failure domain than the
 // one chosen, which is seldom cut off together with it; where all rest, the one whose rest ends first. After a failure
 // it is drawn from all: those that stand together in the order may be cut off together.
-func (s *State) next(now decide.Instant, all, chosen []Candidate) Candidate {
+func (s *Selector) next(now decide.Instant, all, chosen []Candidate) Candidate {
 	best, found := Candidate{}, false
 	for _, c := range all {
 		if slices.Contains(chosen, c) {
@@ -199,7 +199,7 @@
 	return best
 }
 
-func (s *State) better(now decide.Instant, a, b Candidate, chosen []Candidate) bool {
+func (s *Selector) better(now decide.Instant, a, b Candidate, chosen []Candidate) bool {
 	restsA, restsB := s.restsUntil(now, a), s.restsUntil(now, b)
 	if restsA != restsB {
 		return restsA < restsB
@@ -212,12 +212,12 @@
 }
 
 // draw gives a number that orders the candidates anew for each turn.
-func (s *State) draw(c Candidate) uint64 {
+func (s *Selector) draw(c Candidate) uint64 {
 	return rendezvous.Score(strconv.Itoa(s.turns), string(c.ID))
 }
 
 // restsUntil is when a candidate's rest ends; 0: it doesn't rest.
-func (s *State) restsUntil(now decide.Instant, c Candidate) decide.Instant {
+func (s *Selector) restsUntil(now decide.Instant, c Candidate) decide.Instant {
 	if k := s.known[c.ID]; k != nil && k.rests > now {
 		return k.rests
 	}
--- a/internal/decide/readers/readers_test.go
+++ b/internal/decide/readers/readers_test.go
@@ -24,7 +24,7 @@
 
 // play has the readers chosen and reports for a while. reads tells whether an instance can read; turns counts how often
 // an instance became a reader.
-func play(s *State, from decide.Instant, long time.Duration, all []Candidate, reads func(fleet.InstanceID) bool) (end decide.Instant, chosen []fleet.InstanceID, turns int) {
+func play(s *Selector, from decide.Instant, long time.Duration, all []Candidate, reads func(fleet.InstanceID) bool) (end decide.Instant, chosen []fleet.InstanceID, turns int) {
 	failing := map[fleet.InstanceID]decide.Instant{}
 	for now := from; now < from.Add(long); now = now.Add(beat) {
 		before := chosen
@@ -35,10 +35,10 @@
 				failing[id] = now
 			}
 			if reads(id) {
-				s.Report(now, id, Report{Age: 0})
+				s.HandleReport(now, id, Report{ProofAge: 0})
 				continue
 			}
-			s.Report(now, id, Report{Failing: max(1, now.Sub(failing[id])), Age: time.Hour})
+			s.HandleReport(now, id, Report{FailingFor: max(1, now.Sub(failing[id])), ProofAge: time.Hour})
 		}
 		end = now
 	}
@@ -49,11 +49,11 @@
 func TestTwoRead(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{1, 2, 30, 930} {
-		s := &State{}
+		s := &Selector{}
 		_, chosen, turns := play(s, 1, time.Minute, candidates(n), func(fleet.InstanceID) bool { return true })
 		is.Equal(turns, min(2, n))
 		is.Equal(len(chosen), min(2, n))
-		is.Equal(s.Lost(decide.Instant(time.Minute)), time.Duration(0))
+		is.Equal(s.OutageDuration(decide.Instant(time.Minute)), time.Duration(0))
 	}
 }
 
@@ -63,7 +63,7 @@
 	is := is.New(t)
 	all := candidates(10)
 	all[1].Domain = all[0].Domain
-	chosen := (&State{}).Choose(1, all)
+	chosen := (&Selector{}).Choose(1, all)
 	is.Equal(chosen, []fleet.InstanceID{"i0", "i2"})
 }
 
@@ -72,7 +72,7 @@
 func TestWhoIsAttachedFirstDoesNotReadForEver(t *testing.T) {
 	is := is.New(t)
 	all := candidates(6) // the last is of the first one's domain
-	s, other := &State{}, candidates(3)[1:]
+	s, other := &Selector{}, candidates(3)[1:]
 	other[1].Domain = other[0].Domain
 	is.Equal(s.Choose(1, other), []fleet.InstanceID{"i1", "i2"})
 	all[2].Domain = all[1].Domain
@@ -87,7 +87,7 @@
 func TestWhoIsTurnedAwayGivesItsTurnAway(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{30, 100, 300, 930} {
-		s, all := &State{}, candidates(n)
+		s, all := &Selector{}, candidates(n)
 		end, _, _ := play(s, 1, time.Second, all, func(fleet.InstanceID) bool { return true })
 		refused := func(id fleet.InstanceID) bool {
 			i := slices.IndexFunc(all, func(c Candidate) bool { return c.ID == id })
@@ -106,31 +106,31 @@
 func TestTurnsDontGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{2, 30, 100, 300, 930} {
-		s := &State{}
+		s := &Selector{}
 		end, _, _ := play(s, 1, time.Second, candidates(n), func(fleet.InstanceID) bool { return true })
 		end, _, turns := play(s, end, 10*time.Second, candidates(n), func(fleet.InstanceID) bool { return false })
 		is.True(turns <= 2*10*1000/int(longestTurn.Milliseconds())+6) // both readers' turns, with the first short ones
-		is.True(s.Lost(end) > 9*time.Second)
+		is.True(s.OutageDuration(end) > 9*time.Second)
 		end, _, _ = play(s, end, time.Second, candidates(n), func(fleet.InstanceID) bool { return true })
-		is.Equal(s.Lost(end), time.Duration(0)) // it is back
+		is.Equal(s.OutageDuration(end), time.Duration(0)) // it is back
 	}
 }
 
 // A reader is cut off and the dispatcher believes that nobody reads, though the other one does.
 func TestOneWhoReadsIsEnough(t *testing.T) {
 	is := is.New(t)
-	s := &State{}
+	s := &Selector{}
 	all := candidates(2)
 	end, _, _ := play(s, 1, time.Second, all, func(fleet.InstanceID) bool { return true })
 	end, _, _ = play(s, end, 3*time.Second, all, func(id fleet.InstanceID) bool { return id == "i1" })
-	is.Equal(s.Lost(end), time.Duration(0))
+	is.Equal(s.OutageDuration(end), time.Duration(0))
 }
 
 // What an instance that has no turn says of reads that were under way when it lost it does not count.
 func TestOnlyReadersReport(t *testing.T) {
 	is := is.New(t)
-	s := &State{}
+	s := &Selector{}
 	s.Choose(1, candidates(3))
-	s.Report(2, "i2", Report{Failing: time.Second})
-	is.Equal(s.Lost(3), time.Duration(0))
+	s.HandleReport(2, "i2", Report{FailingFor: time.Second})
+	is.Equal(s.OutageDuration(3), time.Duration(0))
 }
--- a/internal/decide/relay/bootstrap.go
+++ b/internal/decide/relay/bootstrap.go
@@ -28,7 +28,7 @@
 		return
 	}
 	if a != StoreFailed && n.news.Config().Version > 0 {
-		n.started(BootstrapStore)
+		n.started(BootstrappedFromStore)
 		return
 	}
 	n.tickBootstrap(now)
@@ -78,7 +78,7 @@
 		n.do(Event{Reason: BootstrapFailed})
 		return
 	}
-	n.started(BootstrapPeers)
+	n.started(BootstrappedFromPeers)
 }
 
 // started ends the start-up, once.
--- a/internal/decide/relay/effect.go
+++ b/internal/decide/relay/effect.go
@@ -12,25 +12,25 @@
 
 // Reasons of this package, beside those of member and pause.
 const (
-	ConfigTaken     decide.Reason = "config_taken"
-	ConfigOlder     decide.Reason = "config_older" // not above the one in force: dropped
-	BootstrapStore  decide.Reason = "bootstrap_store"
-	BootstrapPeers  decide.Reason = "bootstrap_peers"
-	BootstrapFailed decide.Reason = "bootstrap_failed"
-	StoreLost       decide.Reason = "store_lost"
-	StoreBack       decide.Reason = "store_back"
-	WatcherStarted  decide.Reason = "watcher_started"
-	WatcherStopped  decide.Reason = "watcher_stopped"
-	SignTaken       decide.Reason = "upstream_leaving"
-	SignExpired     decide.Reason = "sign_expired"
-	TrustEnded      decide.Reason = "trust_ended" // nobody was heard for the bound: no new work
-	TrustBack       decide.Reason = "trust_back"
+	ConfigApplied         decide.Reason = "config_taken"
+	ConfigStale           decide.Reason = "config_older" // not above the one in force: dropped
+	BootstrappedFromStore decide.Reason = "bootstrap_store"
+	BootstrappedFromPeers decide.Reason = "bootstrap_peers"
+	BootstrapFailed       decide.Reason = "bootstrap_failed"
+	StoreLost             decide.Reason = "store_lost"
+	StoreRegained         decide.Reason = "store_back"
+	WatcherStarted        decide.Reason = "watcher_started"
+	WatcherStopped        decide.Reason = "watcher_stopped"
+	SignReceived          decide.Reason = "upstream_leaving"
+	SignExpired           decide.Reason = "sign_expired"
+	TrustEnded            decide.Reason = "trust_ended" // nobody was heard for the bound: no new work
+	TrustRegained         decide.Reason = "trust_back"
 )
 
 // Reasons lists every reason that a Node's events carry.
 var Reasons = slices.Concat([]decide.Reason{
-	ConfigTaken, ConfigOlder, BootstrapStore, BootstrapPeers, BootstrapFailed, StoreLost, StoreBack,
-	WatcherStarted, WatcherStopped, SignTaken, SignExpired, TrustEnded, TrustBack,
+	ConfigApplied, ConfigStale, BootstrappedFromStore, BootstrappedFromPeers, BootstrapFailed, StoreLost, StoreRegained,
+	WatcherStarted, WatcherStopped, SignReceived, SignExpired, TrustEnded, TrustRegained,
 }, member.Reasons, pause.Reasons)
 
 // Effect is what a Node asks its driver to do. The driver does them in order, without waiting for the
@@ -65,13 +65,13 @@
 }
 
 // PutInForce hands a new configuration to the writer of the view.
-type PutInForce struct {
+type ApplyConfig struct {
 	Config Config
 }
 
 // SetLeaving hands the signs in force to the writer of the view.
 type SetLeaving struct {
-	Signs []Sign
+	Signs []LeavingSign
 }
 
 // Event is one line for the log.
@@ -80,14 +80,14 @@
 	Peer    fleet.InstanceID // "": none
 	Version uint64           // of the configuration it is about; 0: none
 	Gap     time.Duration    // of a pause
-	Sign    Sign             // of SignTaken
+	Sign    LeavingSign      // of SignTaken
 }
 
 func (SendHeartbeat) effect() {}
 func (PullConfig) effect()    {}
 func (ReadStore) effect()     {}
 func (WatchStore) effect()    {}
-func (PutInForce) effect()    {}
+func (ApplyConfig) effect()   {}
 func (SetLeaving) effect()    {}
 func (Event) effect()         {}
 
--- a/internal/decide/relay/fault_test.go
+++ b/internal/decide/relay/fault_test.go
@@ -41,7 +41,7 @@
 	s.store.stale = 1 // reads give version 1 again
 	s.run(40*at, nil)
 	is.True(s.everywhere(2))
-	is.True(s.reasons[relay.ConfigOlder] > 0) // the stale reads were seen and dropped
+	is.True(s.reasons[relay.ConfigStale] > 0) // the stale reads were seen and dropped
 	neverReverts(t, s)
 }
 
@@ -96,7 +96,7 @@
 		s.start(inst, 2)
 	}
 	s.run(120*at, nil)
-	is.Equal(s.reasons[relay.BootstrapPeers], 9)
+	is.Equal(s.reasons[relay.BootstrappedFromPeers], 9)
 	for _, x := range s.live() {
 		is.Equal(x.version, uint64(2))
 		is.True(s.sends(x))
@@ -225,7 +225,7 @@
 				x := s.nodes[0]
 				s.handle(x, func() []relay.Effect { return x.node.UpstreamLeaving(s.Now(), "engine-1", "boot-1") })
 				last := s.lastSender(4*at+decide.Instant(leavingBound), func(x *simNode) bool {
-					return !relay.Left(x.leaving, "engine-1", "boot-1")
+					return !relay.IsLeaving(x.leaving, "engine-1", "boot-1")
 				})
 				t.Logf("last instance that could send there: %v after the first sign", last.Sub(4*at))
 				is.True(last.Sub(4*at) < leavingBound)
@@ -264,10 +264,10 @@
 	s.handle(x, func() []relay.Effect { return x.node.UpstreamLeaving(s.Now(), "engine-1", "boot-1") })
 	s.run(10*at, nil)
 	for _, x := range s.nodes {
-		is.True(relay.Left(x.leaving, "engine-1", "boot-1"))
-		is.True(!relay.Left(x.leaving, "engine-1", "boot-2"))
+		is.True(relay.IsLeaving(x.leaving, "engine-1", "boot-1"))
+		is.True(!relay.IsLeaving(x.leaving, "engine-1", "boot-2"))
 	}
-	s.run(5*at+decide.Instant(relay.SignTTL)+5*at, nil)
+	s.run(5*at+decide.Instant(relay.LeavingSignTTL)+5*at, nil)
 	for _, x := range s.nodes {
 		is.Equal(len(x.leaving), 0)
 	}
@@ -289,9 +289,9 @@
 	see()
 	s.run(8*at, nil)
 	s.signs, s.heartbeats = 0, 0
-	s.run(8*at+3*decide.Instant(relay.SignTTL), func() bool {
+	s.run(8*at+3*decide.Instant(relay.LeavingSignTTL), func() bool {
 		for _, x := range s.nodes {
-			if !relay.Left(x.leaving, "engine-1", "boot-1") {
+			if !relay.IsLeaving(x.leaving, "engine-1", "boot-1") {
 				t.Errorf("%s: the sign lapsed at %v", x.ID, s.Now())
 				return true
 			}
--- a/internal/decide/relay/messages.go
+++ b/internal/decide/relay/messages.go
@@ -15,14 +15,14 @@
 	Incarnation   uint64 // grows with each start of the instance
 	ConfigVersion uint64 // 0: none yet
 	ListVersion   uint64
-	Trusted       bool   // the sender may send new work itself
-	SignsHash     uint64 // of all signs that the sender holds; 0: none
-	Leaving       []Sign // the signs, where the receiver is thought to hold others
+	Trusted       bool          // the sender may send new work itself
+	SignsHash     uint64        // of all signs that the sender holds; 0: none
+	Leaving       []LeavingSign // the signs, where the receiver is thought to hold others
 }
 
 // Sign says that an upstream is leaving. It is about one boot of the upstream, so that the same upstream
 // started anew is not shunned.
-type Sign struct {
+type LeavingSign struct {
 	Upstream fleet.UpstreamID
 	Boot     string        // "": any boot
 	Round    uint32        // grows when a source sees an old sign again
--- a/internal/decide/relay/news.go
+++ b/internal/decide/relay/news.go
@@ -15,16 +15,16 @@
 const (
 	// MaxSigns bounds the signs that an instance keeps and sends, newest first: the instance list and the
 	// upstreams' own answers tell the rest.
-	MaxSigns = 64
+	MaxLeavingSigns = 64
 	// SignTTL is how long a sign lives that no source sees again. It covers the lag of the instance list,
 	// which then tells by itself; at the largest fleet the list is read every 115 s.
-	SignTTL = 2 * time.Minute
+	LeavingSignTTL = 2 * time.Minute
 	// renewAfter is the age from which a source that sees a sign again makes it news.
-	renewAfter = SignTTL / 2
+	renewAfter = LeavingSignTTL / 2
 )
 
 // News is what spreads: the configuration and the signs. It is not safe for concurrent use.
-type News struct {
+type SharedState struct {
 	config Config
 	signs  []heldSign // sorted by upstream, then boot
 }
@@ -44,14 +44,14 @@
 }
 
 // Config is the configuration in force; version 0: none yet.
-func (n *News) Config() Config { return n.config }
+func (n *SharedState) Config() Config { return n.config }
 
 // Take puts c in force if its version is higher than the one in force.
 //
 // A configuration that reverts shows as a domain that takes work again after it was taken out. Stale
 // reads of the store, late answers, and peers that are behind all bring old versions; the object API
 // gives each accepted write a higher version, so taking only higher ones never goes back.
-func (n *News) Take(c Config) bool {
+func (n *SharedState) Apply(c Config) bool {
 	if c.Version <= n.config.Version || len(c.Packed) == 0 {
 		return false
 	}
@@ -60,7 +60,7 @@
 }
 
 // See takes a source's own sight of a sign and tells whether it is news.
-func (n *News) See(now decide.Instant, upstream fleet.UpstreamID, boot string) bool {
+func (n *SharedState) ObserveLeaving(now decide.Instant, upstream fleet.UpstreamID, boot string) bool {
 	s := heldSign{upstream: upstream, boot: boot, born: now}
 	if i, found := slices.BinarySearchFunc(n.signs, s, heldSign.compare); found {
 		if now.Sub(n.signs[i].born) < renewAfter {
@@ -72,10 +72,10 @@
 }
 
 // Learn takes a peer's signs and tells whether any was news.
-func (n *News) Learn(now decide.Instant, signs []Sign) bool {
+func (n *SharedState) MergeSigns(now decide.Instant, signs []LeavingSign) bool {
 	changed := false
 	for _, s := range signs {
-		if s.Age >= SignTTL {
+		if s.Age >= LeavingSignTTL {
 			continue
 		}
 		changed = n.learn(heldSign{
@@ -87,7 +87,7 @@
 
 // learn takes a sign that is unknown or of a higher round. Ages only grow on their way and only a source
 // makes a new round, so that instances can't keep a sign alive among themselves.
-func (n *News) learn(s heldSign) bool {
+func (n *SharedState) learn(s heldSign) bool {
 	i, found := slices.BinarySearchFunc(n.signs, s, heldSign.compare)
 	if found {
 		if s.round <= n.signs[i].round {
@@ -97,13 +97,13 @@
 		return true
 	}
 	n.signs = slices.Insert(n.signs, i, s)
-	if len(n.signs) > MaxSigns {
+	if len(n.signs) > MaxLeavingSigns {
 		n.dropOldest()
 	}
 	return true
 }
 
-func (n *News) dropOldest() {
+func (n *SharedState) dropOldest() {
 	oldest := 0
 	for i, s := range n.signs {
 		if s.born < n.signs[oldest].born {
@@ -114,27 +114,27 @@
 }
 
 // Expire drops the signs that have lived their time and tells whether there were any.
-func (n *News) Expire(now decide.Instant) bool {
+func (n *SharedState) ExpireSigns(now decide.Instant) bool {
 	before := len(n.signs)
-	n.signs = slices.DeleteFunc(n.signs, func(s heldSign) bool { return now.Sub(s.born) >= SignTTL })
+	n.signs = slices.DeleteFunc(n.signs, func(s heldSign) bool { return now.Sub(s.born) >= LeavingSignTTL })
 	return len(n.signs) != before
 }
 
 // Signs gives the signs that live, with their ages.
-func (n *News) Signs(now decide.Instant) []Sign {
+func (n *SharedState) Signs(now decide.Instant) []LeavingSign {
 	if len(n.signs) == 0 {
 		return nil
 	}
-	out := make([]Sign, 0, len(n.signs))
+	out := make([]LeavingSign, 0, len(n.signs))
 	for _, s := range n.signs {
-		out = append(out, Sign{Upstream: s.upstream, Boot: s.boot, Round: s.round, Age: now.Sub(s.born)})
+		out = append(out, LeavingSign{Upstream: s.upstream, Boot: s.boot, Round: s.round, Age: now.Sub(s.born)})
 	}
 	return out
 }
 
 // Hash is over the signs but their ages; 0 without signs. Instances with equal hashes need not send each
 // other their signs.
-func (n *News) Hash() uint64 {
+func (n *SharedState) SignsHash() uint64 {
 	if len(n.signs) == 0 {
 		return 0
 	}
@@ -150,8 +150,8 @@
 
 // Left tells whether the signs say that this boot of the upstream is leaving. An upstream whose boot is
 // not known yet is held to any sign about it.
-func Left(signs []Sign, upstream fleet.UpstreamID, boot string) bool {
-	return slices.ContainsFunc(signs, func(s Sign) bool {
+func IsLeaving(signs []LeavingSign, upstream fleet.UpstreamID, boot string) bool {
+	return slices.ContainsFunc(signs, func(s LeavingSign) bool {
 		return s.Upstream == upstream && (s.Boot == "" || boot == "" || s.Boot == boot)
 	})
 }
--- a/internal/decide/relay/node.go
+++ b/internal/decide/relay/node.go
@@ -12,20 +12,20 @@
 
 // Params are the constants of one instance's node.
 type Params struct {
-	Member      member.Params
-	Incarnation uint64        // grows with each start of the instance
-	Pause       time.Duration // a longer time between two ticks is a pause
-	Watchers    int           // in each failure domain
-	WatchWait   time.Duration // of one watch
-	ReadEvery   time.Duration // between a watcher's reads of a small configuration
-	ReadBytes   int           // a second, that a watcher spends on those reads
-	Rand        decide.Rand
+	Member             member.Params
+	Incarnation        uint64        // grows with each start of the instance
+	PauseThreshold     time.Duration // a longer time between two ticks is a pause
+	WatchersPerDomain  int           // in each failure domain
+	WatchWait          time.Duration // of one watch
+	ReadInterval       time.Duration // between a watcher's reads of a small configuration
+	ReadBytesPerSecond int           // a second, that a watcher spends on those reads
+	Rand               decide.Rand
 }
 
 // Defaults of Params.
 const (
 	// TickEvery is how often the driver ticks a node at least.
-	TickEvery        = 100 * time.Millisecond
+	TickInterval     = 100 * time.Millisecond
 	defaultPause     = time.Second
 	defaultWatchers  = 2
 	defaultWatchWait = 5 * time.Second
@@ -38,9 +38,9 @@
 // NewParams gives the defaults around a heartbeat interval.
 func NewParams(self fleet.Instance, incarnation uint64, interval time.Duration, r decide.Rand) Params {
 	return Params{
-		Member: member.NewParams(self, interval), Incarnation: incarnation, Pause: defaultPause,
-		Watchers: defaultWatchers, WatchWait: defaultWatchWait,
-		ReadEvery: defaultReadEvery, ReadBytes: defaultReadBytes, Rand: r,
+		Member: member.NewParams(self, interval), Incarnation: incarnation, PauseThreshold: defaultPause,
+		WatchersPerDomain: defaultWatchers, WatchWait: defaultWatchWait,
+		ReadInterval: defaultReadEvery, ReadBytesPerSecond: defaultReadBytes, Rand: r,
 	}
 }
 
@@ -49,7 +49,7 @@
 type Node struct {
 	params  Params
 	members *member.Members
-	news    News
+	news    SharedState
 	guard   *pause.Guard
 	store   storeSide
 	pull    pullSide
@@ -60,7 +60,7 @@
 
 // NewNode gives a node that knows nothing. Its first Tick starts it.
 func NewNode(now decide.Instant, p Params) *Node {
-	return &Node{params: p, members: member.New(p.Member), guard: pause.New(now, p.Pause)}
+	return &Node{params: p, members: member.New(p.Member), guard: pause.New(now, p.PauseThreshold)}
 }
 
 // Ready tells whether the node has started up: it has a configuration, from the store or, in an outage,
@@ -68,7 +68,7 @@
 func (n *Node) Ready() bool { return n.boot.done }
 
 // TrustedUntil is the instant after which the instance may send no new work, until it hears again.
-func (n *Node) TrustedUntil() decide.Instant { return n.members.FreshUntil() }
+func (n *Node) TrustedUntil() decide.Instant { return n.members.TrustedUntil() }
 
 // Guard tells pauses at the moment of use.
 func (n *Node) Guard() *pause.Guard { return n.guard }
@@ -87,7 +87,7 @@
 		n.trusted = trusted
 		reason := TrustEnded
 		if trusted {
-			reason = TrustBack
+			reason = TrustRegained
 		}
 		n.do(Event{Reason: reason, Version: n.news.Config().Version})
 	}
@@ -101,26 +101,26 @@
 	if gap, reason := n.guard.Ask(now); reason == pause.Paused {
 		// What was known before the pause is not acted on: trust comes back with the first exchange that
 		// begins after it.
-		n.members.Forget()
-		n.members.Hurry(now)
+		n.members.ClearTrust()
+		n.members.MakeAllDue(now)
 		n.do(Event{Reason: pause.Paused, Gap: gap, Version: n.news.Config().Version})
 	}
 	n.guard.Mark(now)
-	if n.news.Expire(now) {
+	if n.news.ExpireSigns(now) {
 		n.do(Event{Reason: SignExpired})
 		n.do(SetLeaving{Signs: n.news.Signs(now)})
 	}
 	n.tickStore(now)
 	n.tickBootstrap(now)
 	n.startPull(now)
-	n.members.Quorum(now, n.store.failures > 0)
+	n.members.RegainByQuorum(now, n.store.failures > 0)
 	n.heartbeats(now)
 	return n.finish(now)
 }
 
 // List takes the instance list.
-func (n *Node) List(now decide.Instant, version uint64, instances []fleet.Instance) []Effect {
-	if n.members.List(now, version, instances) == member.ListTaken {
+func (n *Node) UpdateInstances(now decide.Instant, version uint64, instances []fleet.Instance) []Effect {
+	if n.members.UpdateInstances(now, version, instances) == member.ListApplied {
 		n.pull.forget(n.members)
 		n.watchOrNot(now)
 		n.heartbeats(now)
@@ -139,7 +139,7 @@
 func (n *Node) digest(now decide.Instant, theirs uint64) Digest {
 	d := Digest{
 		Instance: n.params.Member.Self.ID, Incarnation: n.params.Incarnation,
-		ConfigVersion: n.news.Config().Version, ListVersion: n.members.ListVersion(), SignsHash: n.news.Hash(),
+		ConfigVersion: n.news.Config().Version, ListVersion: n.members.ListVersion(), SignsHash: n.news.SignsHash(),
 		Trusted: n.members.Trusted(now),
 	}
 	if d.SignsHash != theirs {
@@ -149,9 +149,9 @@
 }
 
 // Heartbeat takes a peer's heartbeat and gives the answer to it.
-func (n *Node) Heartbeat(now decide.Instant, d Digest) (Digest, []Effect) {
-	n.members.Heard(now, member.Heard{
-		From: d.Instance, Incarnation: d.Incarnation, Version: d.ConfigVersion, SignsHash: d.SignsHash,
+func (n *Node) HeartbeatReceived(now decide.Instant, d Digest) (Digest, []Effect) {
+	n.members.HeartbeatReceived(now, member.Status{
+		From: d.Instance, Incarnation: d.Incarnation, ConfigVersion: d.ConfigVersion, SignsHash: d.SignsHash,
 	})
 	n.learn(now, d.Leaving)
 	if from, ok := n.members.Find(d.Instance); ok {
@@ -165,15 +165,15 @@
 // HeartbeatDone takes the outcome of a SendHeartbeat.
 func (n *Node) HeartbeatDone(now decide.Instant, sent SendHeartbeat, d Digest, ok bool) []Effect {
 	if !ok {
-		n.note(n.members.Failed(now, sent.To.ID), sent.To.ID)
+		n.note(n.members.HeartbeatFailed(now, sent.To.ID), sent.To.ID)
 		n.heartbeats(now)
 		return n.finish(now)
 	}
-	reason, counts := n.members.Answer(now, member.Reply{
-		Heard: member.Heard{
-			From: d.Instance, Incarnation: d.Incarnation, Version: d.ConfigVersion, SignsHash: d.SignsHash,
+	reason, counts := n.members.ReplyReceived(now, member.Reply{
+		Status: member.Status{
+			From: d.Instance, Incarnation: d.Incarnation, ConfigVersion: d.ConfigVersion, SignsHash: d.SignsHash,
 		},
-		To: sent.To.ID, Told: sent.Digest.ConfigVersion,
+		To: sent.To.ID, SentVersion: sent.Digest.ConfigVersion,
 	})
 	n.note(reason, sent.To.ID)
 	if counts {
@@ -182,7 +182,7 @@
 		// With a peer that is ahead, its state is known here in full only after the pull. One that has
 		// just started and knows nothing vouches for nothing.
 		if n.caughtUp() && d.ConfigVersion > 0 {
-			n.members.Contact(sent.Sent, sent.To.ID, d.Trusted)
+			n.members.RecordContact(sent.Sent, sent.To.ID, d.Trusted)
 		}
 	}
 	n.heartbeats(now)
@@ -198,7 +198,7 @@
 // UpstreamLeaving takes the upstream's own answer that it is leaving.
 func (n *Node) UpstreamLeaving(now decide.Instant, upstream fleet.UpstreamID, boot string) []Effect {
 	before := n.news.Signs(now)
-	if n.news.See(now, upstream, boot) {
+	if n.news.ObserveLeaving(now, upstream, boot) {
 		n.spread(now, before)
 	}
 	n.heartbeats(now)
@@ -206,32 +206,32 @@
 }
 
 // learn takes a peer's signs.
-func (n *Node) learn(now decide.Instant, signs []Sign) {
+func (n *Node) learn(now decide.Instant, signs []LeavingSign) {
 	if len(signs) == 0 {
 		return
 	}
 	before := n.news.Signs(now)
-	if n.news.Learn(now, signs) {
+	if n.news.MergeSigns(now, signs) {
 		n.spread(now, before)
 	}
 }
 
 // spread tells of the signs that are not among those before, to every peer at once.
-func (n *Node) spread(now decide.Instant, before []Sign) {
+func (n *Node) spread(now decide.Instant, before []LeavingSign) {
 	after := n.news.Signs(now)
 	for _, s := range after {
-		known := func(b Sign) bool { return b.Upstream == s.Upstream && b.Boot == s.Boot }
+		known := func(b LeavingSign) bool { return b.Upstream == s.Upstream && b.Boot == s.Boot }
 		if !slices.ContainsFunc(before, known) {
-			n.do(Event{Reason: SignTaken, Sign: s})
+			n.do(Event{Reason: SignReceived, Sign: s})
 		}
 	}
 	n.do(SetLeaving{Signs: after})
-	n.members.Hurry(now)
+	n.members.MakeAllDue(now)
 }
 
 // Accepted takes a configuration whose write by this instance is known to have taken effect. It does not
 // wait for the store's watch, which may lag.
-func (n *Node) Accepted(now decide.Instant, c Config) []Effect {
+func (n *Node) ConfigAccepted(now decide.Instant, c Config) []Effect {
 	n.take(now, c)
 	n.heartbeats(now)
 	return n.finish(now)
@@ -239,16 +239,16 @@
 
 // take puts a higher configuration in force.
 func (n *Node) take(now decide.Instant, c Config) bool {
-	if !n.news.Take(c) {
+	if !n.news.Apply(c) {
 		if c.Version != 0 && c.Version < n.news.Config().Version {
-			n.do(Event{Reason: ConfigOlder, Version: c.Version})
+			n.do(Event{Reason: ConfigStale, Version: c.Version})
 		}
 		return false
 	}
-	n.do(Event{Reason: ConfigTaken, Version: c.Version})
-	n.do(PutInForce{Config: c})
+	n.do(Event{Reason: ConfigApplied, Version: c.Version})
+	n.do(ApplyConfig{Config: c})
 	if n.store.answered {
-		n.started(BootstrapStore)
+		n.started(BootstrappedFromStore)
 	}
 	return true
 }
--- a/internal/decide/relay/sim_test.go
+++ b/internal/decide/relay/sim_test.go
@@ -45,7 +45,7 @@
 	version uint64         // in force
 	history []uint64
 	since   decide.Instant // when version came in force
-	leaving []relay.Sign
+	leaving []relay.LeavingSign
 	left    decide.Instant // when a sign was first in force
 }
 
@@ -98,8 +98,8 @@
 	x.node = relay.NewNode(s.Now(), relay.NewParams(i, incarnation, interval, s.rand))
 	s.nodes = append(s.nodes, x)
 	s.byID[i.ID] = x
-	s.After(time.Duration(s.rand.IntN(int(relay.TickEvery))), func() {
-		s.handle(x, func() []relay.Effect { return x.node.List(s.Now(), 1, s.list) })
+	s.After(time.Duration(s.rand.IntN(int(relay.TickInterval))), func() {
+		s.handle(x, func() []relay.Effect { return x.node.UpdateInstances(s.Now(), 1, s.list) })
 		s.tick(x)
 	})
 	return x
@@ -121,7 +121,7 @@
 		return
 	}
 	s.handle(x, func() []relay.Effect { return x.node.Tick(s.Now()) })
-	s.After(relay.TickEvery, func() { s.tick(x) })
+	s.After(relay.TickInterval, func() { s.tick(x) })
 }
 
 // handle runs an event on a node; one that is paused handles it when it wakes.
@@ -148,7 +148,7 @@
 	case relay.WatchStore:
 		s.storeCalls++
 		s.watch(x, e, s.Now().Add(e.Wait))
-	case relay.PutInForce:
+	case relay.ApplyConfig:
 		x.version, x.since = e.Config.Version, s.Now()
 		x.history = append(x.history, e.Config.Version)
 	case relay.SetLeaving:
@@ -207,7 +207,7 @@
 		var answer relay.Digest
 		s.handle(b, func() []relay.Effect {
 			var effects []relay.Effect
-			answer, effects = b.node.Heartbeat(s.Now(), e.Digest)
+			answer, effects = b.node.HeartbeatReceived(s.Now(), e.Digest)
 			s.signs += len(answer.Leaving)
 			return effects
 		})
@@ -274,7 +274,7 @@
 	c := configOf(version)
 	s.store.versions = append(s.store.versions, simVersion{config: c, at: s.Now()})
 	if through != nil {
-		s.handle(through, func() []relay.Effect { return through.node.Accepted(s.Now(), c) })
+		s.handle(through, func() []relay.Effect { return through.node.ConfigAccepted(s.Now(), c) })
 	}
 }
 
--- a/internal/decide/relay/store.go
+++ b/internal/decide/relay/store.go
@@ -24,7 +24,7 @@
 // watchOrNot finds out anew whether this instance is one of its domain's watchers.
 func (n *Node) watchOrNot(now decide.Instant) {
 	p := n.params.Member
-	is := member.Watches(watchKey, p.Self, n.members.Others(), n.params.Watchers)
+	is := member.IsWatcher(watchKey, p.Self, n.members.Others(), n.params.WatchersPerDomain)
 	if is == n.store.watcher {
 		return
 	}
@@ -56,7 +56,7 @@
 	s := &n.store
 	starting := !n.boot.done && !now.Before(s.nextRead)
 	due := s.watcher && !now.Before(s.nextRead)
-	return starting || due || (n.boot.done && n.members.Lonely(now))
+	return starting || due || (n.boot.done && n.members.TrustEndsSoon(now))
 }
 
 // WatchDone takes the outcome of a WatchStore.
@@ -80,10 +80,10 @@
 		n.take(now, c)
 	}
 	if a != StoreFailed && n.caughtUp() {
-		n.members.StoreContact(sent.Sent)
+		n.members.RecordStoreRead(sent.Sent)
 	}
 	size := len(n.news.Config().Packed) // the store sends it unpacked; see readInflation
-	n.store.nextRead = now.Add(storebudget.ReadInterval(size*readInflation, n.params.ReadEvery, n.params.ReadBytes))
+	n.store.nextRead = now.Add(storebudget.ReadInterval(size*readInflation, n.params.ReadInterval, n.params.ReadBytesPerSecond))
 	n.bootstrapRead(now, a)
 	n.heartbeats(now)
 	return n.finish(now)
@@ -98,7 +98,7 @@
 	s := &n.store
 	if a != StoreFailed {
 		if s.failures > 0 {
-			n.do(Event{Reason: StoreBack})
+			n.do(Event{Reason: StoreRegained})
 		}
 		s.failures = 0
 		return
--- a/internal/execute/shard.go
+++ b/internal/execute/shard.go
@@ -36,7 +36,7 @@
 // lease that is held gets a new fence with the next write: an order of the older plan that arrives late is
 // then refused by engines that check, like one of an older holder.
 func (s *shard) adopt() {
-	s.lease.Renounce()
+	s.lease.Abandon()
 	for _, e := range s.engines {
 		e.granted, e.reason = "", ""
 	}
@@ -262,12 +262,12 @@
 	switch {
 	case err == nil:
 		s.record = rec
-		s.lease.Written(version, x.Now())
+		s.lease.WriteSucceeded(version, x.Now())
 		return true
 	case errors.As(err, &conflict):
-		s.lease.Refused()
+		s.lease.WriteConflicted()
 	case !errors.Is(err, objects.ErrUnavailable):
-		s.lease.Unknown()
+		s.lease.WriteUnknown()
 	}
 	x.Log.Warn("lease not written", "shard", shardName(s.number), "error", err)
 	return false
@@ -278,19 +278,19 @@
 	if err != nil {
 		return 0, fmt.Errorf("encode lease: %w", err)
 	}
-	s.lease.Sending(x.Now())
+	s.lease.BeginWrite(x.Now())
 	return x.Store.Put(ctx, objects.Write{Key: s.key(), IfVersion: s.lease.IfVersion(), WriteID: x.NewID(), Value: data})
 }
 
 // release gives a lease back. It is not trusted any more from before the write is sent: where the answer
 // is lost, the write may have taken effect and another instance may hold the lease at once.
 func (x *Executor) release(ctx context.Context, s *shard) error {
-	s.lease.Renounce()
+	s.lease.Abandon()
 	rec := s.record
 	rec.Holder = ""
 	version, err := x.put(ctx, s, rec)
 	if err != nil {
-		s.lease.Refused()
+		s.lease.WriteConflicted()
 		return err
 	}
 	s.record = rec
--- a/internal/follow/calls.go
+++ b/internal/follow/calls.go
@@ -138,7 +138,7 @@
 func (f *Follower) takeList(l wire.InstanceList) int {
 	all := instances(l)
 	f.deps.Keeper.SetInstances(l)
-	f.handle(func(now decide.Instant) []relay.Effect { return f.node.List(now, l.Version, all) })
+	f.handle(func(now decide.Instant) []relay.Effect { return f.node.UpdateInstances(now, l.Version, all) })
 	f.client.Keep(f.peerAddrs())
 	f.forgetBoots(l)
 	return len(all)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -61,7 +61,7 @@
 	mu    sync.Mutex
 	node  *relay.Node                 // guarded by mu
 	work  context.Context             // guarded by mu; of the calls, set by Run
-	signs []relay.Sign                // guarded by mu
+	signs []relay.LeavingSign         // guarded by mu
 	boots map[fleet.UpstreamID]string // guarded by mu: as the upstreams tell themselves
 }
 
@@ -152,7 +152,7 @@
 	f.mu.Unlock()
 	f.calls.Go(func() { f.serve(ctx) })
 	f.calls.Go(func() { f.pollList(ctx) })
-	tick := time.NewTicker(relay.TickEvery)
+	tick := time.NewTicker(relay.TickInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		f.handle(func(now decide.Instant) []relay.Effect { return f.node.Tick(now) })
@@ -197,7 +197,7 @@
 func (f *Follower) carryOut(effects []relay.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case relay.PutInForce:
+		case relay.ApplyConfig:
 			f.putInForce(e.Config)
 		case relay.SetLeaving:
 			f.signs = e.Signs
@@ -264,7 +264,7 @@
 	var answer relay.Digest
 	f.handle(func(now decide.Instant) []relay.Effect {
 		var effects []relay.Effect
-		answer, effects = f.node.Heartbeat(now, d)
+		answer, effects = f.node.HeartbeatReceived(now, d)
 		return effects
 	})
 	return answer
@@ -281,7 +281,7 @@
 		return
 	}
 	f.handle(func(now decide.Instant) []relay.Effect {
-		return f.node.Accepted(now, relay.Config{Version: version, Packed: packed})
+		return f.node.ConfigAccepted(now, relay.Config{Version: version, Packed: packed})
 	})
 }
 
@@ -303,7 +303,7 @@
 	var ids []fleet.UpstreamID
 	for _, s := range f.signs { // sorted by upstream
 		same := len(ids) > 0 && ids[len(ids)-1] == s.Upstream
-		if !same && relay.Left(f.signs, s.Upstream, f.boots[s.Upstream]) {
+		if !same && relay.IsLeaving(f.signs, s.Upstream, f.boots[s.Upstream]) {
 			ids = append(ids, s.Upstream)
 		}
 	}
@@ -315,7 +315,7 @@
 func (f *Follower) InForce(version uint64) (have, of int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	have, of = f.node.Members().InForce(f.now(), version)
+	have, of = f.node.Members().CountInForce(f.now(), version)
 	if f.node.Config().Version >= version {
 		have++
 	}
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -42,7 +42,7 @@
 		ConfigVersion: d.ConfigVersion, ListVersion: d.ListVersion, SignsHash: d.SignsHash, Trusted: d.Trusted,
 	}
 	for _, s := range d.Leaving {
-		out.Leaving = append(out.Leaving, relay.Sign{
+		out.Leaving = append(out.Leaving, relay.LeavingSign{
 			Upstream: fleet.UpstreamID(s.Upstream), Boot: s.Boot, Round: s.Round,
 			Age: time.Duration(s.AgeMs) * time.Millisecond,
 		})
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -71,7 +71,7 @@
 	sent := relay.Digest{
 		Instance: "a", Incarnation: 1, ConfigVersion: 7, ListVersion: 3,
 		SignsHash: 1 << 63, Trusted: true,
-		Leaving: []relay.Sign{{Upstream: "engine-1", Boot: "x", Round: 2, Age: 1500 * time.Millisecond}},
+		Leaving: []relay.LeavingSign{{Upstream: "engine-1", Boot: "x", Round: 2, Age: 1500 * time.Millisecond}},
 	}
 	got, err := c.Heartbeat(context.Background(), addr, sent)
 	is.NoErr(err)
@@ -217,7 +217,7 @@
 		d.SignsHash = 0xfedcba9876543210
 	}
 	for i := range signs {
-		d.Leaving = append(d.Leaving, relay.Sign{
+		d.Leaving = append(d.Leaving, relay.LeavingSign{
 			Upstream: fleet.UpstreamID(fmt.Sprintf("engine-poa-a-%04d", i)), Boot: "0123456789abcdef", Round: 1, Age: time.Second,
 		})
 	}
--- a/internal/placement/hub.go
+++ b/internal/placement/hub.go
@@ -51,7 +51,7 @@
 	dirty               chan struct{}                           // holds a token while something has changed since the last step
 	fullCopies          fullCopyCache                           // guarded by mu
 	firstAttached       decide.Instant                          // guarded by mu: when the first instance attached
-	readers             readers.State                           // guarded by mu
+	readers             readers.Selector                        // guarded by mu
 	duties              map[fleet.InstanceID]pb.ToEntry_Duty    // guarded by mu: as last sent
 	announcedDepartures map[fleet.Process]bool                  // guarded by mu: departures already broadcast
 	limits              *limitTable                             // limits that upstreams advertise, which the services' states apply
--- a/internal/placement/reading.go
+++ b/internal/placement/reading.go
@@ -90,16 +90,16 @@
 		return
 	}
 	now := h.now()
-	report := readers.Report{Age: unprovenAge}
+	report := readers.Report{ProofAge: unprovenAge}
 	for _, m := range reads {
 		p := decodeProof(m)
-		report.Failing = max(report.Failing, p.Failing)
+		report.FailingFor = max(report.FailingFor, p.Failing)
 		if p.Known {
-			report.Age = min(report.Age, p.Age)
+			report.ProofAge = min(report.ProofAge, p.Age)
 		}
 	}
-	h.readers.Report(now, instance, report)
-	outage := h.readers.Lost(now)
+	h.readers.HandleReport(now, instance, report)
+	outage := h.readers.OutageDuration(now)
 	for _, m := range reads {
 		p := decodeProof(m)
 		p.Failing = outage
--- a/internal/watch/calls_test.go
+++ b/internal/watch/calls_test.go
@@ -147,7 +147,7 @@
 type told struct {
 	store     *calledStore
 	followers []*Follower
-	readers   readers.State
+	readers   readers.Selector
 	start     time.Time
 	changes   chan Change
 }
@@ -206,16 +206,16 @@
 		if reads == nil {
 			continue
 		}
-		report := readers.Report{Age: time.Hour}
+		report := readers.Report{ProofAge: time.Hour}
 		for _, p := range reads {
-			report.Failing = max(report.Failing, p.Failing)
+			report.FailingFor = max(report.FailingFor, p.Failing)
 			if p.Known {
-				report.Age = min(report.Age, p.Age)
+				report.ProofAge = min(report.ProofAge, p.Age)
 			}
 		}
-		f.readers.Report(now, all[i].ID, report)
+		f.readers.HandleReport(now, all[i].ID, report)
 		for _, p := range reads {
-			p.Failing = f.readers.Lost(now)
+			p.Failing = f.readers.OutageDuration(now)
 			for _, other := range f.followers {
 				if other.Prove(p) {
 					if whole, ok := one.Whole(p.Kind); ok {
