--- a/internal/decide/relay/bootstrap.go
+++ b/internal/decide/relay/bootstrap.go
@@ -8,58 +8,62 @@
 )
 
 const (
-	// bootstrapPeers are asked together while the store does not answer. One alone may be behind.
-	bootstrapPeers = 4
-	// bootstrapEvery is the time between rounds.
-	bootstrapEvery = time.Second
+	// maxBootstrapPeers is how many peers are asked in one round while the store is unavailable. A single peer may
+	// be behind.
+	maxBootstrapPeers = 4
+	// bootstrapInterval is the time between two rounds.
+	bootstrapInterval = time.Second
 )
 
-// bootstrap gets a new instance its first configuration: from the store; in an outage, the highest of
-// several peers, those of other failure domains first. An instance never gets ready without one.
+// bootstrap obtains the first configuration of a new instance: from the store or, during an outage of the store,
+// the highest version that several peers hold. Peers of other failure domains are asked first. An instance never
+// becomes ready without a configuration.
 type bootstrap struct {
-	done    bool
-	waiting int // answers of this round that are still to come
-	next    decide.Instant
+	done      bool
+	pending   int            // pulls of the current round in flight
+	nextRound decide.Instant // earliest start of the next round
 }
 
-// bootstrapRead takes the outcome of a read of the store while starting up.
-func (n *Node) bootstrapRead(now decide.Instant, a StoreAnswer) {
-	if n.boot.done {
+// bootstrapStoreRead handles the outcome of a store read during start-up: a configuration from the store completes
+// the start-up, a failure may start a round of pulls from peers.
+func (n *Node) bootstrapStoreRead(now decide.Instant, a StoreAnswer) {
+	if n.bootstrap.done {
 		return
 	}
-	if a != StoreFailed && n.news.Config().Version > 0 {
-		n.started(BootstrappedFromStore)
+	if a != StoreFailed && n.shared.Config().Version > 0 {
+		n.finishBootstrap(BootstrappedFromStore)
 		return
 	}
-	n.tickBootstrap(now)
+	n.startBootstrapRound(now)
 }
 
-// tickBootstrap starts a round of peers when the store has failed and no round is out.
-func (n *Node) tickBootstrap(now decide.Instant) {
-	b := &n.boot
-	if b.done || n.store.failures == 0 || b.waiting > 0 || now.Before(b.next) {
+// startBootstrapRound sends a round of pulls to peers if the store has failed, no round is in flight and
+// bootstrapInterval has passed.
+func (n *Node) startBootstrapRound(now decide.Instant) {
+	b := &n.bootstrap
+	if b.done || n.store.failures == 0 || b.pending > 0 || now.Before(b.nextRound) {
 		return
 	}
-	b.next = now.Add(bootstrapEvery)
-	for _, p := range n.bootstrapPeers() {
-		b.waiting++
-		n.do(PullConfig{From: p, Sent: now, Bootstrap: true})
+	b.nextRound = now.Add(bootstrapInterval)
+	for _, p := range n.chooseBootstrapPeers() {
+		b.pending++
+		n.emit(PullConfig{From: p, Sent: now, Bootstrap: true})
 	}
 }
 
-// bootstrapPeers gives the peers to ask, other failure domains first, at random places in the list so
-// that many new instances do not all ask the same few.
-func (n *Node) bootstrapPeers() []fleet.Instance {
+// chooseBootstrapPeers returns the peers for one round, those of other failure domains first. It starts at a
+// random position in the list, so that many new instances don't all ask the same few.
+func (n *Node) chooseBootstrapPeers() []fleet.Instance {
 	all := n.members.Others()
 	if len(all) == 0 {
 		return nil
 	}
 	start := decide.IntN(n.params.Rand, len(all))
 	var chosen []fleet.Instance
-	for _, foreign := range []bool{true, false} {
+	for _, otherDomain := range []bool{true, false} {
 		for i := range all {
 			c := all[(start+i)%len(all)]
-			if len(chosen) < bootstrapPeers && (c.Domain != n.params.Member.Self.Domain) == foreign {
+			if len(chosen) < maxBootstrapPeers && (c.Domain != n.params.Member.Self.Domain) == otherDomain {
 				chosen = append(chosen, c)
 			}
 		}
@@ -67,24 +71,25 @@
 	return chosen
 }
 
-// bootstrapAnswer takes that one peer of the round answered or failed.
-func (n *Node) bootstrapAnswer() {
-	b := &n.boot
-	b.waiting--
-	if b.done || b.waiting > 0 {
+// bootstrapPullDone records that one pull of the round ended. After the last one, the start-up is complete if any
+// peer had a configuration.
+func (n *Node) bootstrapPullDone() {
+	b := &n.bootstrap
+	b.pending--
+	if b.done || b.pending > 0 {
 		return
 	}
-	if n.news.Config().Version == 0 {
-		n.do(Event{Reason: BootstrapFailed})
+	if n.shared.Config().Version == 0 {
+		n.emit(Event{Reason: BootstrapFailed})
 		return
 	}
-	n.started(BootstrappedFromPeers)
+	n.finishBootstrap(BootstrappedFromPeers)
 }
 
-// started ends the start-up, once.
-func (n *Node) started(r decide.Reason) {
-	if !n.boot.done {
-		n.boot.done = true
-		n.do(Event{Reason: r, Version: n.news.Config().Version})
+// finishBootstrap marks the start-up as complete and logs why. Later calls have no effect.
+func (n *Node) finishBootstrap(r decide.Reason) {
+	if !n.bootstrap.done {
+		n.bootstrap.done = true
+		n.emit(Event{Reason: r, Version: n.shared.Config().Version})
 	}
 }
--- a/internal/decide/relay/effect.go
+++ b/internal/decide/relay/effect.go
@@ -10,10 +10,10 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Reasons of this package, beside those of member and pause.
+// Reasons of this package, besides those of member and pause.
 const (
 	ConfigApplied         decide.Reason = "config_taken"
-	ConfigStale           decide.Reason = "config_older" // not above the one in force: dropped
+	ConfigStale           decide.Reason = "config_older" // not above the version in force, dropped
 	BootstrappedFromStore decide.Reason = "bootstrap_store"
 	BootstrappedFromPeers decide.Reason = "bootstrap_peers"
 	BootstrapFailed       decide.Reason = "bootstrap_failed"
@@ -23,7 +23,7 @@
 	WatcherStopped        decide.Reason = "watcher_stopped"
 	SignReceived          decide.Reason = "upstream_leaving"
 	SignExpired           decide.Reason = "sign_expired"
-	TrustEnded            decide.Reason = "trust_ended" // nobody was heard for the bound: no new work
+	TrustEnded            decide.Reason = "trust_ended" // no exchange extended trust in time: no new work is sent
 	TrustRegained         decide.Reason = "trust_back"
 )
 
@@ -33,54 +33,56 @@
 	WatcherStarted, WatcherStopped, SignReceived, SignExpired, TrustEnded, TrustRegained,
 }, member.Reasons, pause.Reasons)
 
-// Effect is what a Node asks its driver to do. The driver does them in order, without waiting for the
-// calls among them, and hands each call's outcome back with the effect itself.
+// Effect is an action that a Node requests from its driver. The driver carries out effects in order and doesn't
+// wait for calls to finish. It returns the outcome of each call to the Node, together with the effect.
 type Effect interface{ effect() }
 
-// SendHeartbeat exchanges digests with a peer; outcome to HeartbeatDone.
+// SendHeartbeat exchanges digests with a peer; the outcome goes to HeartbeatDone.
 type SendHeartbeat struct {
 	To     fleet.Instance
 	Sent   decide.Instant
 	Digest Digest
 }
 
-// PullConfig asks an instance for its configuration above a version; outcome to PullDone.
+// PullConfig requests the configuration of an instance if its version is higher than Above; the outcome goes to
+// PullDone.
 type PullConfig struct {
 	From      fleet.Instance
 	Sent      decide.Instant
 	Above     uint64
-	Bootstrap bool
+	Bootstrap bool // part of the start-up of this instance
 }
 
-// ReadStore reads the configuration object; outcome to ReadDone.
+// ReadStore reads the configuration object; the outcome goes to ReadDone.
 type ReadStore struct {
 	Sent decide.Instant
 }
 
-// WatchStore waits for a configuration above a version; outcome to WatchDone.
+// WatchStore waits for a configuration with a version above Above, at most for Wait; the outcome goes to
+// WatchDone.
 type WatchStore struct {
 	Sent  decide.Instant
 	Above uint64
 	Wait  time.Duration
 }
 
-// PutInForce hands a new configuration to the writer of the view.
+// ApplyConfig passes a new configuration to the writer of the view.
 type ApplyConfig struct {
 	Config Config
 }
 
-// SetLeaving hands the signs in force to the writer of the view.
+// SetLeaving passes the signs in force to the writer of the view.
 type SetLeaving struct {
 	Signs []LeavingSign
 }
 
-// Event is one line for the log.
+// Event is one log line.
 type Event struct {
 	Reason  decide.Reason
 	Peer    fleet.InstanceID // "": none
-	Version uint64           // of the configuration it is about; 0: none
-	Gap     time.Duration    // of a pause
-	Sign    LeavingSign      // of SignTaken
+	Version uint64           // of the configuration concerned; 0: none
+	Gap     time.Duration    // length of a pause
+	Sign    LeavingSign      // set with SignReceived
 }
 
 func (SendHeartbeat) effect() {}
@@ -97,6 +99,6 @@
 // The outcomes of a call to the store.
 const (
 	StoreFailed StoreAnswer = iota
-	StoreFound              // the configuration is beside it
-	StoreAbsent             // there is no configuration yet, or no change for a watch
+	StoreFound              // a configuration is returned
+	StoreAbsent             // no configuration exists yet, or a watch ended without a change
 )
--- a/internal/decide/relay/fault_test.go
+++ b/internal/decide/relay/fault_test.go
@@ -12,14 +12,15 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/relay"
 )
 
-// Bounds of the promises, from the first sign.
+// Limits of the guarantees: drainBound from the acceptance of a configuration, leavingBound from the first leaving
+// sign.
 const (
-	domainOutBound = 3 * time.Second
-	leavingBound   = 2 * time.Second
+	drainBound   = 3 * time.Second
+	leavingBound = 2 * time.Second
 )
 
-// neverReverts checks every instance's configurations in the order in which they came in force.
-func neverReverts(t *testing.T, s *sim) {
+// checkNeverReverts checks that each instance's configurations came into force in ascending order.
+func checkNeverReverts(t *testing.T, s *sim) {
 	t.Helper()
 	for _, x := range s.nodes {
 		for i := 1; i < len(x.history); i++ {
@@ -30,266 +31,269 @@
 	}
 }
 
-// An operator takes a domain out; minutes later it takes work again and nobody put it back. A replica of
-// the store that lags answered a watcher with the version before.
+// A lagging replica of the store answers a watcher's read with the previous version. A drained failure domain
+// would get work again although no operator restored it.
 func TestAStaleReadDoesNotRevert(t *testing.T) {
 	is := is.New(t)
 	s := newSim(9, 3, 1, 0)
-	s.run(5*at, nil)
+	s.run(5*second, nil)
 	s.accept(2, s.nodes[0])
-	is.True(s.run(10*at, func() bool { return s.everywhere(2) }))
-	s.store.stale = 1 // reads give version 1 again
-	s.run(40*at, nil)
-	is.True(s.everywhere(2))
-	is.True(s.reasons[relay.ConfigStale] > 0) // the stale reads were seen and dropped
-	neverReverts(t, s)
+	is.True(s.run(10*second, func() bool { return s.inForceEverywhere(2) }))
+	s.store.stale = 1 // reads return version 1 again
+	s.run(40*second, nil)
+	is.True(s.inForceEverywhere(2))
+	is.True(s.reasons[relay.ConfigStale] > 0) // the stale reads arrived and were dropped
+	checkNeverReverts(t, s)
 }
 
-// An operator confirms a plan and the command fails: the write's answer was lost, and the instance that
-// wrote it died before it could read it back. The write took effect; it must come in force everywhere
-// although no instance was told of it.
+// An operator confirms a plan and the command fails: the response to the write is lost, and the writing instance
+// stops before it can read the object back. The write took effect, so it must come into force everywhere although
+// no instance was notified of it.
 func TestAnEffectiveWriteWithALostAnswerComesInForce(t *testing.T) {
 	is := is.New(t)
 	s := newSim(9, 3, 1, 0)
-	s.store.lag = time.Hour // the watch shows nothing either
-	s.run(5*at, nil)
+	s.store.lag = time.Hour // watches do not show the write either
+	s.run(5*second, nil)
 	s.nodes[0].dead = true
 	s.accept(2, nil)
-	is.True(s.run(5*at+decide.Instant(domainOutBound), func() bool { return s.everywhere(2) }))
-	t.Logf("in force everywhere %v after a write that nobody was told of, with the watch hanging", s.Now().Sub(5*at))
-	neverReverts(t, s)
+	is.True(s.run(5*second+decide.Instant(drainBound), func() bool { return s.inForceEverywhere(2) }))
+	t.Logf("in force everywhere %v after a write whose instance stopped, with the watch hanging", s.Now().Sub(5*second))
+	checkNeverReverts(t, s)
 }
 
-// An instance is replaced by one with the same id while a change spreads. The new one must not bring the
-// old version back, and late answers to its former self must not count for it.
+// An instance is replaced by one with the same id while a change propagates. The replacement must not bring the
+// old version back, and late replies to the earlier incarnation must not count for it.
 func TestAnInstanceReplacedInTheMiddle(t *testing.T) {
 	is := is.New(t)
 	s := newSim(100, 16, 4, 0.05)
-	s.run(5*at, nil)
+	s.run(5*second, nil)
 	s.accept(2, s.nodes[0])
-	s.run(5*at+decide.Instant(60*time.Millisecond), nil)
-	var fresh []*simNode
+	s.run(5*second+decide.Instant(60*time.Millisecond), nil)
+	var replacements []*simNode
 	for _, i := range s.list[:40] {
-		fresh = append(fresh, s.start(i, 2))
+		replacements = append(replacements, s.start(i, 2))
 	}
 	s.accept(3, s.nodes[50])
-	is.True(s.run(15*at, func() bool { return s.everywhere(3) }))
-	s.run(20*at, nil)
-	for _, x := range fresh {
-		is.True(s.sends(x)) // ready and trusted
+	is.True(s.run(15*second, func() bool { return s.inForceEverywhere(3) }))
+	s.run(20*second, nil)
+	for _, x := range replacements {
+		is.True(s.canSend(x)) // ready and trusted
 	}
 	is.True(s.reasons["peer_restarted"] > 0)
-	neverReverts(t, s)
+	checkNeverReverts(t, s)
 }
 
-// The store is down for long and instances are replaced meanwhile, one after the other. New ones must get
-// the highest version of several peers in other domains, and serve.
+// Instances are replaced one after the other during a long outage of the store. Each replacement must obtain the
+// highest version from several peers in other failure domains, and serve.
 func TestBootstrapFromPeersWhileTheStoreIsDown(t *testing.T) {
 	is := is.New(t)
 	s := newSim(9, 3, 1, 0)
-	s.run(5*at, nil)
+	s.run(5*second, nil)
 	s.accept(2, s.nodes[0])
-	s.run(8*at, nil)
+	s.run(8*second, nil)
 	s.store.down = true
 	for i, inst := range s.list {
 		s.run(decide.Instant(time.Duration(10+10*i)*time.Second), nil)
 		s.start(inst, 2)
 	}
-	s.run(120*at, nil)
+	s.run(120*second, nil)
 	is.Equal(s.reasons[relay.BootstrappedFromPeers], 9)
-	for _, x := range s.live() {
+	for _, x := range s.running() {
 		is.Equal(x.version, uint64(2))
-		is.True(s.sends(x))
+		is.True(s.canSend(x))
 	}
-	neverReverts(t, s)
+	checkNeverReverts(t, s)
 }
 
-// The whole fleet is replaced at once while the store is down: nobody has a configuration any more. What
-// can still be promised: no instance gets ready, so all is refused as not run, and nothing old comes in
-// force; when the store is back, all take its highest version.
+// The whole fleet is replaced at once during an outage of the store, so that no instance has a configuration. No
+// instance may become ready, so that requests are refused as not run, and no old version may come into force. Once
+// the store is available, all instances apply its highest version.
 func TestTheWholeFleetReplacedWhileTheStoreIsDown(t *testing.T) {
 	is := is.New(t)
 	s := newSim(9, 3, 1, 0)
-	s.run(5*at, nil)
+	s.run(5*second, nil)
 	s.accept(2, s.nodes[0])
-	s.run(8*at, nil)
+	s.run(8*second, nil)
 	s.store.down = true
 	for _, inst := range s.list {
 		s.start(inst, 2)
 	}
-	s.run(60*at, nil)
-	for _, x := range s.live() {
+	s.run(60*second, nil)
+	for _, x := range s.running() {
 		is.True(!x.node.Ready())
 		is.Equal(x.version, uint64(0))
 	}
 	s.store.down = false
-	is.True(s.run(70*at, func() bool { return s.everywhere(2) }))
-	t.Logf("in force everywhere %v after the store's return", s.Now().Sub(60*at))
-	s.run(75*at, nil)
-	for _, x := range s.live() {
-		is.True(s.sends(x))
+	is.True(s.run(70*second, func() bool { return s.inForceEverywhere(2) }))
+	t.Logf("in force everywhere %v after the store became available", s.Now().Sub(60*second))
+	s.run(75*second, nil)
+	for _, x := range s.running() {
+		is.True(s.canSend(x))
 	}
-	neverReverts(t, s)
+	checkNeverReverts(t, s)
 }
 
-// A failure domain is cut off from everything, a change is accepted elsewhere, the domain returns. The cut
-// off instances must stop sending work within the bound, and have the change before they send again.
+// A failure domain is cut off from everything while a change is accepted elsewhere, and then reconnected. Its
+// instances must stop sending work within the bound, and must have the change before they send again.
 func TestADomainCutOffAndReturned(t *testing.T) {
 	for _, z := range sizes {
 		t.Run(fmt.Sprint(z.n), func(t *testing.T) {
 			is := is.New(t)
 			s := newSim(z.n, z.domains, z.regions, 0.05)
-			s.run(4*at, nil)
-			s.cut["domain-1"] = true
-			s.run(5*at, nil)
+			s.run(4*second, nil)
+			s.cutDomains["domain-1"] = true
+			s.run(5*second, nil)
 			s.accept(2, s.nodes[0])
-			s.run(5*at+decide.Instant(domainOutBound), nil)
+			s.run(5*second+decide.Instant(drainBound), nil)
 			for _, x := range s.nodes {
-				is.True(!s.sends(x) || x.version == 2) // nobody sends work by the old version
+				is.True(!s.canSend(x) || x.version == 2) // no instance sends work with the old version
 				is.Equal(x.version == 1, x.Domain == "domain-1")
 			}
-			s.run(12*at, nil)
-			s.cut["domain-1"] = false
-			var cutOff []*simNode // the others have the change
+			s.run(12*second, nil)
+			s.cutDomains["domain-1"] = false
+			var isolated []*simNode // the only instances that lack the change
 			for _, x := range s.nodes {
 				if x.Domain == "domain-1" {
-					cutOff = append(cutOff, x)
+					isolated = append(isolated, x)
 				}
 			}
-			behind := func() bool {
-				for _, x := range cutOff {
-					if s.sends(x) && x.version < 2 {
-						t.Errorf("%s sends work by version %d after its return", x.ID, x.version)
+			converged := func() bool {
+				for _, x := range isolated {
+					if s.canSend(x) && x.version < 2 {
+						t.Errorf("%s sends work with version %d after it was reconnected", x.ID, x.version)
 						return true
 					}
 				}
-				return s.everywhere(2)
+				return s.inForceEverywhere(2)
 			}
-			is.True(s.run(30*at, behind))
-			t.Logf("in force everywhere %v after the return", s.Now().Sub(12*at))
-			neverReverts(t, s)
+			is.True(s.run(30*second, converged))
+			t.Logf("in force everywhere %v after the domain was reconnected", s.Now().Sub(12*second))
+			checkNeverReverts(t, s)
 		})
 	}
 }
 
-// holdUp is one of the ways in which the news can be held up.
-type holdUp struct {
-	name string
-	do   func(*sim)
+// fault is a way in which the propagation of a change can be delayed.
+type fault struct {
+	name   string
+	inject func(*sim)
 }
 
-var holdUps = []holdUp{
+var faults = []fault{
 	{"none", func(*sim) {}},
 	{"the store's watch lags", func(s *sim) { s.store.lag = 10 * time.Second }},
-	{"an instance is cut off", func(s *sim) { s.nodes[5].lonely = true }},
+	{"an instance is cut off", func(s *sim) { s.nodes[5].isolated = true }},
 	{"a fifth of the messages is lost", func(s *sim) { s.loss = 0.2 }},
 	{"the watch lags and a fifth is lost", func(s *sim) { s.loss, s.store.lag = 0.2, 10*time.Second }},
 }
 
-// holdUpsAt gives all for the small fleets and the worst one for the largest, which takes longest to run.
-func holdUpsAt(z size) []holdUp {
+// faultsFor returns all faults for small fleets, and only the worst one for the largest, which takes longest to
+// simulate.
+func faultsFor(z size) []fault {
 	if z.n > 100 {
-		return holdUps[len(holdUps)-1:]
+		return faults[len(faults)-1:]
 	}
-	return holdUps
+	return faults
 }
 
-// An operator takes a failure domain out; requests still go there after the few seconds that were
-// promised, through one instance that was cut off or whose watch lagged.
+// A failure domain is drained. An instance that is cut off, or whose watch lags, must not send requests there
+// after the guaranteed few seconds.
 func TestADomainTakenOutGetsNoWorkWithinTheBound(t *testing.T) {
 	for _, z := range sizes {
-		for _, h := range holdUpsAt(z) {
+		for _, h := range faultsFor(z) {
 			t.Run(fmt.Sprintf("%d/%s", z.n, h.name), func(t *testing.T) {
 				is := is.New(t)
 				s := newSim(z.n, z.domains, z.regions, 0)
-				s.run(4*at, nil)
-				h.do(s)
-				s.accept(2, s.nodes[0]) // the instance was in contact until this moment
-				last := s.lastSender(4*at+decide.Instant(domainOutBound), func(x *simNode) bool { return x.version < 2 })
-				t.Logf("last instance that could send there: %v after acceptance", last.Sub(4*at))
-				is.True(last.Sub(4*at) < domainOutBound)
+				s.run(4*second, nil)
+				h.inject(s)
+				s.accept(2, s.nodes[0]) // an isolated instance was in contact until this moment
+				last := s.lastStaleSend(4*second+decide.Instant(drainBound), func(x *simNode) bool { return x.version < 2 })
+				t.Logf("last instance that could send there: %v after acceptance", last.Sub(4*second))
+				is.True(last.Sub(4*second) < drainBound)
 			})
 		}
 	}
 }
 
-// An upstream says that it is leaving, to one instance; another goes on sending work to it.
+// An upstream reports to one instance that it is leaving. The other instances must stop sending work to it within the
+// bound.
 func TestALeavingUpstreamGetsNoWorkWithinTheBound(t *testing.T) {
 	for _, z := range sizes {
-		for _, h := range holdUpsAt(z) {
+		for _, h := range faultsFor(z) {
 			t.Run(fmt.Sprintf("%d/%s", z.n, h.name), func(t *testing.T) {
 				is := is.New(t)
 				s := newSim(z.n, z.domains, z.regions, 0)
-				s.run(4*at, nil)
-				h.do(s)
+				s.run(4*second, nil)
+				h.inject(s)
 				x := s.nodes[0]
 				s.handle(x, func() []relay.Effect { return x.node.UpstreamLeaving(s.Now(), "engine-1", "boot-1") })
-				last := s.lastSender(4*at+decide.Instant(leavingBound), func(x *simNode) bool {
+				last := s.lastStaleSend(4*second+decide.Instant(leavingBound), func(x *simNode) bool {
 					return !relay.IsLeaving(x.leaving, "engine-1", "boot-1")
 				})
-				t.Logf("last instance that could send there: %v after the first sign", last.Sub(4*at))
-				is.True(last.Sub(4*at) < leavingBound)
+				t.Logf("last instance that could send there: %v after the first sign", last.Sub(4*second))
+				is.True(last.Sub(4*second) < leavingBound)
 			})
 		}
 	}
 }
 
-// lastSender gives the last moment until the bound at which an instance that does not know could send.
-func (s *sim) lastSender(bound decide.Instant, ignorant func(*simNode) bool) decide.Instant {
+// lastStaleSend advances time to the bound and returns the last moment at which an instance with a stale state
+// could still send new work.
+func (s *sim) lastStaleSend(bound decide.Instant, stale func(*simNode) bool) decide.Instant {
 	const step = 10 * time.Millisecond
 	last := s.Now()
 	for ; s.Now() < bound; s.run(s.Now().Add(step), nil) {
 		for _, x := range s.nodes {
-			if s.sends(x) && ignorant(x) {
+			if s.canSend(x) && stale(x) {
 				last = s.Now()
 				break
 			}
 		}
 	}
 	for _, x := range s.nodes {
-		if s.sends(x) && ignorant(x) {
+		if s.canSend(x) && stale(x) {
 			return bound
 		}
 	}
 	return last
 }
 
-// Signs must end: instances that hand them to one another could keep an upstream out for good. The same
-// upstream started anew is another boot and not held to the sign.
+// Leaving signs must expire: instances that exchange them could otherwise keep an upstream without work forever. A
+// restarted upstream has another boot, to which the sign doesn't apply.
 func TestSignsEndEverywhere(t *testing.T) {
 	is := is.New(t)
 	s := newSim(9, 3, 1, 0.05)
-	s.run(5*at, nil)
+	s.run(5*second, nil)
 	x := s.nodes[0]
 	s.handle(x, func() []relay.Effect { return x.node.UpstreamLeaving(s.Now(), "engine-1", "boot-1") })
-	s.run(10*at, nil)
+	s.run(10*second, nil)
 	for _, x := range s.nodes {
 		is.True(relay.IsLeaving(x.leaving, "engine-1", "boot-1"))
 		is.True(!relay.IsLeaving(x.leaving, "engine-1", "boot-2"))
 	}
-	s.run(5*at+decide.Instant(relay.LeavingSignTTL)+5*at, nil)
+	s.run(5*second+decide.Instant(relay.LeavingSignTTL)+5*second, nil)
 	for _, x := range s.nodes {
 		is.Equal(len(x.leaving), 0)
 	}
 }
 
-// An upstream takes long to leave, longer than a sign lives, and one instance polls it. Elsewhere the sign
-// must not lapse in between: work would go to the upstream again for a moment. Known signs must not make
-// every heartbeat larger either.
+// An upstream takes longer to leave than a sign lasts, and one instance polls it. The sign must not lapse on other
+// instances in between, as these would send work to the upstream again for a moment. Known signs must not enlarge
+// every heartbeat either.
 func TestASignLivesWhileASourceSeesIt(t *testing.T) {
 	is := is.New(t)
 	s := newSim(9, 3, 1, 0.05)
-	s.run(5*at, nil)
+	s.run(5*second, nil)
 	x := s.nodes[0]
-	var see func()
-	see = func() {
+	var observe func()
+	observe = func() {
 		s.handle(x, func() []relay.Effect { return x.node.UpstreamLeaving(s.Now(), "engine-1", "boot-1") })
-		s.After(time.Second, see)
+		s.After(time.Second, observe)
 	}
-	see()
-	s.run(8*at, nil)
-	s.signs, s.heartbeats = 0, 0
-	s.run(8*at+3*decide.Instant(relay.LeavingSignTTL), func() bool {
+	observe()
+	s.run(8*second, nil)
+	s.signsSent, s.heartbeats = 0, 0
+	s.run(8*second+3*decide.Instant(relay.LeavingSignTTL), func() bool {
 		for _, x := range s.nodes {
 			if !relay.IsLeaving(x.leaving, "engine-1", "boot-1") {
 				t.Errorf("%s: the sign lapsed at %v", x.ID, s.Now())
@@ -298,55 +302,56 @@
 		}
 		return false
 	})
-	t.Logf("%d signs in %d heartbeats", s.signs, s.heartbeats)
-	is.True(s.signs*50 < s.heartbeats)
+	t.Logf("%d signs in %d heartbeats", s.signsSent, s.heartbeats)
+	is.True(s.signsSent*50 < s.heartbeats)
 }
 
-// An instance is frozen, for a minute or only just longer than a pause; meanwhile a domain is taken out.
-// A request that it took before is sent there the moment it wakes, by what it knew. It must hear a peer
-// first.
+// An instance is paused, for a minute or only slightly longer than the pause threshold, while a failure domain is
+// drained. When it resumes, it must not send a request that it accepted earlier to that domain. It must first
+// complete an exchange with a peer.
 func TestAPausedInstanceAsksBeforeItSends(t *testing.T) {
 	for _, gap := range []time.Duration{1150 * time.Millisecond, time.Minute} {
 		t.Run(gap.String(), func(t *testing.T) {
 			for i := range 8 {
-				pauseOne(t, i+1, gap)
+				checkPausedInstance(t, i+1, gap)
 			}
 		})
 	}
 }
 
-func pauseOne(t *testing.T, i int, gap time.Duration) {
+// checkPausedInstance pauses the i-th instance for that long and checks what it sends after it resumes.
+func checkPausedInstance(t *testing.T, i int, gap time.Duration) {
 	is := is.New(t)
 	s := newSim(9, 3, 1, 0)
-	s.run(10*at, nil)
-	x, wake := s.nodes[i], (10 * at).Add(gap)
-	x.paused = wake
+	s.run(10*second, nil)
+	x, resumesAt := s.nodes[i], (10 * second).Add(gap)
+	x.pausedUntil = resumesAt
 	s.accept(2, s.nodes[0])
-	s.run(wake-1, nil) // the next event is its first after the wake
+	s.run(resumesAt-1, nil) // the next event is its first one after the pause
 	is.Equal(x.version, uint64(1))
 	_, reason := x.node.Guard().Ask(s.Now())
-	is.Equal(reason, pause.Paused) // known before any event of its own ran
-	back := s.run(wake.Add(time.Second), func() bool {
-		if s.sends(x) && x.version < 2 {
-			t.Error("sends work by the old version after its pause")
+	is.Equal(reason, pause.Paused) // detected before any event of its own
+	resumed := s.run(resumesAt.Add(time.Second), func() bool {
+		if s.canSend(x) && x.version < 2 {
+			t.Error("sends work with the old version after its pause")
 		}
-		return s.sends(x)
+		return s.canSend(x)
 	})
-	is.True(back)
-	t.Logf("sends work again %v after its wake", s.Now().Sub(wake))
+	is.True(resumed)
+	t.Logf("sends work again %v after it resumed", s.Now().Sub(resumesAt))
 	is.Equal(x.version, uint64(2))
 	is.True(s.reasons[pause.Paused] > 0)
 }
 
-// A long outage of the store alone must not stop service: instances that hear one another go on.
+// A long outage of the store alone must not stop service: instances that exchange heartbeats go on.
 func TestAStoreOutageDoesNotStopService(t *testing.T) {
 	s := newSim(9, 3, 1, 0.05)
-	s.run(10*at, nil)
+	s.run(10*second, nil)
 	s.store.down = true
-	s.run(11*at, nil)
-	s.run(600*at, func() bool {
+	s.run(11*second, nil)
+	s.run(600*second, func() bool {
 		for _, x := range s.nodes {
-			if !s.sends(x) {
+			if !s.canSend(x) {
 				t.Errorf("%s stopped at %v", x.ID, s.Now())
 				return true
 			}
@@ -355,53 +360,53 @@
 	})
 }
 
-// During an outage of the store the network fails everywhere for some seconds. Every instance stops; when
-// the network is back nobody is trusted whom the others could trust again. Service must come back all the
-// same, and without an instance that was alone in its part.
+// During an outage of the store the network fails everywhere for several seconds and every instance stops sending.
+// Afterwards no instance is trusted, so none can restore the trust of another in the usual way. Service must still
+// resume, except on an instance that remains isolated.
 func TestAFleetWideBlipDuringAStoreOutage(t *testing.T) {
 	for _, z := range sizes[:3] {
 		t.Run(fmt.Sprint(z.n), func(t *testing.T) {
 			is := is.New(t)
 			s := newSim(z.n, z.domains, z.regions, 0.05)
-			s.run(5*at, nil)
+			s.run(5*second, nil)
 			s.store.down = true
-			s.run(8*at, nil)
+			s.run(8*second, nil)
 			for _, x := range s.nodes {
-				x.lonely = true
+				x.isolated = true
 			}
-			s.run(13*at, nil)
+			s.run(13*second, nil)
 			for _, x := range s.nodes {
-				is.True(!s.sends(x))
-				x.lonely = x == s.nodes[1]
+				is.True(!s.canSend(x))
+				x.isolated = x == s.nodes[1]
 			}
 			all := func() bool {
 				n := 0
 				for _, x := range s.nodes {
-					if s.sends(x) {
+					if s.canSend(x) {
 						n++
 					}
 				}
 				return n == z.n-1
 			}
-			is.True(s.run(23*at, all))
-			t.Logf("all but the one that is cut off send again %v after the network's return", s.Now().Sub(13*at))
-			s.run(60*at, nil)
-			is.True(!s.sends(s.nodes[1]))
+			is.True(s.run(23*second, all))
+			t.Logf("all but the isolated instance send again %v after the network recovered", s.Now().Sub(13*second))
+			s.run(60*second, nil)
+			is.True(!s.canSend(s.nodes[1]))
 		})
 	}
 }
 
-// Regression bound: calls to the store for configuration, an instance and minute.
+// Regression bound: store calls for the configuration, per minute in all and per instance.
 func TestCallsToTheStore(t *testing.T) {
 	for _, z := range sizes {
 		is := is.New(t)
 		s := newSim(z.n, z.domains, z.regions, 0)
-		s.run(4*at, nil)
+		s.run(4*second, nil)
 		s.storeCalls = 0
-		s.run(14*at, nil)
+		s.run(14*second, nil)
 		s.storeCalls *= 6
 		perInstance := float64(s.storeCalls) / float64(z.n)
 		t.Logf("%d instances: %d calls a minute, %.1f an instance", z.n, s.storeCalls, perInstance)
-		is.True(s.storeCalls <= 80*min(z.n, 2*z.domains)) // the watchers call, and nobody else
+		is.True(s.storeCalls <= 80*min(z.n, 2*z.domains)) // only the watchers call
 	}
 }
--- a/internal/decide/relay/messages.go
+++ b/internal/decide/relay/messages.go
@@ -1,6 +1,6 @@
-// Package relay decides how news spreads between the instances: the one chain of configuration versions
-// and the signs that an upstream is leaving. News is flooded to a bounded number of peers at once and
-// repaired by the digests of every heartbeat.
+// Package relay decides how instances replicate the state that they share: the sequence of configuration versions
+// and the signs that upstreams are leaving. A change is flooded at once to a bounded number of peers. The digest
+// that every heartbeat carries repairs what the flooding missed.
 package relay
 
 import (
@@ -9,28 +9,29 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Digest is what an instance knows newest; each heartbeat carries the sender's and brings the peer's back.
+// Digest summarizes the newest state of an instance. Each heartbeat carries the sender's digest, and its reply
+// carries the receiver's.
 type Digest struct {
 	Instance      fleet.InstanceID
 	Incarnation   uint64 // grows with each start of the instance
 	ConfigVersion uint64 // 0: none yet
 	ListVersion   uint64
-	Trusted       bool          // the sender may send new work itself
+	Trusted       bool          // the sender itself may send new work
 	SignsHash     uint64        // of all signs that the sender holds; 0: none
-	Leaving       []LeavingSign // the signs, where the receiver is thought to hold others
+	Leaving       []LeavingSign // the signs; sent only if the receiver is expected to hold different ones
 }
 
-// Sign says that an upstream is leaving. It is about one boot of the upstream, so that the same upstream
-// started anew is not shunned.
+// LeavingSign reports that an upstream is leaving. It applies to one boot of the upstream, so that the same
+// upstream gets work again once it has restarted.
 type LeavingSign struct {
 	Upstream fleet.UpstreamID
 	Boot     string        // "": any boot
-	Round    uint32        // grows when a source sees an old sign again
-	Age      time.Duration // since the first source saw it; only grows on its way
+	Round    uint32        // incremented when a source observes an aging sign again
+	Age      time.Duration // time since a source started this round; only grows in transit
 }
 
-// Config is one version of the configuration on its way between instances. The bytes are opaque here.
+// Config is one version of the configuration as instances exchange it. This package doesn't interpret the bytes.
 type Config struct {
 	Version uint64
-	Packed  []byte // never changed once made; empty: the peer has nothing above the asked version
+	Packed  []byte // immutable; empty: the peer has no version above the requested one
 }
--- a/internal/decide/relay/pull.go
+++ b/internal/decide/relay/pull.go
@@ -10,44 +10,46 @@
 )
 
 const (
-	// maxSources bounds the instances that are remembered as ahead.
+	// maxSources bounds the remembered instances that have a higher configuration version.
 	maxSources = 4
-	// maxPulls may be out at once, from different sources.
-	maxPulls = 2
-	// hedgeAfter is how long the first pull stays the only one.
-	hedgeAfter = 250 * time.Millisecond
+	// maxPullsInFlight bounds the concurrent pulls, each from a different source.
+	maxPullsInFlight = 2
+	// hedgeDelay is how long a pull may take before a second one is sent to another source.
+	hedgeDelay = 250 * time.Millisecond
 )
 
-// pullSide fetches a configuration from an instance that is ahead: one pull at a time, so that a change
-// is fetched once however many peers tell of it; the other sources stand by for when it gets no answer.
-type pullSide struct {
-	out     []fleet.InstanceID // instances that a pull is out to
-	sent    decide.Instant     // of the latest pull
-	sources []source           // highest version first
-	heard   uint64             // highest version that anybody told of
+// pullState tracks the fetching of a configuration from instances that have a higher version. One pull is sent at
+// a time, so that a change is fetched once however many peers announce it. The other sources are used if that pull
+// takes longer than hedgeDelay or brings no configuration.
+type pullState struct {
+	inFlight     []fleet.InstanceID // instances with a pull in flight
+	lastSent     decide.Instant     // when the latest pull was sent
+	sources      []source           // by descending version
+	highestKnown uint64             // highest version that any instance has announced
 }
 
+// source is an instance that announced a version above the one in force here.
 type source struct {
-	from    fleet.Instance
-	version uint64
+	instance fleet.Instance
+	version  uint64
 }
 
-// forget drops the sources that the list no longer shows.
-func (p *pullSide) forget(m *member.Members) {
+// dropUnlisted removes the sources that are no longer in the instance list.
+func (p *pullState) dropUnlisted(m *member.Members) {
 	p.sources = slices.DeleteFunc(p.sources, func(s source) bool {
-		_, ok := m.Find(s.from.ID)
+		_, ok := m.Find(s.instance.ID)
 		return !ok
 	})
 }
 
-// drop removes one source.
-func (p *pullSide) drop(id fleet.InstanceID) {
-	p.sources = slices.DeleteFunc(p.sources, func(s source) bool { return s.from.ID == id })
+// remove removes one source.
+func (p *pullState) remove(id fleet.InstanceID) {
+	p.sources = slices.DeleteFunc(p.sources, func(s source) bool { return s.instance.ID == id })
 }
 
-// add notes a source; the lowest makes place.
-func (p *pullSide) add(s source) {
-	p.drop(s.from.ID)
+// add adds or replaces a source. Above maxSources the one with the lowest version is dropped.
+func (p *pullState) add(s source) {
+	p.remove(s.instance.ID)
 	i := 0
 	for i < len(p.sources) && p.sources[i].version >= s.version {
 		i++
@@ -56,54 +58,57 @@
 	p.sources = p.sources[:min(len(p.sources), maxSources)]
 }
 
-// behind notes that an instance has that version, and pulls if it is above the one in force here.
-func (n *Node) behind(now decide.Instant, from fleet.Instance, version uint64) {
-	if version > n.news.Config().Version {
-		n.pull.heard = max(n.pull.heard, version)
-		n.pull.add(source{from: from, version: version})
+// recordPeerVersion adds an instance as a source if its version is above the one in force here, and starts a pull
+// if one is due.
+func (n *Node) recordPeerVersion(now decide.Instant, from fleet.Instance, version uint64) {
+	if version > n.shared.Config().Version {
+		n.pull.highestKnown = max(n.pull.highestKnown, version)
+		n.pull.add(source{instance: from, version: version})
 	}
 	n.startPull(now)
 }
 
-// caughtUp tells whether the highest version that this instance heard of is in force here. While it is
-// not, no peer that is as far behind can vouch for what is known here: two slow ones would keep each
-// other sending to a domain that was taken out.
-func (n *Node) caughtUp() bool { return n.news.Config().Version >= n.pull.heard }
+// caughtUp reports whether the highest version that any instance has announced is in force here. Until then, no
+// exchange extends trust: two instances that are equally far behind would otherwise keep each other sending work
+// to a drained failure domain.
+func (n *Node) caughtUp() bool { return n.shared.Config().Version >= n.pull.highestKnown }
 
+// startPull sends a pull to the best source that has none in flight: at once if no pull is in flight, after
+// hedgeDelay as a second one. It drops the sources that are not above the version in force.
 func (n *Node) startPull(now decide.Instant) {
 	p := &n.pull
-	above := n.news.Config().Version
+	above := n.shared.Config().Version
 	p.sources = slices.DeleteFunc(p.sources, func(s source) bool { return s.version <= above })
-	if len(p.out) >= maxPulls || (len(p.out) > 0 && now.Sub(p.sent) < hedgeAfter) {
+	if len(p.inFlight) >= maxPullsInFlight || (len(p.inFlight) > 0 && now.Sub(p.lastSent) < hedgeDelay) {
 		return
 	}
 	for _, s := range p.sources {
-		if !slices.Contains(p.out, s.from.ID) {
-			p.out, p.sent = append(p.out, s.from.ID), now
-			n.do(PullConfig{From: s.from, Sent: now, Above: above})
+		if !slices.Contains(p.inFlight, s.instance.ID) {
+			p.inFlight, p.lastSent = append(p.inFlight, s.instance.ID), now
+			n.emit(PullConfig{From: s.instance, Sent: now, Above: above})
 			return
 		}
 	}
 }
 
-// PullDone takes the outcome of a PullConfig.
+// PullDone handles the outcome of a PullConfig.
 func (n *Node) PullDone(now decide.Instant, sent PullConfig, c Config, ok bool) []Effect {
 	if ok {
-		n.take(now, c) // whether the peer vouches for it shows in the answer to the next heartbeat
+		n.applyConfig(now, c) // trust is extended by the peer's reply to the next heartbeat
 	}
 	if sent.Bootstrap {
-		n.bootstrapAnswer()
+		n.bootstrapPullDone()
 	} else {
-		n.pull.ended(sent.From.ID)
+		n.pull.pullEnded(sent.From.ID)
 	}
 	n.startPull(now)
-	n.heartbeats(now)
+	n.sendDueHeartbeats(now)
 	return n.finish(now)
 }
 
-// ended takes that a pull came back, with or without a configuration. A source that failed comes up
-// again with its next digest.
-func (p *pullSide) ended(id fleet.InstanceID) {
-	p.out = slices.DeleteFunc(p.out, func(o fleet.InstanceID) bool { return o == id })
-	p.drop(id)
+// pullEnded records that a pull ended, with or without a configuration, and removes its source. A source whose
+// pull failed is added again with its next digest.
+func (p *pullState) pullEnded(id fleet.InstanceID) {
+	p.inFlight = slices.DeleteFunc(p.inFlight, func(o fleet.InstanceID) bool { return o == id })
+	p.remove(id)
 }
--- a/internal/decide/relay/random_test.go
+++ b/internal/decide/relay/random_test.go
@@ -10,55 +10,57 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide"
 )
 
-// chaos drives a small fleet through random faults, together and in a row.
-type chaos struct {
+// faultInjector exposes a small fleet to random faults, concurrent and consecutive.
+type faultInjector struct {
 	*sim
-	t        *testing.T
-	rand     *rand.Rand
-	knowable []simVersion // what the store or an instance within reach knew, each time it was looked at
-	restarts uint64
-	up       decide.Instant // when the store came back last
+	t                 *testing.T
+	rand              *rand.Rand
+	reachableVersions []simVersion // highestReachable at each check, over the last drainBound
+	restarts          uint64
+	storeUpSince      decide.Instant // when the store last became available
 }
 
-// settled is how long calls take to find out that the store is back: one that was out, and a backoff.
-const settled = storeTimeout + time.Second
+// storeRecoveryTime bounds how long instances take to find the store available again: one call in flight times
+// out, then a backoff ends.
+const storeRecoveryTime = storeTimeout + time.Second
 
-// Everything goes wrong in any order: domains and instances are cut off and return, instances freeze and
-// are replaced, messages are lost, watches lag, the store is down. At any moment, an instance that would
-// send new work must have every configuration that was accepted three seconds ago or earlier, and none may
-// go back. What only a lost store and instances know that are gone or cut off, nobody can be told; the
-// store stays up for three seconds after a write.
+// Faults in any order: failure domains and instances are cut off and return, instances pause and are replaced,
+// messages are lost, watches lag, the store is unavailable. At any moment, an instance that would send new work
+// must have every configuration that was accepted at least three seconds ago, and no instance may revert to an
+// older one. A version is required only if the store or a reachable instance could provide it throughout these
+// three seconds.
 func TestRandomFaultsNeverSendByAnOldConfiguration(t *testing.T) {
 	const runs, steps = 100, 60
-	sent := 0
+	upToDate := 0
 	for seed := range uint64(runs) {
-		c := &chaos{sim: newSeededSim(6, 3, 1, 0, seed), t: t, rand: rand.New(rand.NewPCG(seed, 99))}
-		c.let(5 * time.Second)
+		c := &faultInjector{sim: newSeededSim(6, 3, 1, 0, seed), t: t, rand: rand.New(rand.NewPCG(seed, 99))}
+		c.advance(5 * time.Second)
 		for range steps {
-			c.step()
-			c.let(time.Duration(c.rand.IntN(1500)) * time.Millisecond)
+			c.injectFault()
+			c.advance(time.Duration(c.rand.IntN(1500)) * time.Millisecond)
 		}
-		sent += c.calm()
-		neverReverts(t, c.sim)
+		upToDate += c.healAll()
+		checkNeverReverts(t, c.sim)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
 	is := is.New(t)
-	is.Equal(sent, runs*6) // when all is well again, all send by the newest
+	is.Equal(upToDate, runs*6) // after all faults have ended, every instance sends with the newest version
 }
 
-func (c *chaos) step() {
+// injectFault applies one random fault or change to a random instance, or ends one.
+func (c *faultInjector) injectFault() {
 	x := c.nodes[c.rand.IntN(len(c.nodes))]
 	switch c.rand.IntN(9) {
 	case 0, 1:
-		c.change(x)
+		c.acceptNext(x)
 	case 2:
-		c.cut[x.Domain] = !c.cut[x.Domain]
+		c.cutDomains[x.Domain] = !c.cutDomains[x.Domain]
 	case 3:
-		x.lonely = !x.lonely
+		x.isolated = !x.isolated
 	case 4:
-		x.paused = c.Now().Add(time.Duration(c.rand.IntN(5000)) * time.Millisecond)
+		x.pausedUntil = c.Now().Add(time.Duration(c.rand.IntN(5000)) * time.Millisecond)
 	case 5:
 		c.restarts++
 		c.start(x.Instance, 1+c.restarts)
@@ -68,76 +70,77 @@
 		c.store.lag = time.Duration(c.rand.IntN(2)) * 10 * time.Second
 	case 8:
 		c.store.down = !c.store.down
-		c.up = c.Now()
+		c.storeUpSince = c.Now()
 	}
 }
 
-// change accepts a version through x where it can reach the store, or through one that dies at once.
-func (c *chaos) change(x *simNode) {
+// acceptNext writes the next version through x if x can reach the store, otherwise through an instance that stops
+// right after the write.
+func (c *faultInjector) acceptNext(x *simNode) {
 	if c.store.down {
 		return
 	}
 	version := uint64(len(c.store.versions) + 1)
-	if x.dead || c.storeGone(x) || c.Now().Before(x.paused) {
+	if x.dead || c.storeUnreachable(x) || c.Now().Before(x.pausedUntil) {
 		x = nil
 	}
 	c.accept(version, x)
 }
 
-// let lets time pass and checks the promise throughout.
-func (c *chaos) let(d time.Duration) {
+// advance lets time pass and checks throughout that no instance sends with an older version than required.
+func (c *faultInjector) advance(d time.Duration) {
 	until := c.Now().Add(d)
 	for c.Now() < until && !c.t.Failed() {
 		c.run(min(until, c.Now().Add(20*time.Millisecond)), nil)
-		newest := c.newest()
-		for _, x := range c.live() {
-			if c.sends(x) && x.version < newest {
-				c.t.Errorf("%s sends by version %d at %v; %d could be known for three seconds", x.ID, x.version, c.Now(), newest)
+		required := c.requiredVersion()
+		for _, x := range c.running() {
+			if c.canSend(x) && x.version < required {
+				c.t.Errorf("%s sends with version %d at %v; version %d has been reachable for three seconds", x.ID, x.version, c.Now(), required)
 			}
 		}
 	}
 }
 
-// newest is the highest version that could be known all through the bound.
-func (c *chaos) newest() uint64 {
-	c.knowable = append(c.knowable, simVersion{config: configOf(c.known()), at: c.Now()})
+// requiredVersion returns the highest version that was reachable throughout the last drainBound.
+func (c *faultInjector) requiredVersion() uint64 {
+	c.reachableVersions = append(c.reachableVersions, simVersion{config: configOf(c.highestReachable()), at: c.Now()})
 	first := 0
-	for c.Now().Sub(c.knowable[first].at) > domainOutBound {
+	for c.Now().Sub(c.reachableVersions[first].at) > drainBound {
 		first++
 	}
-	c.knowable = c.knowable[first:]
-	lowest := c.knowable[0].config.Version
-	for _, k := range c.knowable {
+	c.reachableVersions = c.reachableVersions[first:]
+	lowest := c.reachableVersions[0].config.Version
+	for _, k := range c.reachableVersions {
 		lowest = min(lowest, k.config.Version)
 	}
 	return lowest
 }
 
-// known is the highest version that the store or an instance within reach has.
-func (c *chaos) known() uint64 {
-	if !c.store.down && c.Now().Sub(c.up) > settled {
+// highestReachable returns the highest version that the store or a reachable instance holds.
+func (c *faultInjector) highestReachable() uint64 {
+	if !c.store.down && c.Now().Sub(c.storeUpSince) > storeRecoveryTime {
 		return uint64(len(c.store.versions))
 	}
 	version := uint64(0)
-	for _, x := range c.live() {
-		if !c.cut[x.Domain] && !x.lonely && !c.Now().Before(x.paused) {
+	for _, x := range c.running() {
+		if !c.cutDomains[x.Domain] && !x.isolated && !c.Now().Before(x.pausedUntil) {
 			version = max(version, x.version)
 		}
 	}
 	return version
 }
 
-// calm ends all faults and counts the instances that send by the newest version some time later.
-func (c *chaos) calm() int {
-	clear(c.cut)
+// healAll ends all faults, waits, and returns the number of instances that send with the newest version.
+func (c *faultInjector) healAll() int {
+	clear(c.cutDomains)
 	c.loss, c.store.lag, c.store.down = 0, 0, false
 	for _, x := range c.nodes {
-		x.lonely = false
+		x.isolated = false
 	}
-	c.let(15 * time.Second)
+	c.advance(15 * time.Second)
 	n := 0
-	for _, x := range c.live() {
-		if c.sends(x) && x.version == uint64(len(c.store.versions)) {
+	for _, x := range c.running() {
+		if c.canSend(x) && x.version == uint64(len(c.store.versions)) {
 			n++
 		}
 	}
--- a/internal/decide/relay/sim_test.go
+++ b/internal/decide/relay/sim_test.go
@@ -13,63 +13,68 @@
 )
 
 const (
-	heartbeatTimeout = 400 * time.Millisecond // internal/peer's
-	pullTimeout      = time.Second            // internal/peer's
-	storeTimeout     = 2 * time.Second        // platform/client's
+	heartbeatTimeout = 400 * time.Millisecond // as in internal/peer
+	pullTimeout      = time.Second            // as in internal/peer
+	storeTimeout     = 2 * time.Second        // as in platform/client
 	interval         = 500 * time.Millisecond
 )
 
-// sim drives nodes under virtual time: fixed delays with jitter, lost messages, domains that are cut off,
-// a store that lags or is down. It is a driver of the decisions, no model of a network.
+// sim drives nodes under virtual time: calls take a fixed delay with jitter, messages are lost, failure domains
+// are cut off, the store lags or is unavailable. It is a driver for the decisions, not a model of a network.
 type sim struct {
 	vtime.Loop
-	rand  *rand.Rand
-	nodes []*simNode
-	byID  map[fleet.InstanceID]*simNode
-	loss  float64
-	cut   map[fleet.DomainID]bool // cut off from all else, the store too
-	list  []fleet.Instance
-	store simStore
+	rand       *rand.Rand
+	nodes      []*simNode
+	byID       map[fleet.InstanceID]*simNode
+	loss       float64
+	cutDomains map[fleet.DomainID]bool // cut off from all other failure domains and from the store
+	list       []fleet.Instance
+	store      simStore
 
 	heartbeats, pulls, storeCalls int
-	signs                         int // carried by heartbeats
+	signsSent                     int // in heartbeats and their replies
 	reasons                       map[decide.Reason]int
 }
 
+// simNode is one running or stopped instance.
 type simNode struct {
 	fleet.Instance
-	node    *relay.Node
-	dead    bool
-	paused  decide.Instant // no event is handled before it
-	lonely  bool           // cut off from all else
-	version uint64         // in force
-	history []uint64
-	since   decide.Instant // when version came in force
-	leaving []relay.LeavingSign
-	left    decide.Instant // when a sign was first in force
+	node         *relay.Node
+	dead         bool
+	pausedUntil  decide.Instant // no event is handled before it
+	isolated     bool           // cut off from all other instances and from the store
+	version      uint64         // of the configuration in force
+	history      []uint64       // versions in the order in which they came into force
+	versionSince decide.Instant // when version came into force
+	leaving      []relay.LeavingSign
+	leavingSince decide.Instant // when the first sign came into force
 }
 
+// simStore is the state of the store.
 type simStore struct {
 	versions []simVersion
 	down     bool
 	lag      time.Duration // of watches
-	stale    int           // reads give the version that many writes ago
+	stale    int           // how many writes reads lag behind
 }
 
+// simVersion is a configuration and when it was accepted by the store, or found reachable by a check.
 type simVersion struct {
 	config relay.Config
 	at     decide.Instant
 }
 
-// newSim gives n instances over that many domains in regions, each with the whole instance list.
+// newSim returns n instances spread over the failure domains, and these over the regions. Each instance has the
+// whole instance list.
 func newSim(n, domains, regions int, loss float64) *sim {
 	return newSeededSim(n, domains, regions, loss, 0)
 }
 
+// newSeededSim is newSim with a seed for delays and losses.
 func newSeededSim(n, domains, regions int, loss float64, seed uint64) *sim {
 	s := &sim{
 		rand: rand.New(rand.NewPCG(uint64(n)+seed<<32, uint64(loss*100))), loss: loss,
-		byID: map[fleet.InstanceID]*simNode{}, cut: map[fleet.DomainID]bool{}, reasons: map[decide.Reason]int{},
+		byID: map[fleet.InstanceID]*simNode{}, cutDomains: map[fleet.DomainID]bool{}, reasons: map[decide.Reason]int{},
 	}
 	for i := range n {
 		d := i % domains
@@ -85,11 +90,12 @@
 	return s
 }
 
+// configOf returns a configuration with that version.
 func configOf(version uint64) relay.Config {
 	return relay.Config{Version: version, Packed: []byte{byte(version)}}
 }
 
-// start begins an instance, in place of one with the same id.
+// start starts an instance and stops the one with the same id, if any.
 func (s *sim) start(i fleet.Instance, incarnation uint64) *simNode {
 	if old := s.byID[i.ID]; old != nil {
 		old.dead = true
@@ -105,8 +111,8 @@
 	return x
 }
 
-// run lets virtual time pass until done holds after an event, at most until the instant; it tells whether
-// done held.
+// run advances virtual time until done holds after an event or until the given instant, and reports whether done
+// held.
 func (s *sim) run(until decide.Instant, done func() bool) bool {
 	for s.Step(until) {
 		if done != nil && done() {
@@ -116,6 +122,7 @@
 	return false
 }
 
+// tick ticks a node now and from then on at TickInterval.
 func (s *sim) tick(x *simNode) {
 	if x.dead {
 		return
@@ -124,20 +131,21 @@
 	s.After(relay.TickInterval, func() { s.tick(x) })
 }
 
-// handle runs an event on a node; one that is paused handles it when it wakes.
-func (s *sim) handle(x *simNode, on func() []relay.Effect) {
+// handle passes an event to a node and performs the effects. A paused node handles it when it resumes.
+func (s *sim) handle(x *simNode, event func() []relay.Effect) {
 	switch {
 	case x.dead:
-	case s.Now().Before(x.paused):
-		s.After(x.paused.Sub(s.Now()), func() { s.handle(x, on) })
+	case s.Now().Before(x.pausedUntil):
+		s.After(x.pausedUntil.Sub(s.Now()), func() { s.handle(x, event) })
 	default:
-		for _, e := range on() {
-			s.carryOut(x, e)
+		for _, e := range event() {
+			s.perform(x, e)
 		}
 	}
 }
 
-func (s *sim) carryOut(x *simNode, e relay.Effect) {
+// perform carries out an effect of a node.
+func (s *sim) perform(x *simNode, e relay.Effect) {
 	switch e := e.(type) {
 	case relay.SendHeartbeat:
 		s.heartbeat(x, e)
@@ -149,11 +157,11 @@
 		s.storeCalls++
 		s.watch(x, e, s.Now().Add(e.Wait))
 	case relay.ApplyConfig:
-		x.version, x.since = e.Config.Version, s.Now()
+		x.version, x.versionSince = e.Config.Version, s.Now()
 		x.history = append(x.history, e.Config.Version)
 	case relay.SetLeaving:
 		if len(x.leaving) == 0 && len(e.Signs) > 0 {
-			x.left = s.Now()
+			x.leavingSince = s.Now()
 		}
 		x.leaving = e.Signs
 	case relay.Event:
@@ -161,7 +169,7 @@
 	}
 }
 
-// delay is one way between two instances.
+// delay returns a random one-way delay between two instances.
 func (s *sim) delay(a, b fleet.RegionID) time.Duration {
 	jitter := time.Duration(s.rand.IntN(int(2 * time.Millisecond)))
 	if a != b {
@@ -170,51 +178,55 @@
 	return 300*time.Microsecond + jitter
 }
 
-func (s *sim) lost(a, b *simNode) bool {
-	return b == nil || b.dead || s.Now().Before(b.paused) || a.lonely || b.lonely ||
-		(a.Domain != b.Domain && (s.cut[a.Domain] || s.cut[b.Domain])) || s.rand.Float64() < s.loss
+// dropped reports whether a message from a to b gets lost.
+func (s *sim) dropped(a, b *simNode) bool {
+	return b == nil || b.dead || s.Now().Before(b.pausedUntil) || a.isolated || b.isolated ||
+		(a.Domain != b.Domain && (s.cutDomains[a.Domain] || s.cutDomains[b.Domain])) || s.rand.Float64() < s.loss
 }
 
-// exchange carries a call there and its answer back; either may be lost, which shows by the timeout.
-func (s *sim) exchange(a *simNode, to fleet.InstanceID, timeout time.Duration, there func(b *simNode) func() []relay.Effect, failed func() []relay.Effect) {
+// exchange delivers a call to another instance and returns its response. If either message is lost, timedOut runs
+// once the timeout is over.
+func (s *sim) exchange(a *simNode, to fleet.InstanceID, timeout time.Duration, deliver func(b *simNode) func() []relay.Effect, timedOut func() []relay.Effect) {
 	b := s.byID[to]
-	fail := func(spent time.Duration) {
-		s.After(max(0, timeout-spent), func() { s.handle(a, failed) })
+	fail := func(elapsed time.Duration) {
+		s.After(max(0, timeout-elapsed), func() { s.handle(a, timedOut) })
 	}
-	if s.lost(a, b) {
+	if s.dropped(a, b) {
 		fail(0)
 		return
 	}
-	one := s.delay(a.Region, b.Region)
-	s.After(one, func() {
+	latency := s.delay(a.Region, b.Region)
+	s.After(latency, func() {
 		if b.dead {
-			fail(one)
+			fail(latency)
 			return
 		}
-		back := there(b)
-		if s.lost(b, a) {
-			fail(one)
+		respond := deliver(b)
+		if s.dropped(b, a) {
+			fail(latency)
 			return
 		}
-		s.After(s.delay(b.Region, a.Region), func() { s.handle(a, back) })
+		s.After(s.delay(b.Region, a.Region), func() { s.handle(a, respond) })
 	})
 }
 
+// heartbeat exchanges digests between two nodes.
 func (s *sim) heartbeat(a *simNode, e relay.SendHeartbeat) {
 	s.heartbeats++
-	s.signs += len(e.Digest.Leaving)
+	s.signsSent += len(e.Digest.Leaving)
 	s.exchange(a, e.To.ID, heartbeatTimeout, func(b *simNode) func() []relay.Effect {
 		var answer relay.Digest
 		s.handle(b, func() []relay.Effect {
 			var effects []relay.Effect
 			answer, effects = b.node.HeartbeatReceived(s.Now(), e.Digest)
-			s.signs += len(answer.Leaving)
+			s.signsSent += len(answer.Leaving)
 			return effects
 		})
 		return func() []relay.Effect { return a.node.HeartbeatDone(s.Now(), e, answer, true) }
 	}, func() []relay.Effect { return a.node.HeartbeatDone(s.Now(), e, relay.Digest{}, false) })
 }
 
+// pull returns the configuration of another node if it is above the requested version.
 func (s *sim) pull(a *simNode, e relay.PullConfig) {
 	s.pulls++
 	s.exchange(a, e.From.ID, pullTimeout, func(b *simNode) func() []relay.Effect {
@@ -226,11 +238,15 @@
 	}, func() []relay.Effect { return a.node.PullDone(s.Now(), e, relay.Config{}, false) })
 }
 
-func (s *sim) storeGone(x *simNode) bool { return s.store.down || s.cut[x.Domain] || x.lonely }
+// storeUnreachable reports whether an instance cannot reach the store.
+func (s *sim) storeUnreachable(x *simNode) bool {
+	return s.store.down || s.cutDomains[x.Domain] || x.isolated
+}
 
+// read returns the newest version in the store, or an older one while reads are stale.
 func (s *sim) read(x *simNode, e relay.ReadStore) {
 	s.storeCalls++
-	if s.storeGone(x) {
+	if s.storeUnreachable(x) {
 		s.After(storeTimeout, func() {
 			s.handle(x, func() []relay.Effect { return x.node.ReadDone(s.Now(), e, relay.Config{}, relay.StoreFailed) })
 		})
@@ -246,12 +262,12 @@
 	})
 }
 
-// watch looks every 20 ms for a version that the watch shows by now.
+// watch checks every 20 ms whether the watch shows a newer version by now.
 func (s *sim) watch(x *simNode, e relay.WatchStore, until decide.Instant) {
 	done := func(c relay.Config, a relay.StoreAnswer) {
 		s.handle(x, func() []relay.Effect { return x.node.WatchDone(s.Now(), e, c, a) })
 	}
-	if s.storeGone(x) {
+	if s.storeUnreachable(x) {
 		s.After(storeTimeout, func() { done(relay.Config{}, relay.StoreFailed) })
 		return
 	}
@@ -269,17 +285,17 @@
 	done(relay.Config{}, relay.StoreAbsent)
 }
 
-// accept writes a version to the store; through tells the instance that wrote it, unless it is nil.
-func (s *sim) accept(version uint64, through *simNode) {
+// accept writes a version to the store. The writer, unless it is nil, receives the confirmation.
+func (s *sim) accept(version uint64, writer *simNode) {
 	c := configOf(version)
 	s.store.versions = append(s.store.versions, simVersion{config: c, at: s.Now()})
-	if through != nil {
-		s.handle(through, func() []relay.Effect { return through.node.ConfigAccepted(s.Now(), c) })
+	if writer != nil {
+		s.handle(writer, func() []relay.Effect { return writer.node.ConfigAccepted(s.Now(), c) })
 	}
 }
 
-// live gives the instances that run.
-func (s *sim) live() []*simNode {
+// running returns the nodes that have not been stopped.
+func (s *sim) running() []*simNode {
 	var out []*simNode
 	for _, x := range s.nodes {
 		if !x.dead {
@@ -289,8 +305,8 @@
 	return out
 }
 
-// everywhere tells whether all that run have that version in force.
-func (s *sim) everywhere(version uint64) bool {
+// inForceEverywhere reports whether all running nodes have at least that version in force.
+func (s *sim) inForceEverywhere(version uint64) bool {
 	for _, x := range s.nodes {
 		if !x.dead && x.version < version {
 			return false
@@ -299,8 +315,8 @@
 	return true
 }
 
-// sends tells whether the instance would send new work now, if a request ran now.
-func (s *sim) sends(x *simNode) bool {
+// canSend reports whether the instance would send new work for a request that arrives now.
+func (s *sim) canSend(x *simNode) bool {
 	_, reason := x.node.Guard().Ask(s.Now())
 	return !x.dead && reason != pause.Paused && x.node.Ready() && !x.node.TrustedUntil().Before(s.Now())
 }
--- a/internal/decide/relay/store.go
+++ b/internal/decide/relay/store.go
@@ -6,109 +6,112 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/storebudget"
 )
 
-// watchKey is what the watchers of a failure domain are chosen by.
+// watchKey is the key by which the watchers of a failure domain are chosen.
 const watchKey = "config/current"
 
-// storeSide is the node's reading of the store: watchers watch and read in their interval; others read
-// only to start up, and when trust is about to end because no peer answers.
-type storeSide struct {
-	watcher  bool
-	watching bool // a watch is out
-	reading  bool // a read is out
-	answered bool // a read was answered since the start: a configuration that comes now is the newest
-	failures int  // calls in a row that failed
-	retry    decide.Instant
-	nextRead decide.Instant
+// storeState tracks this instance's calls to the store. Watchers watch the configuration and also read it at an
+// interval. Other instances read only during start-up, and when trust is about to end because no peer answers.
+type storeState struct {
+	watcher       bool
+	watchInFlight bool
+	readInFlight  bool
+	readSucceeded bool           // a read succeeded since the start, so that start-up needs no peers
+	failures      int            // consecutive failed calls
+	retryAt       decide.Instant // no call before it, after a failure
+	nextReadAt    decide.Instant
 }
 
-// watchOrNot finds out anew whether this instance is one of its domain's watchers.
-func (n *Node) watchOrNot(now decide.Instant) {
+// updateWatcherRole determines again whether this instance is one of its failure domain's watchers.
+func (n *Node) updateWatcherRole(now decide.Instant) {
 	p := n.params.Member
-	is := member.IsWatcher(watchKey, p.Self, n.members.Others(), n.params.WatchersPerDomain)
-	if is == n.store.watcher {
+	watcher := member.IsWatcher(watchKey, p.Self, n.members.Others(), n.params.WatchersPerDomain)
+	if watcher == n.store.watcher {
 		return
 	}
-	n.store.watcher = is
+	n.store.watcher = watcher
 	reason := WatcherStopped
-	if is {
+	if watcher {
 		reason = WatcherStarted
-		n.store.nextRead = now
+		n.store.nextReadAt = now
 	}
-	n.do(Event{Reason: reason})
+	n.emit(Event{Reason: reason})
 }
 
-func (n *Node) tickStore(now decide.Instant) {
+// startStoreCalls starts the watch and the read that are due, unless the backoff after a failure is running.
+func (n *Node) startStoreCalls(now decide.Instant) {
 	s := &n.store
-	if now.Before(s.retry) {
+	if now.Before(s.retryAt) {
 		return
 	}
-	if s.watcher && !s.watching && n.news.Config().Version > 0 {
-		s.watching = true
-		n.do(WatchStore{Sent: now, Above: n.news.Config().Version, Wait: n.params.WatchWait})
+	if s.watcher && !s.watchInFlight && n.shared.Config().Version > 0 {
+		s.watchInFlight = true
+		n.emit(WatchStore{Sent: now, Above: n.shared.Config().Version, Wait: n.params.WatchWait})
 	}
-	if !s.reading && n.shouldRead(now) {
-		s.reading = true
-		n.do(ReadStore{Sent: now})
+	if !s.readInFlight && n.shouldRead(now) {
+		s.readInFlight = true
+		n.emit(ReadStore{Sent: now})
 	}
 }
 
+// shouldRead reports whether a read is due: during start-up, as a watcher, or because trust is about to end.
 func (n *Node) shouldRead(now decide.Instant) bool {
 	s := &n.store
-	starting := !n.boot.done && !now.Before(s.nextRead)
-	due := s.watcher && !now.Before(s.nextRead)
-	return starting || due || (n.boot.done && n.members.TrustEndsSoon(now))
+	starting := !n.bootstrap.done && !now.Before(s.nextReadAt)
+	due := s.watcher && !now.Before(s.nextReadAt)
+	return starting || due || (n.bootstrap.done && n.members.TrustEndsSoon(now))
 }
 
-// WatchDone takes the outcome of a WatchStore.
+// WatchDone handles the outcome of a WatchStore.
 func (n *Node) WatchDone(now decide.Instant, _ WatchStore, c Config, a StoreAnswer) []Effect {
-	n.store.watching = false
-	n.storeAnswered(now, a)
+	n.store.watchInFlight = false
+	n.recordStoreAnswer(now, a)
 	if a == StoreFound {
-		n.take(now, c)
+		n.applyConfig(now, c)
 	}
-	n.tickStore(now)
-	n.heartbeats(now)
+	n.startStoreCalls(now)
+	n.sendDueHeartbeats(now)
 	return n.finish(now)
 }
 
-// ReadDone takes the outcome of a ReadStore.
+// ReadDone handles the outcome of a ReadStore.
 func (n *Node) ReadDone(now decide.Instant, sent ReadStore, c Config, a StoreAnswer) []Effect {
-	n.store.reading = false
-	n.storeAnswered(now, a)
-	n.store.answered = n.store.answered || a != StoreFailed
+	n.store.readInFlight = false
+	n.recordStoreAnswer(now, a)
+	n.store.readSucceeded = n.store.readSucceeded || a != StoreFailed
 	if a == StoreFound {
-		n.take(now, c)
+		n.applyConfig(now, c)
 	}
 	if a != StoreFailed && n.caughtUp() {
 		n.members.RecordStoreRead(sent.Sent)
 	}
-	size := len(n.news.Config().Packed) // the store sends it unpacked; see readInflation
-	n.store.nextRead = now.Add(storebudget.ReadInterval(size*readInflation, n.params.ReadInterval, n.params.ReadBytesPerSecond))
-	n.bootstrapRead(now, a)
-	n.heartbeats(now)
+	size := len(n.shared.Config().Packed) // the store sends it uncompressed; see compressionRatio
+	n.store.nextReadAt = now.Add(storebudget.ReadInterval(size*compressionRatio, n.params.ReadInterval, n.params.ReadBytesPerSecond))
+	n.bootstrapStoreRead(now, a)
+	n.sendDueHeartbeats(now)
 	return n.finish(now)
 }
 
-// readInflation is about the ratio of a configuration's size in the store to its packed size;
-// internal/peer's TestBytesOfAConfigurationChange prints both.
-const readInflation = 10
+// compressionRatio is the approximate ratio of a configuration's size in the store to its packed size.
+// TestBytesOfAConfigurationChange of internal/peer prints both.
+const compressionRatio = 10
 
-// storeAnswered keeps the backoff, and tells when the store is lost and when it is back.
-func (n *Node) storeAnswered(now decide.Instant, a StoreAnswer) {
+// recordStoreAnswer updates the backoff after a call to the store, and logs when the store becomes unavailable and
+// when it is available again.
+func (n *Node) recordStoreAnswer(now decide.Instant, a StoreAnswer) {
 	s := &n.store
 	if a != StoreFailed {
 		if s.failures > 0 {
-			n.do(Event{Reason: StoreRegained})
+			n.emit(Event{Reason: StoreRegained})
 		}
 		s.failures = 0
 		return
 	}
-	if now.Before(s.retry) {
+	if now.Before(s.retryAt) {
 		return
 	}
 	if s.failures == 0 {
-		n.do(Event{Reason: StoreLost})
+		n.emit(Event{Reason: StoreLost})
 	}
 	s.failures++
-	s.retry = now.Add(storebudget.Backoff(n.params.Rand, s.failures, len(n.members.Others())+1))
+	s.retryAt = now.Add(storebudget.Backoff(n.params.Rand, s.failures, len(n.members.Others())+1))
 }
