--- a/internal/decide/member/member_test.go
+++ b/internal/decide/member/member_test.go
@@ -12,7 +12,8 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-func list(n, domains int) []fleet.Instance {
+// newInstances returns n instances spread over the failure domains.
+func newInstances(n, domains int) []fleet.Instance {
 	all := make([]fleet.Instance, n)
 	for i := range all {
 		all[i] = fleet.Instance{
@@ -25,15 +26,15 @@
 
 var sizes = []struct{ n, domains int }{{9, 3}, {100, 16}, {930, 16}}
 
-// Regression bound: what membership costs a node is its peers and its callers, and neither grows with
-// the fleet. Every instance is also heard by somebody, and peers are in several failure domains.
+// Regression bound: the cost of membership for an instance is its peers and callers, and neither number grows with
+// the fleet. Every instance also has callers, and peers in several failure domains.
 func TestPeersAndCallersAreBounded(t *testing.T) {
 	for _, z := range sizes {
 		t.Run(fmt.Sprint(z.n), func(t *testing.T) {
 			is := is.New(t)
-			all := list(z.n, z.domains)
+			all := newInstances(z.n, z.domains)
 			callers := map[fleet.InstanceID]int{}
-			foreign := 0
+			outside := 0
 			for _, self := range all {
 				peers := member.ChoosePeers(self, all, member.DefaultFanout)
 				is.Equal(len(peers), member.DefaultFanout)
@@ -41,7 +42,7 @@
 					is.True(p.ID != self.ID)
 					callers[p.ID]++
 					if p.Domain != self.Domain {
-						foreign++
+						outside++
 					}
 				}
 			}
@@ -50,59 +51,60 @@
 				most, least = max(most, callers[i.ID]), min(least, callers[i.ID])
 			}
 			t.Logf("peers %d, callers %d to %d, in other domains %.0f%%",
-				member.DefaultFanout, least, most, 100*float64(foreign)/float64(z.n*member.DefaultFanout))
+				member.DefaultFanout, least, most, 100*float64(outside)/float64(z.n*member.DefaultFanout))
 			is.True(most <= 12)
 			is.True(least >= 2)
-			is.True(foreign*2 >= z.n*member.DefaultFanout) // half of the peers or more are in other domains
+			is.True(outside*2 >= z.n*member.DefaultFanout) // at least half of the peers are in other failure domains
 		})
 	}
 }
 
-// A few instances come and go every minute; if each moved everybody's peers, all connections would be
-// dialed anew each time.
-func TestOneInstanceMovesFewPeers(t *testing.T) {
+// A few instances come and go every minute. If each one changed the peers of all others, all connections would be
+// dialed again each time.
+func TestRemovingOneInstanceChangesFewPeers(t *testing.T) {
 	is := is.New(t)
-	all := list(930, 16)
-	without := append(append([]fleet.Instance(nil), all[:100]...), all[101:]...)
-	moved := 0
-	for _, self := range without {
+	all := newInstances(930, 16)
+	remaining := append(append([]fleet.Instance(nil), all[:100]...), all[101:]...)
+	changed := 0
+	for _, self := range remaining {
 		before := member.ChoosePeers(self, all, member.DefaultFanout)
-		for _, p := range member.ChoosePeers(self, without, member.DefaultFanout) {
+		for _, p := range member.ChoosePeers(self, remaining, member.DefaultFanout) {
 			kept := false
 			for _, b := range before {
 				kept = kept || b.ID == p.ID
 			}
 			if !kept {
-				moved++
+				changed++
 			}
 		}
 	}
-	t.Logf("one instance gone of 930: %d of %d peers moved", moved, 929*member.DefaultFanout)
-	is.True(moved <= 12)
+	t.Logf("one of 930 instances removed: %d of %d peers changed", changed, 929*member.DefaultFanout)
+	is.True(changed <= 12)
 }
 
+// newMembers returns the membership of the first of n instances, with list version 5.
 func newMembers(n int) (*member.Members, []fleet.Instance) {
-	all := list(n, 3)
+	all := newInstances(n, 3)
 	m := member.New(member.NewParams(all[0], 500*time.Millisecond))
 	m.UpdateInstances(0, 5, all)
 	return m, all
 }
 
-// A lagging replica answers with a list from before an instance was replaced; its address is somebody
-// else's by now. The older list must not bring it back.
-func TestAnOlderListIsNotTaken(t *testing.T) {
+// A lagging replica returns a list from before an instance was replaced. The address of that instance belongs to
+// another one by now, so the older list must not bring it back.
+func TestStaleListIsIgnored(t *testing.T) {
 	is := is.New(t)
 	m, all := newMembers(9)
 	is.Equal(m.UpdateInstances(0, 4, all[:2]), member.ListStale)
 	is.Equal(len(m.Peers()), member.DefaultFanout)
 	is.Equal(m.UpdateInstances(0, 6, all[:2]), member.ListApplied)
 	is.Equal(len(m.Peers()), 1)
-	is.Equal(m.TrustedUntil(), decide.Instant(0)) // being listed is no contact
+	is.Equal(m.TrustedUntil(), decide.Instant(0)) // an entry in the list is no contact
 }
 
-// An instance was restarted and a late answer of its former self arrives after the new one's: it must not
-// count as a sign of life, nor bring back what the former self knew.
-func TestALateAnswerOfAFormerSelf(t *testing.T) {
+// An instance restarts, and a late reply of its earlier incarnation arrives after one of the new incarnation. The
+// late reply must not count as contact, nor restore the status of the earlier incarnation.
+func TestLateReplyOfEarlierIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	m, _ := newMembers(9)
 	p := m.Peers()[1]
@@ -127,8 +129,9 @@
 	is.Equal(reason, member.PeerReplaced)
 }
 
-// A peer that is dead but still listed must cost less and less, and be found again when it returns.
-func TestADeadPeerIsAskedMoreRarely(t *testing.T) {
+// Heartbeats to a peer that is down but still listed must become less frequent, and the peer must be reachable
+// again when it returns.
+func TestHeartbeatsToUnreachablePeerBackOff(t *testing.T) {
 	is := is.New(t)
 	m, _ := newMembers(9)
 	p := m.Peers()[0]
@@ -144,15 +147,15 @@
 			m.ReplyReceived(now, member.Reply{To: due.ID, Status: member.Status{From: due.ID, Incarnation: 1}})
 		}
 	}
-	is.True(sent < 30) // of 120 that a live one gets
+	is.True(sent < 30) // of 120 to a reachable peer
 	m.ReplyReceived(now, member.Reply{To: p.ID, Status: member.Status{From: p.ID, Incarnation: 1}})
 	is.True(p.Reachable)
 }
 
-// Two watchers a failure domain, whoever asks; the next in line takes over when one leaves.
-func TestWatchersAreFew(t *testing.T) {
+// Each failure domain has two watchers, whichever instance computes them.
+func TestTwoWatchersPerFailureDomain(t *testing.T) {
 	is := is.New(t)
-	all := list(930, 16)
+	all := newInstances(930, 16)
 	watchers := map[fleet.DomainID]int{}
 	for _, self := range all {
 		if member.IsWatcher("config/current", self, all, 2) {
@@ -168,7 +171,7 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, z := range sizes {
 		b.Run(fmt.Sprint(z.n), func(b *testing.B) {
-			all := list(z.n, z.domains)
+			all := newInstances(z.n, z.domains)
 			b.ReportAllocs()
 			for b.Loop() {
 				member.ChoosePeers(all[0], all, member.DefaultFanout)
--- a/internal/decide/member/trust.go
+++ b/internal/decide/member/trust.go
@@ -11,98 +11,108 @@
 // never is an instant that no clock reaches.
 const never = decide.Instant(math.MaxInt64)
 
-// Contact notes that a peer's state, as of an exchange that began at sent, is known here in full. trusted
-// is what the peer says of itself.
+// RecordContact records an exchange with a peer that began at sent and after which the peer's state is fully known
+// here. trusted is whether the peer reports that it is itself trusted.
 //
-// An instance that was cut off goes on sending work to an upstream that left or to a failure domain that
-// was taken out: it shows as work there long after the rest has stopped. So trust ends Bound after the
-// beginning of the last exchange that counts, on this instance's monotonic clock, and whoever sends work
-// compares with its own now. What does not count: a peer in the same failure domain, while the list shows
-// others elsewhere, for a domain that is cut off as a whole would vouch for itself for ever; and a peer
-// that is not trusted itself, for two that come back at the same time would vouch for each other before
-// either has heard what happened.
-func (m *Members) RecordContact(sent decide.Instant, with fleet.InstanceID, trusted bool) {
-	p := find(m.peers, with)
+// The bound on trust guards against an instance that is cut off and goes on sending work to an upstream that left
+// or to a drained failure domain. It shows as work there long after the other instances have stopped. Trust ends
+// TrustDuration after the beginning of the last exchange that counts, on this instance's monotonic clock, and
+// every sender of work compares that instant with its own current time.
+//
+// Two kinds of exchange don't extend trust. A peer in the same failure domain doesn't count while there are peers
+// in other domains: in a domain that is cut off as a whole, the instances would keep each other trusted forever. A
+// peer that isn't trusted itself doesn't count either: two instances that return at the same time would make each
+// other trusted before either has received the changes that it missed.
+func (m *Members) RecordContact(sent decide.Instant, id fleet.InstanceID, trusted bool) {
+	p := findPeer(m.peers, id)
 	if p == nil {
 		return
 	}
-	p.vouched = max(p.vouched, sent)
-	if trusted && m.elsewhere(p) {
-		m.trust(sent)
+	p.lastContact = max(p.lastContact, sent)
+	if trusted && m.isOutside(p) {
+		m.extendTrust(sent)
 	}
 }
 
-// elsewhere tells whether the peer is outside this failure domain, or the list shows nobody who is.
-func (m *Members) elsewhere(p *Peer) bool { return !m.foreign || p.Domain != m.params.Self.Domain }
+// isOutside reports whether the peer is in another failure domain. Without any such peer, every peer counts as
+// outside.
+func (m *Members) isOutside(p *Peer) bool {
+	return !m.hasOutsidePeer || p.Domain != m.params.Self.Domain
+}
 
-// StoreContact notes a read of the store that began at sent and whose answer is known here in full.
-func (m *Members) RecordStoreRead(sent decide.Instant) { m.trust(sent) }
+// RecordStoreRead records a read of the store that began at sent and whose result is fully known here. It extends
+// trust.
+func (m *Members) RecordStoreRead(sent decide.Instant) { m.extendTrust(sent) }
 
-// Quorum lets a fleet that lost trust as a whole begin again while the store is lost: when the network
-// failed everywhere for longer than the bound, nobody is left who is trusted. Trust comes back when more
-// than half of the peers, one elsewhere among them, have been in contact for a whole bound.
+// RegainByQuorum restores the trust of a fleet that lost it everywhere during an outage of the store. If the
+// network fails for longer than the trust duration, no instance stays trusted that could extend the trust of
+// others. Trust returns once more than half of the peers, at least one of them outside this failure domain, have
+// been in contact for a whole trust duration.
 func (m *Members) RegainByQuorum(now decide.Instant, storeLost bool) {
 	if !storeLost {
 		m.quorumSince = never
 		return
 	}
-	sent, ok := m.majority()
+	sent, ok := m.majorityContact()
 	if !ok || now.Sub(sent) > m.params.TrustDuration {
 		m.quorumSince = never
 		return
 	}
 	m.quorumSince = min(m.quorumSince, now)
 	if now.Sub(m.quorumSince) >= m.params.TrustDuration {
-		m.trust(sent)
+		m.extendTrust(sent)
 	}
 }
 
-// majority gives the instant since which more than half of the peers, one elsewhere among them, were in
-// contact last.
-func (m *Members) majority() (decide.Instant, bool) {
+// majorityContact returns the latest instant such that more than half of the peers, at least one of them outside
+// this failure domain, have been in contact at or after it. It reports false if there is none.
+func (m *Members) majorityContact() (decide.Instant, bool) {
 	if len(m.peers) == 0 {
 		return 0, false
 	}
-	all := make([]decide.Instant, 0, len(m.peers))
-	elsewhere := decide.Instant(0)
+	contacts := make([]decide.Instant, 0, len(m.peers))
+	outside := decide.Instant(0)
 	for _, p := range m.peers {
-		all = append(all, p.vouched)
-		if m.elsewhere(p) {
-			elsewhere = max(elsewhere, p.vouched)
+		contacts = append(contacts, p.lastContact)
+		if m.isOutside(p) {
+			outside = max(outside, p.lastContact)
 		}
 	}
-	slices.Sort(all)
-	sent := min(elsewhere, all[(len(all)-1)/2])
+	slices.Sort(contacts)
+	sent := min(outside, contacts[(len(contacts)-1)/2])
 	return sent, sent > 0
 }
 
-func (m *Members) trust(sent decide.Instant) {
-	m.freshUntil = max(m.freshUntil, sent.Add(m.params.TrustDuration))
+// extendTrust extends trust to TrustDuration after sent, if that is later than its current end.
+func (m *Members) extendTrust(sent decide.Instant) {
+	m.trustedUntil = max(m.trustedUntil, sent.Add(m.params.TrustDuration))
 }
 
-// Forget ends the trust in all that is known, as after a pause.
+// ClearTrust ends trust and discards the recorded contacts, for example after a pause. Trust returns with the next
+// exchange that counts.
 func (m *Members) ClearTrust() {
-	m.freshUntil = 0
+	m.trustedUntil = 0
 	m.quorumSince = never
 	for _, p := range m.peers {
-		p.vouched = 0
+		p.lastContact = 0
 	}
 }
 
-// FreshUntil is the instant after which this instance sends no new work. An instance that the list shows
-// alone has nobody to ask, and is held by the store's reads only as far as they succeed.
+// TrustedUntil returns the instant after which this instance sends no new work. Trust doesn't end if the list
+// contains no other instance: no peer could extend it, and reads of the store keep the state current only as far
+// as they succeed.
 func (m *Members) TrustedUntil() decide.Instant {
-	if m.version > 0 && m.alone {
+	if m.listVersion > 0 && m.noPeers {
 		return never
 	}
-	return m.freshUntil
+	return m.trustedUntil
 }
 
-// Trusted tells whether this instance may send new work now.
+// Trusted reports whether this instance may send new work now.
 func (m *Members) Trusted(now decide.Instant) bool { return !m.TrustedUntil().Before(now) }
 
-// Lonely tells whether trust will end within half the bound unless somebody answers: time to ask the
-// store itself.
+// TrustEndsSoon reports whether trust ends within half the trust duration unless an exchange succeeds. It is then
+// time to read the store.
 func (m *Members) TrustEndsSoon(now decide.Instant) bool {
 	return m.TrustedUntil().Sub(now) < m.params.TrustDuration/2
 }
