--- a/internal/decide/readers/readers.go
+++ b/internal/decide/readers/readers.go
@@ -1,9 +1,12 @@
-// Package readers decides which instances read the metadata store, for all that are attached to one dispatcher.
+// Package readers decides which instances read the metadata store on behalf of all that are attached to one
+// dispatcher.
 //
-// The load it answers: every call is paid for and counts against a rate that all instances share. When the store
-// turned a third of the machines away, each instance that heard no news read by itself, and the calls grew with
-// the instances just when the store could bear least. So the dispatcher names two readers, whoever can't read
-// gives the turn to another, and turns get longer the longer nobody can: the calls don't grow with the fleet.
+// Every call to the store is paid for and counts against a rate limit that all instances share. If each instance
+// without recent changes read by itself, the calls would grow with the fleet just when the store can serve the
+// fewest, for example while it refuses the calls of a third of the machines. Therefore the dispatcher names two
+// readers. A turn is the time during which an instance is a reader. A reader whose reads fail loses its turn to
+// another instance after a timeout, and the timeout grows while no reader succeeds, so that the calls don't grow
+// with the fleet.
 package readers
 
 import (
@@ -17,80 +20,89 @@
 )
 
 const (
-	// count is how many instances read: one, and another while the first is cut off and doesn't know yet.
-	count = 2
-	// firstTurn and longestTurn bound how long a reader may fail before another one has its turn: doubled with each
-	// that fails, since then it is the store, and not the way to it.
-	firstTurn   = 200 * time.Millisecond
-	longestTurn = 800 * time.Millisecond
-	// firstRest and longestRest bound how long a reader that failed isn't chosen while others can be.
-	firstRest   = time.Second
-	longestRest = 16 * time.Second
+	// readerCount is how many instances read: one, and a second one that covers the time until a failure of the
+	// first is detected.
+	readerCount = 2
+	// minTurnTimeout and maxTurnTimeout bound how long a reader may fail before it loses its turn. The timeout
+	// doubles with each failed turn, because repeated failures indicate that the store has failed and not the path
+	// to it.
+	minTurnTimeout = 200 * time.Millisecond
+	maxTurnTimeout = 800 * time.Millisecond
+	// minBackoff and maxBackoff bound how long an instance whose turn failed is not chosen while others are
+	// available.
+	minBackoff = time.Second
+	maxBackoff = 16 * time.Second
 )
 
-// Candidate is an instance that may read.
+// Candidate is an instance that may become a reader.
 type Candidate struct {
 	ID     fleet.InstanceID
 	Domain fleet.DomainID
 }
 
-// Report is what a reader says of its reads.
+// Report is a reader's report on its reads.
 type Report struct {
-	FailingFor time.Duration // how long its reads have failed or hung; 0: it reads
-	ProofAge   time.Duration // of its newest proof of the kind that it reads first
+	FailingFor time.Duration // how long its reads have failed or hung; 0: they succeed
+	ProofAge   time.Duration // age of its newest proof that its copy is current, of the kind that it reads first
 }
 
-// reader is an instance that was chosen once.
+// reader is an instance that has been chosen at least once.
 type reader struct {
-	chosen  bool
-	since   decide.Instant // chosen since
-	failing time.Duration  // as it reported
-	rests   decide.Instant // until then
-	rest    time.Duration  // the last
+	chosen       bool // it is a reader now
+	turnStart    decide.Instant
+	failingFor   time.Duration  // from its last report
+	backoffUntil decide.Instant // avoided until then
+	backoff      time.Duration  // duration of the last backoff; reset to 0 by a success
 }
 
-// State is what the dispatcher knows of readers. The zero value is ready for use; it is not safe for concurrent use.
+// Selector is the dispatcher's state for choosing readers. The zero value is ready for use. It is not safe for
+// concurrent use.
 type Selector struct {
-	known  map[fleet.InstanceID]*reader
-	turns  int            // that ended in failure since anybody read
-	lost   decide.Instant // since when nobody could read; 0: somebody can
-	served decide.Instant // when somebody last said that it reads
-}
-
-// Report takes what a reader says.
-func (s *Selector) HandleReport(now decide.Instant, id fleet.InstanceID, r Report) {
-	k := s.known[id]
-	if k == nil || !k.chosen {
+	readers     map[fleet.InstanceID]*reader
+	failedTurns int            // turns that failed since a reader last succeeded
+	outageSince decide.Instant // since when no reader has succeeded; 0: no outage
+	lastSuccess decide.Instant // when a reader last reported success
+}
+
+// HandleReport records the report of a reader. Reports of other instances are ignored. A success counts only if
+// its proof is newer than the start of the reader's turn. A failure starts an outage if no reader has succeeded
+// for longer than minTurnTimeout.
+func (sel *Selector) HandleReport(now decide.Instant, id fleet.InstanceID, report Report) {
+	r := sel.readers[id]
+	if r == nil || !r.chosen {
 		return
 	}
-	k.failing = r.FailingFor
+	r.failingFor = report.FailingFor
 	switch {
-	case r.FailingFor == 0 && r.ProofAge < now.Sub(k.since):
-		k.rest, s.turns, s.lost, s.served = 0, 0, 0, now
-	case r.FailingFor > 0 && s.lost == 0 && now.Sub(s.served) > firstTurn:
-		s.lost = now.Add(-r.FailingFor)
+	case report.FailingFor == 0 && report.ProofAge < now.Sub(r.turnStart):
+		r.backoff, sel.failedTurns, sel.outageSince, sel.lastSuccess = 0, 0, 0, now
+	case report.FailingFor > 0 && sel.outageSince == 0 && now.Sub(sel.lastSuccess) > minTurnTimeout:
+		sel.outageSince = now.Add(-report.FailingFor)
 	}
 }
 
-// Lost is how long nobody has been able to read the store; 0: somebody is.
-func (s *Selector) OutageDuration(now decide.Instant) time.Duration {
-	if s.lost == 0 {
+// OutageDuration returns how long no reader has been able to read the store; 0 means that there is no outage.
+func (sel *Selector) OutageDuration(now decide.Instant) time.Duration {
+	if sel.outageSince == 0 {
 		return 0
 	}
-	return max(1, now.Sub(s.lost))
+	return max(1, now.Sub(sel.outageSince))
 }
 
-// turn is how long a reader may fail.
-func (s *Selector) turn() time.Duration { return min(longestTurn, firstTurn<<min(s.turns, 8)) }
+// turnTimeout returns how long a reader may currently fail before it loses its turn.
+func (sel *Selector) turnTimeout() time.Duration {
+	return min(maxTurnTimeout, minTurnTimeout<<min(sel.failedTurns, 8))
+}
 
-// Choose gives the readers among the candidates, which come in the order of preference: the dispatcher first.
-func (s *Selector) Choose(now decide.Instant, all []Candidate) []fleet.InstanceID {
-	s.forget(all)
-	s.endTurns(now)
-	chosen := s.spread(all, s.withFirst(now, all, s.kept(all)))
-	for len(chosen) < min(count, len(all)) {
-		c := s.next(now, all, chosen)
-		s.begin(now, c)
+// Choose returns the readers among the candidates, at most readerCount. The candidates are in order of preference,
+// the dispatcher first.
+func (sel *Selector) Choose(now decide.Instant, all []Candidate) []fleet.InstanceID {
+	sel.dropDeparted(all)
+	sel.endFailedTurns(now)
+	chosen := sel.separateDomains(all, sel.preferFirst(now, all, sel.current(all)))
+	for len(chosen) < min(readerCount, len(all)) {
+		c := sel.bestCandidate(now, all, chosen)
+		sel.startTurn(now, c)
 		chosen = append(chosen, c)
 	}
 	ids := make([]fleet.InstanceID, len(chosen))
@@ -100,126 +112,131 @@
 	return ids
 }
 
-// kept gives the readers whose turn goes on.
-func (s *Selector) kept(all []Candidate) []Candidate {
+// current returns the candidates whose turn continues.
+func (sel *Selector) current(all []Candidate) []Candidate {
 	var kept []Candidate
 	for _, c := range all {
-		if k := s.known[c.ID]; k != nil && k.chosen {
+		if r := sel.readers[c.ID]; r != nil && r.chosen {
 			kept = append(kept, c)
 		}
 	}
 	return kept
 }
 
-// withFirst gives the first candidate a turn that it may not have had, since others were attached before it: a
-// dispatcher that doesn't read tells each change a trip later. One that failed waits for its turn like the others.
-func (s *Selector) withFirst(now decide.Instant, all, kept []Candidate) []Candidate {
-	if len(kept) < count || kept[0] == all[0] || s.failed(all[0]) {
+// preferFirst replaces the last reader by the first candidate if that one is not a reader yet, because others were
+// attached earlier. A dispatcher that doesn't read itself passes on each change one network trip later. A first
+// candidate whose last turn failed is chosen like any other.
+func (sel *Selector) preferFirst(now decide.Instant, all, kept []Candidate) []Candidate {
+	if len(kept) < readerCount || kept[0] == all[0] || sel.lastTurnFailed(all[0]) {
 		return kept
 	}
-	s.known[kept[count-1].ID].chosen = false
-	s.begin(now, all[0])
-	return append([]Candidate{all[0]}, kept[:count-1]...)
+	sel.readers[kept[readerCount-1].ID].chosen = false
+	sel.startTurn(now, all[0])
+	return append([]Candidate{all[0]}, kept[:readerCount-1]...)
 }
 
-// spread ends the turn of a second reader of the first one's failure domain once there is a better one: the two may be
-// the first that were attached, and a cut of their domain would leave nobody who reads.
-func (s *Selector) spread(all, kept []Candidate) []Candidate {
-	if len(kept) < count || kept[0].Domain != kept[1].Domain {
+// separateDomains ends the turn of the second reader if it is in the failure domain of the first and a candidate
+// from another domain is available. The first two attached instances may share a domain, and if that were cut off,
+// no reader would be left.
+func (sel *Selector) separateDomains(all, kept []Candidate) []Candidate {
+	if len(kept) < readerCount || kept[0].Domain != kept[1].Domain {
 		return kept
 	}
 	for _, c := range all {
-		if c.Domain != kept[0].Domain && !s.failed(c) {
-			s.known[kept[1].ID].chosen = false
+		if c.Domain != kept[0].Domain && !sel.lastTurnFailed(c) {
+			sel.readers[kept[1].ID].chosen = false
 			return kept[:1]
 		}
 	}
 	return kept
 }
 
-// begin gives a candidate its turn.
-func (s *Selector) begin(now decide.Instant, c Candidate) {
-	k := s.of(c.ID)
-	k.chosen, k.since, k.failing = true, now, 0
+// startTurn makes a candidate a reader.
+func (sel *Selector) startTurn(now decide.Instant, c Candidate) {
+	r := sel.readerFor(c.ID)
+	r.chosen, r.turnStart, r.failingFor = true, now, 0
 }
 
-// failed tells whether a candidate's last turn ended in failure.
-func (s *Selector) failed(c Candidate) bool {
-	k := s.known[c.ID]
-	return k != nil && k.rest > 0
+// lastTurnFailed reports whether a candidate's last turn failed.
+func (sel *Selector) lastTurnFailed(c Candidate) bool {
+	r := sel.readers[c.ID]
+	return r != nil && r.backoff > 0
 }
 
-func (s *Selector) of(id fleet.InstanceID) *reader {
-	k := s.known[id]
-	if k == nil {
-		k = &reader{}
-		s.known[id] = k
+// readerFor returns the state of an instance and creates it if needed.
+func (sel *Selector) readerFor(id fleet.InstanceID) *reader {
+	r := sel.readers[id]
+	if r == nil {
+		r = &reader{}
+		sel.readers[id] = r
 	}
-	return k
+	return r
 }
 
-// forget drops what is known of instances that are no candidates any more.
-func (s *Selector) forget(all []Candidate) {
-	if s.known == nil {
-		s.known = map[fleet.InstanceID]*reader{}
+// dropDeparted removes the state of instances that are no longer candidates.
+func (sel *Selector) dropDeparted(all []Candidate) {
+	if sel.readers == nil {
+		sel.readers = map[fleet.InstanceID]*reader{}
 	}
-	for id := range s.known {
+	for id := range sel.readers {
 		if !slices.ContainsFunc(all, func(c Candidate) bool { return c.ID == id }) {
-			delete(s.known, id)
+			delete(sel.readers, id)
 		}
 	}
 }
 
-// endTurns takes the turn from readers that have failed for too long.
-func (s *Selector) endTurns(now decide.Instant) {
-	for _, k := range s.known {
-		if !k.chosen || k.failing < s.turn() || now.Sub(k.since) < s.turn() {
+// endFailedTurns ends the turns of readers that have failed for the timeout, and starts their backoff.
+func (sel *Selector) endFailedTurns(now decide.Instant) {
+	for _, r := range sel.readers {
+		if !r.chosen || r.failingFor < sel.turnTimeout() || now.Sub(r.turnStart) < sel.turnTimeout() {
 			continue
 		}
-		k.chosen = false
-		k.rest = min(longestRest, max(firstRest, 2*k.rest))
-		k.rests = now.Add(k.rest)
-		s.turns++
+		r.chosen = false
+		r.backoff = min(maxBackoff, max(minBackoff, 2*r.backoff))
+		r.backoffUntil = now.Add(r.backoff)
+		sel.failedTurns++
 	}
 }
 
-// next gives the best candidate that isn't chosen: one that doesn't rest, then one of another failure domain than the
-// one chosen, which is seldom cut off together with it; where all rest, the one whose rest ends first. After a failure
-// it is drawn from all: those that stand together in the order may be cut off together.
-func (s *Selector) next(now decide.Instant, all, chosen []Candidate) Candidate {
+// bestCandidate returns the candidate to choose next. It prefers, in this order: candidates that are not in
+// backoff, or whose backoff ends first; candidates of another failure domain than the first reader, as two domains
+// are rarely cut off together; the given order. After a failed turn a pseudo-random order replaces the given one,
+// because neighbors in the given order may be cut off together.
+func (sel *Selector) bestCandidate(now decide.Instant, all, chosen []Candidate) Candidate {
 	best, found := Candidate{}, false
 	for _, c := range all {
 		if slices.Contains(chosen, c) {
 			continue
 		}
-		if !found || s.better(now, c, best, chosen) {
+		if !found || sel.preferred(now, c, best, chosen) {
 			best, found = c, true
 		}
 	}
 	return best
 }
 
-func (s *Selector) better(now decide.Instant, a, b Candidate, chosen []Candidate) bool {
-	restsA, restsB := s.restsUntil(now, a), s.restsUntil(now, b)
-	if restsA != restsB {
-		return restsA < restsB
+// preferred reports whether a is preferred to b.
+func (sel *Selector) preferred(now decide.Instant, a, b Candidate, chosen []Candidate) bool {
+	backoffA, backoffB := sel.backoffEnd(now, a), sel.backoffEnd(now, b)
+	if backoffA != backoffB {
+		return backoffA < backoffB
 	}
-	beside := func(c Candidate) bool { return len(chosen) > 0 && chosen[0].Domain == c.Domain }
-	if besideA, besideB := beside(a), beside(b); besideA != besideB {
-		return besideB
+	sameDomain := func(c Candidate) bool { return len(chosen) > 0 && chosen[0].Domain == c.Domain }
+	if sameA, sameB := sameDomain(a), sameDomain(b); sameA != sameB {
+		return sameB
 	}
-	return s.turns > 0 && s.draw(a) > s.draw(b)
+	return sel.failedTurns > 0 && sel.tieBreak(a) > sel.tieBreak(b)
 }
 
-// draw gives a number that orders the candidates anew for each turn.
-func (s *Selector) draw(c Candidate) uint64 {
-	return rendezvous.Score(strconv.Itoa(s.turns), string(c.ID))
+// tieBreak returns a number that orders the candidates differently after each failed turn.
+func (sel *Selector) tieBreak(c Candidate) uint64 {
+	return rendezvous.Score(strconv.Itoa(sel.failedTurns), string(c.ID))
 }
 
-// restsUntil is when a candidate's rest ends; 0: it doesn't rest.
-func (s *Selector) restsUntil(now decide.Instant, c Candidate) decide.Instant {
-	if k := s.known[c.ID]; k != nil && k.rests > now {
-		return k.rests
+// backoffEnd returns when a candidate's backoff ends; 0 means that it is not in backoff.
+func (sel *Selector) backoffEnd(now decide.Instant, c Candidate) decide.Instant {
+	if r := sel.readers[c.ID]; r != nil && r.backoffUntil > now {
+		return r.backoffUntil
 	}
 	return 0
 }
