--- a/cmd/damaskbench/vary.go
+++ b/cmd/damaskbench/vary.go
@@ -26,18 +26,18 @@
 
 // parameters are the profile's fields that can be varied.
 var parameters = map[string]func(p *pick.Profile, v float64){
-	"choices":    func(p *pick.Profile, v float64) { p.Choices = int(v) },
-	"affine":     func(p *pick.Profile, v float64) { p.Affine = int(v) },
-	"others":     func(p *pick.Profile, v float64) { p.Others = v },
-	"spill-ms":   func(p *pick.Profile, v float64) { p.Spill = time.Duration(v) * time.Millisecond },
+	"choices":    func(p *pick.Profile, v float64) { p.RandomChoices = int(v) },
+	"affine":     func(p *pick.Profile, v float64) { p.PrefixChoices = int(v) },
+	"others":     func(p *pick.Profile, v float64) { p.PeerWeight = v },
+	"spill-ms":   func(p *pick.Profile, v float64) { p.LanePenalty = time.Duration(v) * time.Millisecond },
 	"headroom":   func(p *pick.Profile, v float64) { p.Headroom = v },
-	"split-gain": func(p *pick.Profile, v float64) { p.SplitGain = v },
-	"lane-max":   func(p *pick.Profile, v float64) { p.LaneMax = v },
-	"window-ms":  func(p *pick.Profile, v float64) { p.Window[cost.Short] = time.Duration(v) * time.Millisecond },
-	"medium-ms":  func(p *pick.Profile, v float64) { p.Window[cost.Medium] = time.Duration(v) * time.Millisecond },
+	"split-gain": func(p *pick.Profile, v float64) { p.MaxSplitRatio = v },
+	"lane-max":   func(p *pick.Profile, v float64) { p.MaxLaneShare = v },
+	"window-ms":  func(p *pick.Profile, v float64) { p.MaxWait[cost.Short] = time.Duration(v) * time.Millisecond },
+	"medium-ms":  func(p *pick.Profile, v float64) { p.MaxWait[cost.Medium] = time.Duration(v) * time.Millisecond },
 	"lane-ms": func(p *pick.Profile, v float64) {
-		p.Window[cost.Long] = time.Duration(v) * time.Millisecond
-		p.Window[cost.Group] = p.Window[cost.Long]
+		p.MaxWait[cost.Long] = time.Duration(v) * time.Millisecond
+		p.MaxWait[cost.Group] = p.MaxWait[cost.Long]
 	},
 	"medium-prio": func(p *pick.Profile, v float64) { p.Priority[cost.Medium] = int(v) },
 	"long-prio":   func(p *pick.Profile, v float64) { p.Priority[cost.Long] = int(v); p.Priority[cost.Group] = int(v) },
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -18,7 +18,7 @@
 }
 
 func newDirect(e *entry, pipeline pick.Pipeline) *direct {
-	return &direct{e: e, pipeline: pipeline, pool: pick.NewPool(e.views, nil, e.sim.model().Memory), profile: pick.Profile{Choices: len(e.views)}}
+	return &direct{e: e, pipeline: pipeline, pool: pick.NewPool(e.views, nil, e.sim.model().Memory), profile: pick.Profile{RandomChoices: len(e.views)}}
 }
 
 // RoundRobin takes the engines in turn.
@@ -46,7 +46,7 @@
 func (d *direct) query(r *request) *pick.Query {
 	return &pick.Query{
 		Prompt: &r.prompt, Class: r.class, Now: d.e.sim.clock.Now(), Rand: d.e.rng,
-		Entries: d.e.sim.config.Entries, Profile: &d.profile,
+		Instances: d.e.sim.config.Entries, Profile: &d.profile,
 	}
 }
 
@@ -63,11 +63,11 @@
 func (d *direct) group(r *request) {
 	const room = 0.8
 	q := d.query(r)
-	n := 1 + int(float64(r.prompt.Memory())/(room*float64(d.pool.Memory)))
+	n := 1 + int(float64(r.prompt.MemoryTokens())/(room*float64(d.pool.EngineMemory)))
 	var parts []pick.Part
 	for len(parts) < n {
 		choice := d.pipeline.Pick(q, d.others(parts))
-		parts = append(parts, pick.Part{Engine: choice.Engine, Tokens: r.prompt.Memory()/int64(n) + 1})
+		parts = append(parts, pick.Part{Engine: choice.Engine, Tokens: r.prompt.MemoryTokens()/int64(n) + 1})
 	}
 	r.reserve(parts)
 }
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -19,7 +19,7 @@
 	s.entries = []*entry{{sim: s, policy: &direct{}}}
 	return e, func(tokens, priority int) *request {
 		r := &request{
-			arrival: &arrival{at: s.clock.Now(), prompt: cost.Prompt{Tokens: tokens, Answer: 10}, answer: 10},
+			arrival: &arrival{at: s.clock.Now(), prompt: cost.Prompt{Tokens: tokens, MaxAnswerTokens: 10}, answer: 10},
 			sim:     s, entry: s.entries[0], priority: priority,
 		}
 		r.dispatch(e, false)
@@ -90,7 +90,7 @@
 	long := 0
 	for i := range arrivals {
 		work += again.work(&arrivals[i])
-		if arrivals[i].class.Lane() {
+		if arrivals[i].class.UsesLanes() {
 			long++
 		}
 	}
--- a/internal/bench/bound.go
+++ b/internal/bench/bound.go
@@ -38,7 +38,7 @@
 
 func isolated(a *arrival, m *EngineModel, seen map[uint64]bool) time.Duration {
 	if a.class == cost.Group {
-		members := int(a.prompt.Memory()/m.Memory) + 1
+		members := int(a.prompt.MemoryTokens()/m.Memory) + 1
 		return m.prefillTime(int(float64(a.prompt.Tokens)*(1+groupOverhead)) / members)
 	}
 	tokens, prefix := a.prompt.Tokens, true
--- a/internal/bench/entry.go
+++ b/internal/bench/entry.go
@@ -55,9 +55,9 @@
 	now, eng, view := e.sim.clock.Now(), e.sim.engines[i], e.views[i]
 	l := eng.report
 	l.AgeMs = now.Sub(eng.reported).Milliseconds()
-	view.Tell(pick.ReportOf(&l, now))
+	view.UpdateReport(pick.NewReport(&l, now))
 	if !e.sim.config.NoCache {
-		view.Cache.Apply(eng.cacheEvents(view.Cache.Next()), now)
+		view.Cache.Apply(eng.cacheEvents(view.Cache.NextSeq()), now)
 	}
 	e.policy.wake()
 	wait := e.paces[i].Next(l.Seq, eng.reported, now, reportPoll)
@@ -82,7 +82,7 @@
 func newGated(e *entry, profile pick.Profile, pipeline *pick.Pipeline) *gated {
 	g := &gated{e: e, profile: profile, waiting: map[*admit.Request]*request{}}
 	g.gate = admit.NewGate(&g.profile, pipeline, queueLength)
-	g.sizer = lane.Sizer{Headroom: profile.Headroom, Min: g.leastLanes(), MaxShare: profile.LaneMax}
+	g.sizer = lane.Sizer{Headroom: profile.Headroom, MinLanes: g.leastLanes(), MaxShare: profile.MaxLaneShare}
 	var upstreams []*fleet.Upstream
 	for i, eng := range e.sim.engines {
 		domains := e.sim.config.Deployment.Domains
@@ -95,7 +95,7 @@
 
 // leastLanes is enough engines for the longest prompt; none where the profile has no lanes.
 func (g *gated) leastLanes() int {
-	if g.profile.LaneMax == 0 {
+	if g.profile.MaxLaneShare == 0 {
 		return 0
 	}
 	return maxPrompt/int(g.e.sim.model().Memory) + 1
@@ -104,9 +104,9 @@
 // resize sizes the lanes from the demand that this entry has seen, as often as the daemon does.
 func (g *gated) resize() {
 	now := g.e.sim.clock.Now()
-	fleetDemand := g.demand.Engines(now) * float64(g.e.sim.config.Entries)
+	fleetDemand := g.demand.BusyEngines(now) * float64(g.e.sim.config.Entries)
 	views, order := g.inService()
-	size, _ := g.sizer.Size(fleetDemand, len(order), now)
+	size, _ := g.sizer.Resize(fleetDemand, len(order), now)
 	g.lanes = size
 	g.pool = pick.NewPool(views, order[:size], g.e.sim.model().Memory)
 	g.e.sim.clock.After(resizeEvery, g.resize)
@@ -138,7 +138,7 @@
 	g.number++
 	r.gated = r.gate(g.number*100 + g.e.number)
 	r.priority = g.profile.Priority[r.class]
-	if r.class.Lane() {
+	if r.class.UsesLanes() {
 		g.demand.Add(laneWork(&r.prompt, r.class, g.e.sim.model(), r.gated.Decode), g.e.sim.clock.Now())
 	}
 	g.waiting[r.gated] = r
@@ -158,7 +158,7 @@
 		r.refusal = d.Reason
 		r.finish(refused)
 	case admit.Dispatch:
-		r.sent = []sentPart{{d.Choice.Engine, int64(d.Choice.Estimate.Cost), r.prompt.Memory()}}
+		r.sent = []sentPart{{d.Choice.Engine, int64(d.Choice.Estimate.Cost), r.prompt.MemoryTokens()}}
 		r.dispatch(g.e.byView[d.Choice.Engine], false)
 	case admit.Reserve:
 		r.reserve(d.Plan.Parts)
--- a/internal/bench/request.go
+++ b/internal/bench/request.go
@@ -52,7 +52,7 @@
 // dispatch sends the request to one engine, with its memory reserved before or not.
 func (r *request) dispatch(e *engine, reserved bool) {
 	r.sim.sent(e)
-	need := r.prompt.Memory()
+	need := r.prompt.MemoryTokens()
 	if reserved {
 		need = 0
 	}
@@ -71,7 +71,7 @@
 // dispatchGroup sends the request's parts to the engines of its group; the first one answers.
 func (r *request) dispatchGroup() {
 	r.waitFor = len(r.parts)
-	total := r.prompt.Memory()
+	total := r.prompt.MemoryTokens()
 	for i, p := range r.parts {
 		share := float64(p.Tokens) / float64(total) * (1 + groupOverhead)
 		tokens := int(share * float64(r.prompt.Tokens))
@@ -118,7 +118,7 @@
 // began tells the entry's view that the prompt is computed.
 func (r *request) began() {
 	for i := range r.sent {
-		r.sent[i].engine.Began(r.class, r.sent[i].tokens)
+		r.sent[i].engine.RecordFirstToken(r.class, r.sent[i].tokens)
 		r.sent[i].tokens = 0
 	}
 }
@@ -131,7 +131,7 @@
 	r.outcome, r.ended = o, r.sim.clock.Now()
 	r.began()
 	for _, s := range r.sent {
-		s.engine.Ended(s.memory)
+		s.engine.ReleaseMemory(s.memory)
 	}
 	if r.group != nil {
 		r.carry(r.group.End())
@@ -210,7 +210,7 @@
 		ID:        fleet.RequestID(fmt.Sprintf("r%07d", number)),
 		Workspace: r.workspace, Prompt: r.prompt, Class: r.class,
 		Arrived: r.at, Deadline: r.deadline,
-		Decode: time.Duration(r.prompt.Answer) * expectedInterval,
+		Decode: time.Duration(r.prompt.MaxAnswerTokens) * expectedInterval,
 	}
 }
 
@@ -225,5 +225,5 @@
 	if class == cost.Group {
 		t += time.Duration(float64(t) * groupOverhead)
 	}
-	return t.Seconds() + decode.Seconds()*float64(p.Memory())/float64(m.Memory)
+	return t.Seconds() + decode.Seconds()*float64(p.MemoryTokens())/float64(m.Memory)
 }
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -79,7 +79,7 @@
 		return newGated(e, c.profile(), pick.Default())
 	case PolicySharedPool:
 		p := c.profile()
-		p.LaneMax, p.SplitGain = 0, 0
+		p.MaxLaneShare, p.MaxSplitRatio = 0, 0
 		clear(p.Priority[:])
 		return newGated(e, p, pick.Default())
 	case PolicyLeastLoaded:
@@ -145,7 +145,7 @@
 	s := newSim(c)
 	for i := range arrivals {
 		a := &arrivals[i]
-		if c.WithoutLong && a.class.Lane() {
+		if c.WithoutLong && a.class.UsesLanes() {
 			continue
 		}
 		r := &request{arrival: a, sim: s, entry: s.entries[a.entry]}
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -149,8 +149,8 @@
 	} else {
 		w.short(&a, space)
 	}
-	a.prompt.Answer = int(float64(a.answer) * answerSlack)
-	a.class = cost.ClassOf(a.prompt.Tokens, a.prompt.Answer, w.model.Memory)
+	a.prompt.MaxAnswerTokens = int(float64(a.answer) * answerSlack)
+	a.class = cost.ClassOf(a.prompt.Tokens, a.prompt.MaxAnswerTokens, w.model.Memory)
 	a.deadline = at.Add(timeouts[a.class])
 	return a
 }
--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -56,9 +56,9 @@
 
 // report lets the engine say now that it has so many tokens to compute and so much memory held.
 func (b *bench) report(queued, used int64) {
-	b.engine.Tell(&pick.Report{
+	b.engine.UpdateReport(&pick.Report{
 		At: b.world.Now.Add(10 * time.Millisecond), QueuedTokens: queued, Queued: 1, MemoryUsed: used,
-		MemoryTotal: memory, Rate: rate,
+		MemoryTotal: memory, PrefillRate: rate,
 	})
 	b.world.Now = b.world.Now.Add(100 * time.Millisecond)
 }
@@ -67,7 +67,7 @@
 	b.number++
 	return &admit.Request{
 		ID: fleet.RequestID(fmt.Sprintf("r%05d", b.number)), Workspace: fleet.WorkspaceID(workspace),
-		Prompt: cost.Prompt{Tokens: tokens, Answer: 100}, Class: cost.ClassOf(tokens, 100, memory),
+		Prompt: cost.Prompt{Tokens: tokens, MaxAnswerTokens: 100}, Class: cost.ClassOf(tokens, 100, memory),
 		Arrived: b.world.Now, Deadline: b.world.Now.Add(timeout), Decode: time.Second,
 	}
 }
--- a/internal/decide/admit/gate.go
+++ b/internal/decide/admit/gate.go
@@ -60,7 +60,7 @@
 // (ok is false) where others wait in its queue, where it is for the lanes, or where it has to wait: then
 // Offer decides.
 func (g *Gate) Direct(r *Request, w *World) (d Decision, ok bool) {
-	if r.Class.Lane() || g.waiting[queueOf(r.Class)].Load() > 0 {
+	if r.Class.UsesLanes() || g.waiting[queueOf(r.Class)].Load() > 0 {
 		return Decision{}, false
 	}
 	d = g.place(r, w)
@@ -83,11 +83,11 @@
 // place tries to find an engine for the request now. Queued means that there is none.
 func (g *Gate) place(r *Request, w *World) Decision {
 	r.ask(g.profile, w)
-	candidates := w.Pool.For(r.Class)
+	candidates := w.Pool.ForClass(r.Class)
 	if len(candidates) == 0 {
 		return refuse(r, fault.NoUpstream, NothingThere, 0)
 	}
-	if r.Class.Lane() {
+	if r.Class.UsesLanes() {
 		return g.plan(r, w, candidates)
 	}
 	return g.choose(r, w, candidates)
@@ -95,7 +95,7 @@
 
 func (r *Request) ask(profile *pick.Profile, w *World) {
 	r.query = pick.Query{
-		Prompt: &r.Prompt, Class: r.Class, Now: w.Now, Rand: w.Rand, Entries: w.Entries,
+		Prompt: &r.Prompt, Class: r.Class, Now: w.Now, Rand: w.Rand, Instances: w.Entries,
 		Exclude: r.Exclude, Profile: profile,
 	}
 }
@@ -107,28 +107,28 @@
 		return refuse(r, fault.NoUpstream, NothingThere, 0)
 	case choice.Engine == nil: // no room now, or the caller's gate is shut for now
 		return Decision{Verb: Queued, Request: r, Reason: choice.Reason}
-	case w.Now.Add(choice.Estimate.First-choice.Estimate.Wait+r.Decode).Sub(r.Deadline) > 0:
+	case w.Now.Add(choice.Estimate.FirstToken-choice.Estimate.Wait+r.Decode).Sub(r.Deadline) > 0:
 		return refuse(r, fault.Infeasible, TooLate, 0)
-	case choice.Estimate.Wait > g.profile.Window[r.Class]:
+	case choice.Estimate.Wait > g.profile.MaxWait[r.Class]:
 		return Decision{Verb: Queued, Request: r, Choice: choice, Reason: WaitsForEngine}
-	case w.Now.Add(choice.Estimate.First+r.Decode).Sub(r.Deadline) > 0:
+	case w.Now.Add(choice.Estimate.FirstToken+r.Decode).Sub(r.Deadline) > 0:
 		return refuse(r, fault.Infeasible, TooLate, choice.Estimate.Wait)
 	}
-	choice.Engine.Sent(r.Class, int64(choice.Estimate.Cost), r.Prompt.Memory(), w.Now)
+	choice.Engine.RecordDispatch(r.Class, int64(choice.Estimate.Cost), r.Prompt.MemoryTokens(), w.Now)
 	return Decision{Verb: Dispatch, Request: r, Choice: choice, Reason: choice.Reason}
 }
 
 func (g *Gate) plan(r *Request, w *World, candidates []pick.Candidate) Decision {
 	if tooBig(r, candidates) {
-		return refuse(r, fault.NoMemory, pick.NoRoom, 0)
+		return refuse(r, fault.NoMemory, pick.NoMemory, 0)
 	}
 	plan := pick.PlanLong(&r.query, candidates, g.pipeline.Gates)
 	switch {
 	case len(plan.Parts) == 0:
 		return Decision{Verb: Queued, Request: r, Reason: WaitsForMemory}
-	case plan.Estimate.Wait > g.profile.Window[r.Class]:
+	case plan.Estimate.Wait > g.profile.MaxWait[r.Class]:
 		return Decision{Verb: Queued, Request: r, Plan: plan, Reason: WaitsForEngine}
-	case w.Now.Add(plan.Estimate.First+r.Decode).Sub(r.Deadline) > 0:
+	case w.Now.Add(plan.Estimate.FirstToken+r.Decode).Sub(r.Deadline) > 0:
 		return refuse(r, fault.Infeasible, TooLate, 0)
 	}
 	return Decision{Verb: Reserve, Request: r, Plan: plan, Reason: plan.Reason}
@@ -144,7 +144,7 @@
 		}
 		total += report.MemoryTotal
 	}
-	return r.Prompt.Memory() > total
+	return r.Prompt.MemoryTokens() > total
 }
 
 // enqueue keeps the request, unless it could not finish in its time or the queue is full.
@@ -205,20 +205,20 @@
 // service is the least time that an idle engine or group needs for the prompt.
 func (g *Gate) service(r *Request, w *World) time.Duration {
 	rate, members := int64(0), int64(1)
-	for _, c := range w.Pool.For(r.Class) {
-		rate = max(rate, c.Rate())
+	for _, c := range w.Pool.ForClass(r.Class) {
+		rate = max(rate, c.PrefillRate())
 	}
-	if r.Class == cost.Group && w.Pool.Memory > 0 {
-		members = 1 + r.Prompt.Memory()/w.Pool.Memory
+	if r.Class == cost.Group && w.Pool.EngineMemory > 0 {
+		members = 1 + r.Prompt.MemoryTokens()/w.Pool.EngineMemory
 	}
-	return cost.Time(int64(r.Prompt.Tokens)/members, rate)
+	return cost.PrefillTime(int64(r.Prompt.Tokens)/members, rate)
 }
 
 // capacity is this instance's part of the engines' rate, in tokens a second.
 func capacity(w *World, class cost.Class) float64 {
 	var sum int64
-	for _, c := range w.Pool.For(class) {
-		sum += c.Rate()
+	for _, c := range w.Pool.ForClass(class) {
+		sum += c.PrefillRate()
 	}
 	return float64(sum) / float64(max(w.Entries, 1))
 }
@@ -265,7 +265,7 @@
 			d = g.place(r, w)
 		}
 		if d.Verb == Queued {
-			if !r.Class.Lane() || w.Now.Sub(r.Arrived) > bypass {
+			if !r.Class.UsesLanes() || w.Now.Sub(r.Arrived) > bypass {
 				return out
 			}
 			tried = append(tried, f)
@@ -296,7 +296,7 @@
 func (g *Gate) Reserved(r *Request, plan *pick.Plan, granted bool, w *World) Decision {
 	if granted {
 		for _, p := range plan.Parts {
-			p.Engine.Sent(r.Class, p.Tokens, p.Tokens, w.Now)
+			p.Engine.RecordDispatch(r.Class, p.Tokens, p.Tokens, w.Now)
 		}
 		return Decision{Verb: Dispatch, Request: r, Plan: *plan, Reason: plan.Reason}
 	}
--- a/internal/decide/admit/request.go
+++ b/internal/decide/admit/request.go
@@ -79,5 +79,5 @@
 // Reasons lists all of them.
 var Reasons = append([]decide.Reason{
 	WaitsForEngine, WaitsForMemory, WaitsItsTurn, TooLate, Expired, Full, PushedOut,
-	pick.Single, pick.Grouped, pick.Split,
+	pick.OneEngine, pick.EngineGroup, pick.Split,
 }, pick.Reasons...)
--- a/internal/decide/cost/cost.go
+++ b/internal/decide/cost/cost.go
@@ -43,7 +43,7 @@
 }
 
 // Lane tells whether prompts of the class stay on the long lanes.
-func (c Class) Lane() bool { return c >= Long }
+func (c Class) UsesLanes() bool { return c >= Long }
 
 // ClassOf gives the class of a prompt of that many tokens, its answer included, where one engine holds
 // memory tokens of KV cache.
@@ -62,25 +62,25 @@
 
 // Prompt is what routing needs to know of a request.
 type Prompt struct {
-	Tokens int      // prompt tokens
-	Answer int      // most tokens of its answer
-	Blocks []uint64 // chained hashes of its whole prefix blocks, wire.Blocks
+	Tokens          int      // prompt tokens
+	MaxAnswerTokens int      // most tokens of its answer
+	Blocks          []uint64 // chained hashes of its whole prefix blocks, wire.Blocks
 }
 
 // Memory is the KV cache that the prompt may come to hold, in tokens.
-func (p *Prompt) Memory() int64 { return int64(p.Tokens + p.Answer) }
+func (p *Prompt) MemoryTokens() int64 { return int64(p.Tokens + p.MaxAnswerTokens) }
 
 // On gives the prompt tokens that the engine behind table is expected to compute. A nil table knows of no
 // cached block. At least one token is always computed: it gives the first token of the answer.
-func (p *Prompt) On(table *Table, now Clock) int {
+func (p *Prompt) UncachedTokens(table *Table, now Instant) int {
 	if table == nil {
 		return p.Tokens
 	}
-	return max(p.Tokens-int(table.Cached(p.Blocks, now)), 1)
+	return max(p.Tokens-int(table.CachedTokens(p.Blocks, now)), 1)
 }
 
 // Time is how long an engine takes to compute that many prompt tokens at rate tokens a second.
-func Time(tokens, rate int64) time.Duration {
+func PrefillTime(tokens, rate int64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
--- a/internal/decide/cost/cost_test.go
+++ b/internal/decide/cost/cost_test.go
@@ -45,16 +45,16 @@
 	table := cost.NewTable(memory)
 	table.Apply(batch("b", 0, 10, 4), 0)
 	p := cost.Prompt{Tokens: 8000, Blocks: hashes(10, 7)}
-	is.Equal(p.On(nil, 0), 8000)
-	is.Equal(p.On(table, 0), 8000-4*wire.BlockTokens)
+	is.Equal(p.UncachedTokens(nil, 0), 8000)
+	is.Equal(p.UncachedTokens(table, 0), 8000-4*wire.BlockTokens)
 
 	hole := cost.Prompt{Tokens: 8000, Blocks: append(hashes(10, 2), 99, 12, 13)}
-	is.Equal(hole.On(table, 0), 8000-2*wire.BlockTokens) // nothing counts after a block that is missing
+	is.Equal(hole.UncachedTokens(table, 0), 8000-2*wire.BlockTokens) // nothing counts after a block that is missing
 
 	later := decide.Instant(0).Add(cost.HalfLife)
-	is.Equal(p.On(table, later), 8000-2*wire.BlockTokens) // half as sure, half the saving
+	is.Equal(p.UncachedTokens(table, later), 8000-2*wire.BlockTokens) // half as sure, half the saving
 	all := cost.Prompt{Tokens: 2 * wire.BlockTokens, Blocks: hashes(10, 2)}
-	is.Equal(all.On(table, 0), 1) // the last token is always computed
+	is.Equal(all.UncachedTokens(table, 0), 1) // the last token is always computed
 }
 
 // A caller's prompt goes to an engine for a cached prefix that is long gone, and waits for its prefill.
@@ -64,18 +64,18 @@
 	is := is.New(t)
 	table := cost.NewTable(memory)
 	table.Apply(batch("b", 0, 100, 40), 0)
-	before := table.Cached(hashes(100, 40), 0)
+	before := table.CachedTokens(hashes(100, 40), 0)
 
 	out := table.Apply(batch("b", 50, 900, 1), 0) // events 40 to 49 are lost
 	is.Equal(out.Missed, uint64(10))
-	after := table.Cached(hashes(100, 40), 0)
+	after := table.CachedTokens(hashes(100, 40), 0)
 	is.True(after <= before*(1-10.0/40)) // ten of forty may be gone
 	is.True(after > before*0.7)
-	is.Equal(table.Cached(hashes(900, 1), 0), float64(wire.BlockTokens)) // what came after the gap is sure
+	is.Equal(table.CachedTokens(hashes(900, 1), 0), float64(wire.BlockTokens)) // what came after the gap is sure
 
 	out = table.Apply(&wire.CacheEvents{BootID: "b", First: 400, Next: 400}, 0) // the engine dropped old events
 	is.Equal(out.Missed, uint64(349))
-	is.Equal(table.Known(), 0)
+	is.Equal(table.BlockCount(), 0)
 }
 
 // After an engine's restart its cache is empty, yet prompts keep going there for prefixes of its former
@@ -86,8 +86,8 @@
 	table.Apply(batch("b1", 0, 100, 40), 0)
 	out := table.Apply(batch("b2", 0, 500, 1), 0)
 	is.True(out.Restarted)
-	is.Equal(table.Cached(hashes(100, 40), 0), 0.0)
-	is.Equal(table.Cached(hashes(500, 1), 0), float64(wire.BlockTokens))
+	is.Equal(table.CachedTokens(hashes(100, 40), 0), 0.0)
+	is.Equal(table.CachedTokens(hashes(500, 1), 0), float64(wire.BlockTokens))
 }
 
 // Whatever the order of events, the table never counts a block that a seen event dropped, stays within
@@ -95,7 +95,7 @@
 func TestTableAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := cost.NewTable(100 * wire.BlockTokens)
-		size := table.Bytes()
+		size := table.SizeBytes()
 		model := map[uint64]bool{}
 		seq, now := uint64(0), decide.Instant(0)
 		for range rapid.IntRange(1, 60).Draw(t, "batches") {
@@ -111,7 +111,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 		}
 		for hash := range uint64(301) {
-			saved := table.Cached([]uint64{hash}, now)
+			saved := table.CachedTokens([]uint64{hash}, now)
 			known := model[hash] || (hash <= 1 && (model[0] || model[1])) // 0 is stored as 1
 			if saved > 0 && !known {
 				t.Fatalf("block %d counts though it was dropped", hash)
@@ -120,8 +120,8 @@
 				t.Fatalf("block %d saves %f tokens", hash, saved)
 			}
 		}
-		if table.Bytes() != size || table.Known() > size/12 {
-			t.Fatalf("table grew: %d blocks in %d bytes", table.Known(), table.Bytes())
+		if table.SizeBytes() != size || table.BlockCount() > size/12 {
+			t.Fatalf("table grew: %d blocks in %d bytes", table.BlockCount(), table.SizeBytes())
 		}
 	})
 }
@@ -131,5 +131,5 @@
 	table := cost.NewTable(memory)
 	table.Apply(batch("b", 0, 100, 40), 0)
 	p := cost.Prompt{Tokens: 50_000, Blocks: hashes(100, 40)}
-	is.Equal(testing.AllocsPerRun(100, func() { p.On(table, 0) }), 0.0)
+	is.Equal(testing.AllocsPerRun(100, func() { p.UncachedTokens(table, 0) }), 0.0)
 }
--- a/internal/decide/cost/table.go
+++ b/internal/decide/cost/table.go
@@ -11,7 +11,7 @@
 )
 
 // Clock is the time that requests read blocks at; the same instants as decide.Instant.
-type Clock = decide.Instant
+type Instant = decide.Instant
 
 const (
 	ways     = 8       // slots that one hash may go to
@@ -53,16 +53,16 @@
 }
 
 // Next is the sequence number to ask the engine's events from.
-func (t *Table) Next() uint64 { return t.next }
+func (t *Table) NextSeq() uint64 { return t.next }
 
 // Known is the number of blocks in the table.
-func (t *Table) Known() int { return t.known }
+func (t *Table) BlockCount() int { return t.known }
 
 // Bytes is the memory that the table takes for good.
-func (t *Table) Bytes() int { return len(t.hashes) * (8 + 4) }
+func (t *Table) SizeBytes() int { return len(t.hashes) * (8 + 4) }
 
 // Outcome counts what a batch of cache events did.
-type Outcome struct {
+type ApplyResult struct {
 	Added, Dropped int
 	Missed         uint64 // events that were lost
 	Restarted      bool   // the engine has a new boot id
@@ -75,8 +75,8 @@
 // chance of at least 1-n/known; the table's clock is set forward until every block known so far counts
 // just that much less. With n >= known nothing is known any more and the table is emptied. A new boot id
 // means an empty cache and a new sequence.
-func (t *Table) Apply(batch *wire.CacheEvents, now Clock) Outcome {
-	var out Outcome
+func (t *Table) Apply(batch *wire.CacheEvents, now Instant) ApplyResult {
+	var out ApplyResult
 	if batch.BootID != t.boot {
 		out.Restarted = t.boot != ""
 		t.clear()
@@ -126,7 +126,7 @@
 }
 
 // clock is the table's own time: instants in ageUnits, plus what gaps have added.
-func (t *Table) clock(now Clock) uint32 {
+func (t *Table) clock(now Instant) uint32 {
 	return uint32(int64(now)/int64(ageUnit)) + t.penalty.Load()
 }
 
@@ -139,7 +139,7 @@
 }
 
 // add stores the block in an empty slot of its set, else in place of the oldest block there.
-func (t *Table) add(hash uint64, now Clock) {
+func (t *Table) add(hash uint64, now Instant) {
 	first, hash := t.set(hash)
 	clock := t.clock(now)
 	slot, oldest := -1, uint32(0)
@@ -190,7 +190,7 @@
 
 // Cached is the expected number of tokens of the prefix blocks that the engine has. A block helps only
 // where all blocks before it are there too, so it counts no more than the least sure of them.
-func (t *Table) Cached(blocks []uint64, now Clock) float64 {
+func (t *Table) CachedTokens(blocks []uint64, now Instant) float64 {
 	clock := t.clock(now)
 	oldest, trust, sum := uint32(0), 1.0, 0.0
 	for _, hash := range blocks {
--- a/internal/decide/health/health.go
+++ b/internal/decide/health/health.go
@@ -29,7 +29,7 @@
 func (s State) String() string { return stateNames[s] }
 
 // Takes tells whether an upstream in that state gets new work.
-func (s State) Takes() bool { return s != Leaving && s != Gone }
+func (s State) AcceptsWork() bool { return s != Leaving && s != Gone }
 
 // Event is a piece of evidence.
 type Event uint8
@@ -37,20 +37,20 @@
 // The evidence. Reports and probes count only if their answer was made after the state began: one that
 // was under way says nothing about what happened since. The shell sees to that with Newer.
 const (
-	ReportedWarm Event = iota // load report: not cold
-	ReportedCold              // load report: cold
-	BootChanged               // another boot id than before
-	ConnReset                 // a connection was reset or cut, or could not be opened
-	SlowFirst                 // the first byte took far longer than it should
-	Errored                   // an answer that says the upstream itself failed
-	Unheard                   // a report or probe was not answered
-	Answered                  // a probe was answered by an upstream that makes no reports
-	Proven                    // a cold upstream that makes no reports has answered probes for long enough
-	Ramped                    // load has grown to the top
-	IsLeaving                 // the list, the configuration or the upstream itself says that it leaves
-	IsBack                    // it stays after all
-	Unlisted                  // not in the instance list any more
-	Listed                    // in the instance list again
+	ReportedWarm    Event = iota // load report: not cold
+	ReportedCold                 // load report: cold
+	BootChanged                  // another boot id than before
+	ConnReset                    // a connection was reset or cut, or could not be opened
+	SlowFirstByte                // the first byte took far longer than it should
+	Errored                      // an answer that says the upstream itself failed
+	NoReply                      // a report or probe was not answered
+	ProbeAnswered                // a probe was answered by an upstream that makes no reports
+	ProbationPassed              // a cold upstream that makes no reports has answered probes for long enough
+	RampCompleted                // load has grown to the top
+	IsLeaving                    // the list, the configuration or the upstream itself says that it leaves
+	IsBack                       // it stays after all
+	Unlisted                     // not in the instance list any more
+	Listed                       // in the instance list again
 	eventCount
 )
 
@@ -71,26 +71,26 @@
 // fail a full load each time.
 var table = [stateCount]map[Event]State{
 	Unknown: {
-		ReportedWarm: Warm, ReportedCold: Cold, BootChanged: Cold, Answered: Warming, Proven: Warming,
-		ConnReset: Cold, SlowFirst: Cold, Errored: Cold, Unheard: Suspect,
+		ReportedWarm: Warm, ReportedCold: Cold, BootChanged: Cold, ProbeAnswered: Warming, ProbationPassed: Warming,
+		ConnReset: Cold, SlowFirstByte: Cold, Errored: Cold, NoReply: Suspect,
 		IsLeaving: Leaving, Unlisted: Gone,
 	},
 	Cold: {
-		ReportedWarm: Warming, Proven: Warming, Unheard: Suspect,
+		ReportedWarm: Warming, ProbationPassed: Warming, NoReply: Suspect,
 		IsLeaving: Leaving, Unlisted: Gone,
 	},
 	Warming: {
-		ReportedCold: Cold, BootChanged: Cold, Ramped: Warm,
-		ConnReset: Suspect, SlowFirst: Suspect, Errored: Suspect, Unheard: Suspect,
+		ReportedCold: Cold, BootChanged: Cold, RampCompleted: Warm,
+		ConnReset: Suspect, SlowFirstByte: Suspect, Errored: Suspect, NoReply: Suspect,
 		IsLeaving: Leaving, Unlisted: Gone,
 	},
 	Warm: {
 		ReportedCold: Cold, BootChanged: Cold,
-		ConnReset: Suspect, SlowFirst: Suspect, Errored: Suspect, Unheard: Suspect,
+		ConnReset: Suspect, SlowFirstByte: Suspect, Errored: Suspect, NoReply: Suspect,
 		IsLeaving: Leaving, Unlisted: Gone,
 	},
 	Suspect: {
-		ReportedWarm: Warming, ReportedCold: Cold, BootChanged: Cold, Answered: Warming, Proven: Warming,
+		ReportedWarm: Warming, ReportedCold: Cold, BootChanged: Cold, ProbeAnswered: Warming, ProbationPassed: Warming,
 		IsLeaving: Leaving, Unlisted: Gone,
 	},
 	// A domain that comes back: what was reported before it left, or just before it turned cold, says nothing.
@@ -120,21 +120,21 @@
 func (m *Machine) Since() decide.Instant { return m.since }
 
 // On takes an event and tells whether the state changed.
-func (m *Machine) On(e Event, now decide.Instant) (Transition, bool) {
+func (m *Machine) Apply(e Event, now decide.Instant) (Transition, bool) {
 	to, ok := table[m.state][e]
 	if !ok || to == m.state {
 		return Transition{}, false
 	}
 	t := Transition{From: m.state, To: to, Reason: e.Reason()}
 	m.state, m.since = to, now
-	if to == Suspect && e != Unheard {
+	if to == Suspect && e != NoReply {
 		m.strike(now)
 	}
 	return t, true
 }
 
 // OnBoot takes a boot id that an answer bore. The first one seen is no change.
-func (m *Machine) OnBoot(id string, now decide.Instant) (Transition, bool) {
+func (m *Machine) ApplyBootID(id string, now decide.Instant) (Transition, bool) {
 	if id == "" || id == m.boot {
 		return Transition{}, false
 	}
@@ -143,12 +143,12 @@
 	if first {
 		return Transition{}, false
 	}
-	return m.On(BootChanged, now)
+	return m.Apply(BootChanged, now)
 }
 
 // Newer tells whether evidence that was true at made says anything about the state since it began. Of an
 // unknown upstream any does.
-func (m *Machine) Newer(made decide.Instant) bool {
+func (m *Machine) AcceptsEvidence(made decide.Instant) bool {
 	return m.state == Unknown || made > m.since.Add(m.hold())
 }
 
@@ -177,11 +177,11 @@
 }
 
 // Held tells whether the upstream is suspect because its work failed; it gets none until it is cleared.
-func (m *Machine) Held() bool { return m.hold() > 0 }
+func (m *Machine) InHoldoff() bool { return m.hold() > 0 }
 
 // Slow tells whether a first byte that took took is far longer than expected: such a wait is the first
 // sign of an upstream that turned cold without a word.
-func Slow(took, expected time.Duration) bool {
+func IsSlowFirstByte(took, expected time.Duration) bool {
 	return took > max(slowFactor*expected, slowFloor)
 }
 
--- a/internal/decide/health/health_test.go
+++ b/internal/decide/health/health_test.go
@@ -26,7 +26,7 @@
 	}
 	m := &health.Machine{}
 	for _, e := range ways[s] {
-		m.On(e, at)
+		m.Apply(e, at)
 	}
 	if m.State() != s {
 		t.Fatalf("reached %s instead of %s", m.State(), s)
@@ -43,24 +43,24 @@
 	}{
 		{health.Unknown, health.ReportedWarm, health.Warm},
 		{health.Unknown, health.ConnReset, health.Cold},
-		{health.Unknown, health.Answered, health.Warming},
+		{health.Unknown, health.ProbeAnswered, health.Warming},
 		{health.Cold, health.ReportedWarm, health.Warming},
 		{health.Cold, health.ConnReset, health.Cold},
-		{health.Cold, health.Ramped, health.Cold},
-		{health.Cold, health.Answered, health.Cold}, // a probe alone doesn't warm anything up
-		{health.Cold, health.Proven, health.Warming},
-		{health.Warming, health.Ramped, health.Warm},
+		{health.Cold, health.RampCompleted, health.Cold},
+		{health.Cold, health.ProbeAnswered, health.Cold}, // a probe alone doesn't warm anything up
+		{health.Cold, health.ProbationPassed, health.Warming},
+		{health.Warming, health.RampCompleted, health.Warm},
 		{health.Warming, health.BootChanged, health.Cold},
 		{health.Warm, health.BootChanged, health.Cold},
 		{health.Warm, health.ReportedCold, health.Cold},
 		{health.Warm, health.ConnReset, health.Suspect},
-		{health.Warm, health.SlowFirst, health.Suspect},
+		{health.Warm, health.SlowFirstByte, health.Suspect},
 		{health.Warm, health.Errored, health.Suspect},
-		{health.Warm, health.Unheard, health.Suspect},
+		{health.Warm, health.NoReply, health.Suspect},
 		{health.Warm, health.IsLeaving, health.Leaving},
 		{health.Suspect, health.ReportedWarm, health.Warming},
 		{health.Suspect, health.ReportedCold, health.Cold},
-		{health.Suspect, health.Answered, health.Warming},
+		{health.Suspect, health.ProbeAnswered, health.Warming},
 		{health.Suspect, health.BootChanged, health.Cold},
 		{health.Leaving, health.ReportedWarm, health.Leaving}, // what leaves takes nothing, however well it is
 		{health.Leaving, health.IsBack, health.Cold},          // as operators' domains come back
@@ -71,7 +71,7 @@
 	for _, row := range rows {
 		is := is.New(t)
 		m := reach(t, row.from)
-		tr, changed := m.On(row.e, at+1)
+		tr, changed := m.Apply(row.e, at+1)
 		is.Equal(m.State(), row.to)
 		is.Equal(changed, row.from != row.to)
 		if changed {
@@ -88,8 +88,8 @@
 		for e := health.ReportedWarm; e <= health.Listed; e++ {
 			is := is.New(t)
 			m := reach(t, s)
-			m.On(e, at)
-			if !s.Takes() && m.State().Takes() {
+			m.Apply(e, at)
+			if !s.AcceptsWork() && m.State().AcceptsWork() {
 				is.True(e == health.Listed || e == health.IsBack)
 			}
 			if s == health.Cold || s == health.Suspect {
@@ -106,11 +106,11 @@
 func TestBootID(t *testing.T) {
 	is := is.New(t)
 	m := reach(t, health.Warm)
-	_, changed := m.OnBoot("b1", at)
+	_, changed := m.ApplyBootID("b1", at)
 	is.True(!changed)
-	_, changed = m.OnBoot("", at) // an answer without the header
+	_, changed = m.ApplyBootID("", at) // an answer without the header
 	is.True(!changed)
-	tr, changed := m.OnBoot("b2", at)
+	tr, changed := m.ApplyBootID("b2", at)
 	is.True(changed)
 	is.Equal(tr.To, health.Cold)
 	is.Equal(string(tr.Reason), "boot_changed")
@@ -121,18 +121,18 @@
 func TestOldReportClearsNothing(t *testing.T) {
 	is := is.New(t)
 	m := reach(t, health.Suspect)
-	is.True(!m.Newer(at - 1))
-	is.True(!m.Newer(at))
-	is.True(m.Newer(at.Add(250*time.Millisecond + 1)))
-	is.True(reach(t, health.Unknown).Newer(-1)) // what was reported before this instance started is welcome
+	is.True(!m.AcceptsEvidence(at - 1))
+	is.True(!m.AcceptsEvidence(at))
+	is.True(m.AcceptsEvidence(at.Add(250*time.Millisecond + 1)))
+	is.True(reach(t, health.Unknown).AcceptsEvidence(-1)) // what was reported before this instance started is welcome
 }
 
 func TestSlowFirstByte(t *testing.T) {
 	is := is.New(t)
-	is.True(!health.Slow(900*time.Millisecond, 10*time.Millisecond)) // under the floor
-	is.True(health.Slow(1100*time.Millisecond, 10*time.Millisecond))
-	is.True(!health.Slow(30*time.Second, 10*time.Second)) // long prompts take long
-	is.True(health.Slow(41*time.Second, 10*time.Second))
+	is.True(!health.IsSlowFirstByte(900*time.Millisecond, 10*time.Millisecond)) // under the floor
+	is.True(health.IsSlowFirstByte(1100*time.Millisecond, 10*time.Millisecond))
+	is.True(!health.IsSlowFirstByte(30*time.Second, 10*time.Second)) // long prompts take long
+	is.True(health.IsSlowFirstByte(41*time.Second, 10*time.Second))
 }
 
 // An engine loses all its answers and reports that it is well. Each report brought full load back, and
@@ -144,16 +144,16 @@
 	now := decide.Instant(time.Minute)
 	want := []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second}
 	for _, hold := range want {
-		m.On(health.Errored, now)
+		m.Apply(health.Errored, now)
 		is.Equal(m.State(), health.Suspect)
-		is.True(m.Held())
-		is.True(!m.Newer(now.Add(hold)))
-		is.True(m.Newer(now.Add(hold + 1)))
+		is.True(m.InHoldoff())
+		is.True(!m.AcceptsEvidence(now.Add(hold)))
+		is.True(m.AcceptsEvidence(now.Add(hold + 1)))
 		now = now.Add(hold + 1)
-		m.On(health.ReportedWarm, now)
+		m.Apply(health.ReportedWarm, now)
 		is.Equal(m.State(), health.Warming)
 	}
 	now = now.Add(31 * time.Second)
-	m.On(health.Errored, now)
-	is.True(m.Newer(now.Add(250*time.Millisecond + 1))) // the last one is long past: the first again
+	m.Apply(health.Errored, now)
+	is.True(m.AcceptsEvidence(now.Add(250*time.Millisecond + 1))) // the last one is long past: the first again
 }
--- a/internal/decide/lane/lane.go
+++ b/internal/decide/lane/lane.go
@@ -17,7 +17,7 @@
 )
 
 // Window is the time over which demand is averaged.
-const Window = 2 * time.Minute
+const DemandWindow = 2 * time.Minute
 
 // Demand measures the engines that long prompts keep busy: an exponentially weighted sum of
 // engine-seconds, divided by the window. Not safe for concurrent use.
@@ -41,19 +41,19 @@
 	if now.Before(d.at) {
 		return
 	}
-	d.sum *= math.Exp(-now.Sub(d.at).Seconds() / Window.Seconds())
+	d.sum *= math.Exp(-now.Sub(d.at).Seconds() / DemandWindow.Seconds())
 	d.at = now
 }
 
 // Engines is the measured demand, in engines. Until a whole window has passed the sum is divided by what
 // has passed of it, at least a tenth.
-func (d *Demand) Engines(now decide.Instant) float64 {
+func (d *Demand) BusyEngines(now decide.Instant) float64 {
 	if !d.any {
 		return 0
 	}
 	d.decayTo(now)
-	passed := 1 - math.Exp(-now.Sub(d.started).Seconds()/Window.Seconds())
-	return d.sum / (Window.Seconds() * max(passed, 0.1))
+	passed := 1 - math.Exp(-now.Sub(d.started).Seconds()/DemandWindow.Seconds())
+	return d.sum / (DemandWindow.Seconds() * max(passed, 0.1))
 }
 
 // Reasons of a size.
@@ -75,7 +75,7 @@
 // prefixes and short prompts' placements twice.
 type Sizer struct {
 	Headroom float64 // lanes for each engine of demand
-	Min      int     // lanes that are kept however small the demand; enough for the longest prompt
+	MinLanes int     // lanes that are kept however small the demand; enough for the longest prompt
 	MaxShare float64 // largest share of the engines
 
 	size     int
@@ -84,7 +84,7 @@
 }
 
 // Size gives the lanes for a demand, in engines, among that many engines.
-func (s *Sizer) Size(demand float64, engines int, now decide.Instant) (int, decide.Reason) {
+func (s *Sizer) Resize(demand float64, engines int, now decide.Instant) (int, decide.Reason) {
 	want := s.want(demand, engines)
 	switch {
 	case want > s.size:
@@ -108,11 +108,11 @@
 }
 
 func (s *Sizer) most(engines int) int {
-	return max(int(s.MaxShare*float64(engines)), min(s.Min, engines))
+	return max(int(s.MaxShare*float64(engines)), min(s.MinLanes, engines))
 }
 
 func (s *Sizer) want(demand float64, engines int) int {
-	want := max(int(math.Ceil(demand*s.Headroom)), s.Min)
+	want := max(int(math.Ceil(demand*s.Headroom)), s.MinLanes)
 	return min(want, s.most(engines))
 }
 
--- a/internal/decide/lane/lane_test.go
+++ b/internal/decide/lane/lane_test.go
@@ -22,8 +22,8 @@
 		d.Add(4, now)
 		now = now.Add(time.Second)
 	}
-	is.True(math.Abs(d.Engines(now)-4) < 0.2)
-	is.True(d.Engines(now.Add(3*lane.Window)) < 0.3) // and forgets it
+	is.True(math.Abs(d.BusyEngines(now)-4) < 0.2)
+	is.True(d.BusyEngines(now.Add(3*lane.DemandWindow)) < 0.3) // and forgets it
 }
 
 // Short prompts' first tokens jump up and down by the minute though the load is the same.
@@ -31,7 +31,7 @@
 // Cause: without hysteresis the size follows every sample.
 func TestWaveringDemandDoesNotFlap(t *testing.T) {
 	is := is.New(t)
-	s := lane.Sizer{Headroom: 1, Min: 1, MaxShare: 0.8}
+	s := lane.Sizer{Headroom: 1, MinLanes: 1, MaxShare: 0.8}
 	changes, last := 0, 0
 	now := decide.Instant(0)
 	for i := range 600 {
@@ -39,7 +39,7 @@
 		if i%10 >= 5 {
 			demand = 4.1
 		}
-		size, _ := s.Size(demand, 20, now)
+		size, _ := s.Resize(demand, 20, now)
 		if size != last {
 			changes++
 		}
@@ -52,28 +52,28 @@
 
 func TestLanesAreGivenBackOneByOne(t *testing.T) {
 	is := is.New(t)
-	s := lane.Sizer{Headroom: 1, Min: 2, MaxShare: 0.5}
+	s := lane.Sizer{Headroom: 1, MinLanes: 2, MaxShare: 0.5}
 	now := decide.Instant(0)
-	size, why := s.Size(30, 20, now)
+	size, why := s.Resize(30, 20, now)
 	is.Equal(size, 10) // never more than the share
 	is.Equal(why, lane.Grown)
-	size, why = s.Size(1, 20, now)
+	size, why = s.Resize(1, 20, now)
 	is.Equal(size, 10)
 	is.Equal(why, lane.Holding)
-	size, why = s.Size(1, 20, now.Add(lane.HoldDown))
+	size, why = s.Resize(1, 20, now.Add(lane.HoldDown))
 	is.Equal(size, 9)
 	is.Equal(why, lane.Shrunk)
 	for i := range 20 {
-		size, _ = s.Size(0, 20, now.Add(time.Duration(i+2)*lane.HoldDown))
+		size, _ = s.Resize(0, 20, now.Add(time.Duration(i+2)*lane.HoldDown))
 	}
 	is.Equal(size, 2) // enough for the longest prompt
 }
 
 func TestEnginesThatLeaveTakeTheirLanes(t *testing.T) {
 	is := is.New(t)
-	s := lane.Sizer{Headroom: 1, Min: 2, MaxShare: 0.5}
-	s.Size(10, 20, 0)
-	size, why := s.Size(4, 13, 1)
+	s := lane.Sizer{Headroom: 1, MinLanes: 2, MaxShare: 0.5}
+	s.Resize(10, 20, 0)
+	size, why := s.Resize(4, 13, 1)
 	is.Equal(size, 6)
 	is.Equal(why, lane.Shrunk)
 }
--- a/internal/decide/pick/engine.go
+++ b/internal/decide/pick/engine.go
@@ -32,15 +32,15 @@
 	QueuedTokens int64 // those tokens
 	MemoryUsed   int64 // KV cache held by work and reservations, tokens
 	MemoryTotal  int64
-	Rate         int64 // prompt tokens a second
+	PrefillRate  int64 // prompt tokens a second
 }
 
 // ReportOf gives the wire's report in the instance's time; arrived is when it came in.
-func ReportOf(l *wire.Load, arrived decide.Instant) *Report {
+func NewReport(l *wire.Load, arrived decide.Instant) *Report {
 	return &Report{
 		At:      arrived.Add(-time.Duration(l.AgeMs) * time.Millisecond),
 		Running: l.Running, Queued: l.Queued, QueuedTokens: l.QueuedTokens,
-		MemoryUsed: l.MemoryUsed, MemoryTotal: l.MemoryTotal, Rate: l.PrefillRate,
+		MemoryUsed: l.MemoryUsed, MemoryTotal: l.MemoryTotal, PrefillRate: l.PrefillRate,
 	}
 }
 
@@ -61,7 +61,7 @@
 
 // Tell takes a load report in. A report that is older than the last one is dropped: it shows an earlier
 // state, and would let work be counted as done that is not.
-func (e *Engine) Tell(r *Report) bool {
+func (e *Engine) UpdateReport(r *Report) bool {
 	for {
 		last := e.report.Load()
 		if last != nil && r.At.Before(last.At) {
@@ -78,17 +78,17 @@
 
 // Sent notes an own dispatch: tokens to compute and the memory that it may come to hold. Each call is
 // followed by one of Began with the same class and tokens, and one of Ended with the same memory.
-func (e *Engine) Sent(class cost.Class, tokens, memory int64, now decide.Instant) {
+func (e *Engine) RecordDispatch(class cost.Class, tokens, memory int64, now decide.Instant) {
 	e.sent.add(class, tokens, memory, now)
 	e.begun[class].Add(tokens)
 	e.holds.Add(memory)
 }
 
 // Began notes that an own dispatch has its first token, or ended without one.
-func (e *Engine) Began(class cost.Class, tokens int64) { e.begun[class].Add(-tokens) }
+func (e *Engine) RecordFirstToken(class cost.Class, tokens int64) { e.begun[class].Add(-tokens) }
 
 // Ended notes that an own dispatch holds no memory any more.
-func (e *Engine) Ended(memory int64) { e.holds.Add(-memory) }
+func (e *Engine) ReleaseMemory(memory int64) { e.holds.Add(-memory) }
 
 // unbegun is the work of own dispatches, up to class, that have no first token yet.
 func (e *Engine) unbegun(class cost.Class) int64 {
@@ -107,14 +107,14 @@
 
 // Pool is the engines that may take a model's new work now. It is immutable.
 type Pool struct {
-	All    []Candidate // sorted by ID
-	Lanes  []Candidate // those of them in the long lanes
-	Memory int64       // the least memory of one engine, in tokens; bounds what is no group's prompt
+	All          []Candidate // sorted by ID
+	Lanes        []Candidate // those of them in the long lanes
+	EngineMemory int64       // the least memory of one engine, in tokens; bounds what is no group's prompt
 }
 
 // NewPool makes a pool of engines, lanes of which are in the long lanes.
 func NewPool(engines []*Engine, lanes []fleet.UpstreamID, memory int64) *Pool {
-	p := &Pool{Memory: memory}
+	p := &Pool{EngineMemory: memory}
 	sorted := slices.Clone(engines)
 	slices.SortFunc(sorted, func(a, b *Engine) int { return cmp.Compare(a.ID, b.ID) })
 	isLane := make(map[fleet.UpstreamID]bool, len(lanes))
@@ -133,8 +133,8 @@
 
 // For gives the engines that prompts of the class may go to: long ones stay on the lanes, unless there
 // are none.
-func (p *Pool) For(class cost.Class) []Candidate {
-	if class.Lane() && len(p.Lanes) > 0 {
+func (p *Pool) ForClass(class cost.Class) []Candidate {
+	if class.UsesLanes() && len(p.Lanes) > 0 {
 		return p.Lanes
 	}
 	return p.All
--- a/internal/decide/pick/estimate.go
+++ b/internal/decide/pick/estimate.go
@@ -10,23 +10,23 @@
 
 // Query is one prompt's question for an engine.
 type Query struct {
-	Prompt   *cost.Prompt
-	Class    cost.Class
-	Now      decide.Instant
-	Rand     decide.Rand
-	Entries  int                // instances that send to the same engines, this one included
-	Exclude  []fleet.UpstreamID // engines that failed or refused this request before
-	Profile  *Profile
-	Estimate Estimate // of the candidate looked at last
+	Prompt    *cost.Prompt
+	Class     cost.Class
+	Now       decide.Instant
+	Rand      decide.Rand
+	Instances int                // instances that send to the same engines, this one included
+	Exclude   []fleet.UpstreamID // engines that failed or refused this request before
+	Profile   *Profile
+	Estimate  Estimate // of the candidate looked at last
 
 	space [lookMax]int // for the picker's answer, so that a decision allocates nothing
 }
 
 // Estimate is what a prompt may expect on one engine.
 type Estimate struct {
-	Cost  int           // prompt tokens that the engine has to compute
-	Wait  time.Duration // until it starts on them
-	First time.Duration // until the first token of the answer
+	Cost       int           // prompt tokens that the engine has to compute
+	Wait       time.Duration // until it starts on them
+	FirstToken time.Duration // until the first token of the answer
 }
 
 const (
@@ -41,13 +41,13 @@
 
 // Predict estimates the prompt's first token on the engine.
 func Predict(q *Query, c *Candidate) Estimate {
-	tokens := q.Prompt.On(c.Cache, q.Now)
+	tokens := q.Prompt.UncachedTokens(c.Cache, q.Now)
 	rate, ahead := c.ahead(q)
-	wait := cost.Time(ahead, rate)
+	wait := cost.PrefillTime(ahead, rate)
 	if ahead > 0 {
 		wait += stepTime
 	}
-	return Estimate{Cost: tokens, Wait: wait, First: wait + cost.Time(int64(tokens), rate)}
+	return Estimate{Cost: tokens, Wait: wait, FirstToken: wait + cost.PrefillTime(int64(tokens), rate)}
 }
 
 // ahead is the work, in prompt tokens, that the engine does before a prompt of the query's class.
@@ -56,13 +56,13 @@
 // puts behind prompts of higher priority; for those no more counts there than the own dispatches that
 // wait suggest, which are a sample of everybody's.
 func (c *Candidate) ahead(q *Query) (rate, tokens int64) {
-	r, rate := c.report.Load(), c.Rate()
+	r, rate := c.report.Load(), c.PrefillRate()
 	if r == nil {
 		return rate, q.scale(c.own(q, q.Now.Add(-StaleAfter)))
 	}
 	reported := r.QueuedTokens
 	if c.Lane && q.Profile.Priority[q.Class] > q.Profile.Priority[cost.Long] {
-		reported = min(reported, c.unbegun(q.Class)*int64(q.Entries))
+		reported = min(reported, c.unbegun(q.Class)*int64(q.Instances))
 	}
 	age := min(q.Now.Sub(r.At), decay)
 	done := int64(float64(rate) * age.Seconds())
@@ -74,22 +74,22 @@
 func (c *Candidate) own(q *Query, at decide.Instant) int64 {
 	sent := c.sent.since(at, q.Now)
 	last := q.Class
-	if last.Lane() {
+	if last.UsesLanes() {
 		last = cost.Group
 	}
 	return min(sent.upTo(last), c.unbegun(last))
 }
 
 // Rate is the engine's prompt tokens a second, by its report.
-func (e *Engine) Rate() int64 {
-	if r := e.report.Load(); r != nil && r.Rate > 0 {
-		return r.Rate
+func (e *Engine) PrefillRate() int64 {
+	if r := e.report.Load(); r != nil && r.PrefillRate > 0 {
+		return r.PrefillRate
 	}
 	return defaultRate
 }
 
 // upTo sums the tokens of the classes up to class.
-func (s *Sent) upTo(class cost.Class) int64 {
+func (s *DispatchedWork) upTo(class cost.Class) int64 {
 	var sum int64
 	for c := range class + 1 {
 		sum += s.Tokens[c]
@@ -100,12 +100,12 @@
 // scale counts own dispatches up for those of the other instances, which see the same report and choose
 // alike, but not in step.
 func (q *Query) scale(own int64) int64 {
-	return int64(float64(own) * (1 + float64(q.Entries-1)*q.Profile.Others))
+	return int64(float64(own) * (1 + float64(q.Instances-1)*q.Profile.PeerWeight))
 }
 
 // Free is the KV cache that the engine has left for this instance, in tokens, by its report and the
 // dispatches since; negative where it is over.
-func (c *Candidate) Free(q *Query) int64 {
+func (c *Candidate) FreeMemory(q *Query) int64 {
 	r := c.report.Load()
 	if r == nil {
 		return 0
@@ -115,7 +115,7 @@
 }
 
 // Fresh tells whether the engine's report is recent enough to go by.
-func (c *Candidate) Fresh(now decide.Instant) bool {
+func (c *Candidate) HasFreshReport(now decide.Instant) bool {
 	r := c.report.Load()
 	return r != nil && now.Sub(r.At) <= StaleAfter
 }
--- a/internal/decide/pick/ledger.go
+++ b/internal/decide/pick/ledger.go
@@ -18,7 +18,7 @@
 )
 
 // Sent is work that this instance sent to one engine.
-type Sent struct {
+type DispatchedWork struct {
 	Prompts [cost.ClassCount]int64
 	Tokens  [cost.ClassCount]int64 // prompt tokens to compute
 	Memory  int64                  // KV cache, tokens
@@ -57,8 +57,8 @@
 }
 
 // since sums the dispatches that a report of that instant can't have counted.
-func (l *ledger) since(at, now decide.Instant) Sent {
-	var s Sent
+func (l *ledger) since(at, now decide.Instant) DispatchedWork {
+	var s DispatchedWork
 	last := epochOf(now)
 	first := max(epochOf(at.Add(-transit)), last-buckets+1)
 	for epoch := first; epoch <= last; epoch++ {
--- a/internal/decide/pick/parts.go
+++ b/internal/decide/pick/parts.go
@@ -34,9 +34,9 @@
 
 // Reasons of a plan for long prompts besides those of a choice.
 const (
-	Single  decide.Reason = "one_engine"
-	Grouped decide.Reason = "engine_group" // no engine has room for all of it
-	Split   decide.Reason = "split"        // two engines are through so much earlier than one
+	OneEngine   decide.Reason = "one_engine"
+	EngineGroup decide.Reason = "engine_group" // no engine has room for all of it
+	Split       decide.Reason = "split"        // two engines are through so much earlier than one
 )
 
 // offer is what one engine can give a long prompt.
@@ -54,7 +54,7 @@
 // the instances together can't put an engine over its memory.
 func PlanLong(q *Query, pool []Candidate, gates []Filter) Plan {
 	offers := collect(q, pool, gates)
-	need := q.Prompt.Memory()
+	need := q.Prompt.MemoryTokens()
 	best := -1
 	for i, o := range offers {
 		if o.free >= need && (best < 0 || o.first < offers[best].first) {
@@ -68,7 +68,7 @@
 	single := Plan{
 		Parts:    []Part{{o.engine, need}},
 		Estimate: Estimate{q.Prompt.Tokens, o.wait, o.first},
-		Reason:   Single,
+		Reason:   OneEngine,
 	}
 	if split := planSplit(q, offers, need); split.better(q, &single) {
 		return split
@@ -79,13 +79,13 @@
 // better tells whether the first token comes so much earlier than by the other plan, which needs fewer
 // engines, that what engines lose by splitting is worth it.
 func (p *Plan) better(q *Query, other *Plan) bool {
-	gain := q.Profile.SplitGain
-	return gain > 0 && len(p.Parts) > 0 && float64(p.Estimate.First) <= gain*float64(other.Estimate.First)
+	gain := q.Profile.MaxSplitRatio
+	return gain > 0 && len(p.Parts) > 0 && float64(p.Estimate.FirstToken) <= gain*float64(other.Estimate.FirstToken)
 }
 
 // planSplit cuts a prompt that one engine could hold over the two engines that would be through first.
 func planSplit(q *Query, offers []offer, need int64) Plan {
-	if q.Profile.SplitGain <= 0 {
+	if q.Profile.MaxSplitRatio <= 0 {
 		return Plan{}
 	}
 	half := (need + 1) / 2
@@ -110,12 +110,12 @@
 	offers := make([]offer, 0, len(pool))
 	for i := range pool {
 		c := &pool[i]
-		if _, ok := keep(gates, q, c); !ok || !c.Fresh(q.Now) || !Untried.Keep(q, c) {
+		if _, ok := keep(gates, q, c); !ok || !c.HasFreshReport(q.Now) || !NotExcluded.Keep(q, c) {
 			continue
 		}
 		e := Predict(q, c)
 		rate, _ := c.ahead(q)
-		offers = append(offers, offer{c.Engine, c.Free(q), e.Wait, e.First, rate})
+		offers = append(offers, offer{c.Engine, c.FreeMemory(q), e.Wait, e.FirstToken, rate})
 	}
 	return offers
 }
@@ -124,7 +124,7 @@
 // its room allows that, so that no member computes much longer than the others.
 func planGroup(q *Query, offers []offer, need int64) Plan {
 	slices.SortStableFunc(offers, func(a, b offer) int { return cmp.Compare(b.free, a.free) })
-	best := Plan{Reason: NoRoom}
+	best := Plan{Reason: NoMemory}
 	for n := 2; n <= min(maxParts, len(offers)); n++ {
 		if offers[n-1].free < minPart {
 			break
@@ -133,7 +133,7 @@
 		if parts == nil {
 			continue
 		}
-		plan := Plan{Parts: parts, Estimate: groupEstimate(q, offers[:n], parts), Reason: Grouped}
+		plan := Plan{Parts: parts, Estimate: groupEstimate(q, offers[:n], parts), Reason: EngineGroup}
 		if len(best.Parts) > 0 && !plan.better(q, &best) {
 			break
 		}
@@ -164,7 +164,7 @@
 		i := slices.IndexFunc(parts, func(p Part) bool { return p.Engine == o.engine })
 		work := float64(parts[i].Tokens) * (1 + partsOverhead)
 		e.Wait = max(e.Wait, o.wait)
-		e.First = max(e.First, o.wait+cost.Time(int64(work), o.rate))
+		e.FirstToken = max(e.FirstToken, o.wait+cost.PrefillTime(int64(work), o.rate))
 	}
 	return e
 }
--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -9,17 +9,17 @@
 
 // Reasons of a choice.
 const (
-	Best      decide.Reason = "best_predicted" // lowest predicted first-token time of those looked at
-	Cached    decide.Reason = "cached_prefix"  // the best, and a cached prefix is part of why
-	Only      decide.Reason = "only_candidate"
-	NoEngine  decide.Reason = "no_engine"         // the pool is empty, or all were tried before
-	NoRoom    decide.Reason = "no_memory"         // no engine has the memory now
-	NoFresh   decide.Reason = "reports_stale"     // chosen though its report is stale: none is fresh
-	Elsewhere decide.Reason = "taken_out_by_gate" // the caller's own filters took all out
+	BestPredicted  decide.Reason = "best_predicted" // lowest predicted first-token time of those looked at
+	CachedPrefix   decide.Reason = "cached_prefix"  // the best, and a cached prefix is part of why
+	OnlyCandidate  decide.Reason = "only_candidate"
+	NoEngine       decide.Reason = "no_engine"         // the pool is empty, or all were tried before
+	NoMemory       decide.Reason = "no_memory"         // no engine has the memory now
+	StaleReports   decide.Reason = "reports_stale"     // chosen though its report is stale: none is fresh
+	RejectedByGate decide.Reason = "taken_out_by_gate" // the caller's own filters took all out
 )
 
 // Reasons lists all of them.
-var Reasons = []decide.Reason{Best, Cached, Only, NoEngine, NoRoom, NoFresh, Elsewhere}
+var Reasons = []decide.Reason{BestPredicted, CachedPrefix, OnlyCandidate, NoEngine, NoMemory, StaleReports, RejectedByGate}
 
 // Filter takes engines out. Reason stands for a choice that failed because of this filter.
 type Filter struct {
@@ -49,7 +49,7 @@
 	Engine   *Engine // nil where none can take the prompt
 	Estimate Estimate
 	Score    time.Duration
-	Looked   int // engines that were scored
+	Scored   int // engines that were scored
 	Reason   decide.Reason
 }
 
@@ -98,7 +98,7 @@
 	for i := range p.Scorers {
 		score += p.Scorers[i].Score(q, c)
 	}
-	best.Looked++
+	best.Scored++
 	if best.Engine == nil || score < best.Score {
 		best.Engine, best.Score, best.Estimate = c.Engine, score, q.Estimate
 	}
@@ -118,13 +118,13 @@
 	switch {
 	case b.Engine == nil:
 	case len(pool) == 1:
-		b.Reason = Only
-	case !(&Candidate{Engine: b.Engine}).Fresh(q.Now):
-		b.Reason = NoFresh
+		b.Reason = OnlyCandidate
+	case !(&Candidate{Engine: b.Engine}).HasFreshReport(q.Now):
+		b.Reason = StaleReports
 	case b.Estimate.Cost < q.Prompt.Tokens:
-		b.Reason = Cached
+		b.Reason = CachedPrefix
 	default:
-		b.Reason = Best
+		b.Reason = BestPredicted
 	}
 }
 
@@ -132,7 +132,7 @@
 // names: prompts that begin alike meet there, and find the prefix cached.
 func Sample(q *Query, pool []Candidate, at []int) []int {
 	n := len(pool)
-	choices := min(q.Profile.Choices, lookMax-q.Profile.Affine)
+	choices := min(q.Profile.RandomChoices, lookMax-q.Profile.PrefixChoices)
 	if n <= choices {
 		return All(q, pool, at)
 	}
@@ -143,7 +143,7 @@
 		return at
 	}
 	prefix := q.Prompt.Blocks[min(affineBlock, len(q.Prompt.Blocks)-1)]
-	for i := range uint64(q.Profile.Affine) {
+	for i := range uint64(q.Profile.PrefixChoices) {
 		at = addNew(at, int(((prefix>>32)+i)%uint64(n)))
 	}
 	return at
@@ -170,25 +170,25 @@
 }
 
 // Untried takes out engines that the request was at before.
-var Untried = Filter{NoEngine, func(q *Query, c *Candidate) bool {
+var NotExcluded = Filter{NoEngine, func(q *Query, c *Candidate) bool {
 	return !slices.Contains(q.Exclude, c.ID)
 }}
 
 // Room takes out engines without memory for the prompt. An engine that has not reported has unknown
 // room, and is kept.
-var Room = Filter{NoRoom, func(q *Query, c *Candidate) bool {
-	return c.Report() == nil || c.Free(q) >= q.Prompt.Memory()
+var HasMemory = Filter{NoMemory, func(q *Query, c *Candidate) bool {
+	return c.Report() == nil || c.FreeMemory(q) >= q.Prompt.MemoryTokens()
 }}
 
 // FirstToken scores by the predicted first-token time.
 var FirstToken = Scorer{"first_token", func(q *Query, c *Candidate) time.Duration {
-	return q.Estimate.First
+	return q.Estimate.FirstToken
 }}
 
 // Spill keeps prompts that are not long off the lanes until a lane saves them enough.
-var Spill = Scorer{"spill", func(q *Query, c *Candidate) time.Duration {
-	if c.Lane && !q.Class.Lane() {
-		return q.Profile.Spill
+var LanePenalty = Scorer{"spill", func(q *Query, c *Candidate) time.Duration {
+	if c.Lane && !q.Class.UsesLanes() {
+		return q.Profile.LanePenalty
 	}
 	return 0
 }}
@@ -201,8 +201,8 @@
 // Failure guarded against: an engine, or the reading of its reports, stops; its last report praised it.
 // It shows as all instances sending their prompts there. Its prediction grows by an hour, so that it is
 // taken only where no other engine can be.
-var Silent = Scorer{"silent", func(q *Query, c *Candidate) time.Duration {
-	if c.Fresh(q.Now) {
+var StalePenalty = Scorer{"silent", func(q *Query, c *Candidate) time.Duration {
+	if c.HasFreshReport(q.Now) {
 		return 0
 	}
 	return stalePenalty
@@ -213,8 +213,8 @@
 func Default(gates ...Filter) *Pipeline {
 	return &Pipeline{
 		Gates:   gates,
-		Filters: []Filter{Untried, Room},
-		Scorers: []Scorer{FirstToken, Spill, Silent},
+		Filters: []Filter{NotExcluded, HasMemory},
+		Scorers: []Scorer{FirstToken, LanePenalty, StalePenalty},
 		Picker:  Sample,
 	}
 }
--- a/internal/decide/pick/pick_test.go
+++ b/internal/decide/pick/pick_test.go
@@ -38,7 +38,7 @@
 	engines := make([]*pick.Engine, n)
 	for i := range engines {
 		engines[i] = pick.NewEngine(fleet.UpstreamID(fmt.Sprintf("e%04d", i)), cost.NewTable(memory))
-		engines[i].Tell(&pick.Report{At: start, MemoryTotal: memory, Rate: rate})
+		engines[i].UpdateReport(&pick.Report{At: start, MemoryTotal: memory, PrefillRate: rate})
 	}
 	return engines
 }
@@ -46,8 +46,8 @@
 func short(now decide.Instant) *pick.Query {
 	profile := pick.ProfileOf(api.ProfileShortFirst)
 	return &pick.Query{
-		Prompt: &cost.Prompt{Tokens: 4000, Answer: 100, Blocks: []uint64{1, 2, 3}}, Class: cost.Short,
-		Now: now, Rand: rand.New(rand.NewPCG(1, 2)), Entries: 1, Profile: &profile,
+		Prompt: &cost.Prompt{Tokens: 4000, MaxAnswerTokens: 100, Blocks: []uint64{1, 2, 3}}, Class: cost.Short,
+		Now: now, Rand: rand.New(rand.NewPCG(1, 2)), Instances: 1, Profile: &profile,
 	}
 }
 
@@ -55,24 +55,24 @@
 	is := is.New(t)
 	e := pick.NewEngine("e", cost.NewTable(memory))
 	c := &pick.Candidate{Engine: e}
-	e.Tell(&pick.Report{At: start, QueuedTokens: 30_000, Queued: 3, MemoryTotal: memory, Rate: rate})
-	e.Sent(cost.Short, 10_000, 10_000, start.Add(300*time.Millisecond))
+	e.UpdateReport(&pick.Report{At: start, QueuedTokens: 30_000, Queued: 3, MemoryTotal: memory, PrefillRate: rate})
+	e.RecordDispatch(cost.Short, 10_000, 10_000, start.Add(300*time.Millisecond))
 
 	q := short(start.Add(500 * time.Millisecond))
 	got := pick.Predict(q, c)
 	wait := 1500 * time.Millisecond // (30000 reported + 10000 sent - 10000 done in 0.5 s) / 20000
 	step := got.Wait - wait
 	is.True(step > 0 && step < 50*time.Millisecond) // and the step under way
-	is.Equal(got.First, got.Wait+200*time.Millisecond)
+	is.Equal(got.FirstToken, got.Wait+200*time.Millisecond)
 
-	q.Entries, q.Profile.Others = 9, 0.5
+	q.Instances, q.Profile.PeerWeight = 9, 0.5
 	more := pick.Predict(q, c)
 	is.Equal(more.Wait-got.Wait, 2*time.Second) // each own token stands for four of the others
 
 	e.Cache.Apply(&wire.CacheEvents{BootID: "b", Events: []wire.CacheEvent{{Seq: 1, Hash: 1}, {Seq: 2, Hash: 2}}}, q.Now)
 	is.Equal(pick.Predict(q, c).Cost, 4000-2*wire.BlockTokens)
 
-	e.Tell(&pick.Report{At: start.Add(400 * time.Millisecond), MemoryTotal: memory, Rate: rate})
+	e.UpdateReport(&pick.Report{At: start.Add(400 * time.Millisecond), MemoryTotal: memory, PrefillRate: rate})
 	is.Equal(pick.Predict(q, c).Wait, time.Duration(0)) // the new report has counted the dispatch
 }
 
@@ -83,17 +83,17 @@
 	e := fleetOf(1)[0]
 	c := &pick.Candidate{Engine: e}
 	for range 50 {
-		e.Sent(cost.Short, 4000, 4100, start.Add(100*time.Millisecond))
+		e.RecordDispatch(cost.Short, 4000, 4100, start.Add(100*time.Millisecond))
 	}
 	q := short(start.Add(200 * time.Millisecond))
 	is.True(pick.Predict(q, c).Wait > 9*time.Second)
-	is.Equal(c.Free(q), int64(memory-50*4100))
+	is.Equal(c.FreeMemory(q), int64(memory-50*4100))
 	for range 50 {
-		e.Began(cost.Short, 4000)
-		e.Ended(4100)
+		e.RecordFirstToken(cost.Short, 4000)
+		e.ReleaseMemory(4100)
 	}
 	is.Equal(pick.Predict(q, c).Wait, time.Duration(0))
-	is.Equal(c.Free(q), int64(memory))
+	is.Equal(c.FreeMemory(q), int64(memory))
 }
 
 // Prompts pile up on an engine that was thought idle. Order: two reports are read over two connections,
@@ -101,8 +101,8 @@
 func TestOlderReportIsDropped(t *testing.T) {
 	is := is.New(t)
 	e := pick.NewEngine("e", nil)
-	is.True(e.Tell(&pick.Report{At: start.Add(time.Second), QueuedTokens: 5}))
-	is.True(!e.Tell(&pick.Report{At: start}))
+	is.True(e.UpdateReport(&pick.Report{At: start.Add(time.Second), QueuedTokens: 5}))
+	is.True(!e.UpdateReport(&pick.Report{At: start}))
 	is.Equal(e.Report().QueuedTokens, int64(5))
 }
 
@@ -118,19 +118,19 @@
 		for entry := range entries {
 			engines := fleetOf(20)
 			for _, e := range engines[1:] { // the first is idle, the others have a little to do
-				e.Tell(&pick.Report{At: start, QueuedTokens: 3000, MemoryTotal: memory, Rate: rate})
+				e.UpdateReport(&pick.Report{At: start, QueuedTokens: 3000, MemoryTotal: memory, PrefillRate: rate})
 			}
 			pool := pick.NewPool(engines, nil, memory)
 			p := pick.Default()
 			p.Picker = picker
 			q := short(start)
-			q.Rand, q.Entries = rand.New(rand.NewPCG(uint64(entry), 3)), entries
+			q.Rand, q.Instances = rand.New(rand.NewPCG(uint64(entry), 3)), entries
 			q.Prompt.Blocks = nil
 			for range prompts {
 				c := p.Pick(q, pool.All)
 				byID[c.Engine.ID]++
 				if count {
-					c.Engine.Sent(cost.Short, int64(c.Estimate.Cost), 4100, q.Now)
+					c.Engine.RecordDispatch(cost.Short, int64(c.Estimate.Cost), 4100, q.Now)
 				}
 				sent[c.Engine]++
 			}
@@ -152,7 +152,7 @@
 	engines := fleetOf(3)
 	now := start.Add(pick.StaleAfter + time.Second)
 	for _, e := range engines[1:] {
-		e.Tell(&pick.Report{At: now, QueuedTokens: 100_000, MemoryTotal: memory, Rate: rate})
+		e.UpdateReport(&pick.Report{At: now, QueuedTokens: 100_000, MemoryTotal: memory, PrefillRate: rate})
 	}
 	pool := pick.NewPool(engines, nil, memory)
 	for range 50 {
@@ -166,19 +166,19 @@
 	is := is.New(t)
 	engines := fleetOf(4)
 	for _, e := range engines[:3] {
-		e.Tell(&pick.Report{At: start, MemoryUsed: memory - 1000, MemoryTotal: memory, Rate: rate})
+		e.UpdateReport(&pick.Report{At: start, MemoryUsed: memory - 1000, MemoryTotal: memory, PrefillRate: rate})
 	}
 	pool := pick.NewPool(engines, nil, memory)
 	p := pick.Default()
 	is.Equal(p.Pick(short(start), pool.All).Engine, engines[3])
-	engines[3].Sent(cost.Medium, 0, memory-1000, start) // own dispatches count before the report shows them
-	is.Equal(p.Pick(short(start), pool.All).Reason, pick.NoRoom)
+	engines[3].RecordDispatch(cost.Medium, 0, memory-1000, start) // own dispatches count before the report shows them
+	is.Equal(p.Pick(short(start), pool.All).Reason, pick.NoMemory)
 
 	q := short(start)
 	q.Exclude = []fleet.UpstreamID{"e0000", "e0001", "e0002", "e0003"}
 	is.Equal(p.Pick(q, pool.All).Reason, pick.NoEngine)
-	closed := pick.Default(pick.Filter{Reason: pick.Elsewhere, Keep: func(*pick.Query, *pick.Candidate) bool { return false }})
-	is.Equal(closed.Pick(short(start), pool.All).Reason, pick.Elsewhere)
+	closed := pick.Default(pick.Filter{Reason: pick.RejectedByGate, Keep: func(*pick.Query, *pick.Candidate) bool { return false }})
+	is.Equal(closed.Pick(short(start), pool.All).Reason, pick.RejectedByGate)
 }
 
 func TestShortPromptsKeepOffTheLanesUntilItPays(t *testing.T) {
@@ -189,11 +189,11 @@
 	for range 20 {
 		is.Equal(p.Pick(short(start), pool.All).Engine, engines[0])
 	}
-	engines[0].Tell(&pick.Report{At: start, QueuedTokens: 10_000, MemoryTotal: memory, Rate: rate})
-	engines[1].Tell(&pick.Report{At: start, QueuedTokens: 200_000, MemoryTotal: memory, Rate: rate})
+	engines[0].UpdateReport(&pick.Report{At: start, QueuedTokens: 10_000, MemoryTotal: memory, PrefillRate: rate})
+	engines[1].UpdateReport(&pick.Report{At: start, QueuedTokens: 200_000, MemoryTotal: memory, PrefillRate: rate})
 	is.Equal(p.Pick(short(start), pool.All).Engine, engines[1]) // its long prompts stand behind a short one
-	is.Equal(len(pool.For(cost.Long)), 1)
-	is.Equal(len(pool.For(cost.Short)), 2)
+	is.Equal(len(pool.ForClass(cost.Long)), 1)
+	is.Equal(len(pool.ForClass(cost.Short)), 2)
 }
 
 // Medium prompts wait fifteen seconds behind a long one though other engines are free sooner. Order: the
@@ -202,7 +202,7 @@
 func TestLongWorkCountsWhereItIsNotOutranked(t *testing.T) {
 	is := is.New(t)
 	e := pick.NewEngine("e", nil)
-	e.Tell(&pick.Report{At: start, QueuedTokens: 300_000, MemoryTotal: memory, Rate: rate})
+	e.UpdateReport(&pick.Report{At: start, QueuedTokens: 300_000, MemoryTotal: memory, PrefillRate: rate})
 	c := &pick.Candidate{Engine: e, Lane: true}
 	q := short(start)
 	is.Equal(pick.Predict(q, c).Wait, time.Duration(0)) // short stands before long
@@ -220,16 +220,16 @@
 		room := map[fleet.UpstreamID]int64{}
 		for _, e := range engines {
 			used := rapid.Int64Range(0, memory).Draw(t, "used")
-			e.Tell(&pick.Report{At: start, MemoryUsed: used, MemoryTotal: memory, Rate: rate})
+			e.UpdateReport(&pick.Report{At: start, MemoryUsed: used, MemoryTotal: memory, PrefillRate: rate})
 			room[e.ID] = memory - used
 			largest = max(largest, memory-used)
 		}
 		q := short(start)
-		q.Prompt = &cost.Prompt{Tokens: rapid.IntRange(cost.LongMin, 1_000_000).Draw(t, "tokens"), Answer: 100}
-		q.Class = cost.ClassOf(q.Prompt.Tokens, q.Prompt.Answer, memory)
+		q.Prompt = &cost.Prompt{Tokens: rapid.IntRange(cost.LongMin, 1_000_000).Draw(t, "tokens"), MaxAnswerTokens: 100}
+		q.Class = cost.ClassOf(q.Prompt.Tokens, q.Prompt.MaxAnswerTokens, memory)
 		plan := pick.PlanLong(q, pick.NewPool(engines, nil, memory).All, nil)
 		if len(plan.Parts) == 0 {
-			if largest >= q.Prompt.Memory() {
+			if largest >= q.Prompt.MemoryTokens() {
 				t.Fatal("an engine had room")
 			}
 			return
@@ -241,8 +241,8 @@
 			}
 			sum, last = sum+p.Tokens, p.Engine.ID
 		}
-		if sum != q.Prompt.Memory() {
-			t.Fatalf("parts of %d tokens for a prompt of %d", sum, q.Prompt.Memory())
+		if sum != q.Prompt.MemoryTokens() {
+			t.Fatalf("parts of %d tokens for a prompt of %d", sum, q.Prompt.MemoryTokens())
 		}
 	})
 }
@@ -251,18 +251,18 @@
 	is := is.New(t)
 	engines := fleetOf(3)
 	q := short(start)
-	q.Prompt, q.Class = &cost.Prompt{Tokens: 300_000, Answer: 100}, cost.Long
+	q.Prompt, q.Class = &cost.Prompt{Tokens: 300_000, MaxAnswerTokens: 100}, cost.Long
 	pool := pick.NewPool(engines, nil, memory)
-	is.Equal(pick.PlanLong(q, pool.All, nil).Reason, pick.Single) // not in this profile
+	is.Equal(pick.PlanLong(q, pool.All, nil).Reason, pick.OneEngine) // not in this profile
 
 	*q.Profile = pick.ProfileOf(api.ProfileLongFirst)
 	plan := pick.PlanLong(q, pool.All, nil)
 	is.Equal(plan.Reason, pick.Split)
 	is.Equal(plan.Parts[0].Tokens, plan.Parts[1].Tokens)
 	for _, e := range engines[1:] {
-		e.Tell(&pick.Report{At: start, QueuedTokens: 200_000, MemoryTotal: memory, Rate: rate})
+		e.UpdateReport(&pick.Report{At: start, QueuedTokens: 200_000, MemoryTotal: memory, PrefillRate: rate})
 	}
-	is.Equal(pick.PlanLong(q, pool.All, nil).Reason, pick.Single) // the second engine has 10 s to do
+	is.Equal(pick.PlanLong(q, pool.All, nil).Reason, pick.OneEngine) // the second engine has 10 s to do
 }
 
 func TestPickAllocatesNothing(t *testing.T) {
@@ -284,7 +284,7 @@
 				q := short(start)
 				for pb.Next() {
 					c := p.Pick(q, pool.All)
-					c.Engine.Sent(cost.Short, int64(c.Estimate.Cost), 0, q.Now)
+					c.Engine.RecordDispatch(cost.Short, int64(c.Estimate.Cost), 0, q.Now)
 				}
 			})
 		})
--- a/internal/decide/warm/alternatives_test.go
+++ b/internal/decide/warm/alternatives_test.go
@@ -57,7 +57,7 @@
 
 func (p *slotPolicy) onList(version uint64, live []string, began decide.Instant) {
 	p.version = max(p.version, version)
-	p.s.OnList(version, live, began, p.w.loop.Now())
+	p.s.OnInstanceList(version, live, began, p.w.loop.Now())
 }
 
 func (p *slotPolicy) tick() {
@@ -69,7 +69,7 @@
 	version, sent := p.version, p.w.loop.Now()
 	p.w.loop.After(hop, func() {
 		if !to.dead && !to.paused {
-			to.p.(*slotPolicy).s.OnPeerList(version, sent)
+			to.p.(*slotPolicy).s.OnPeerVersion(version, sent)
 		}
 	})
 }
@@ -124,7 +124,7 @@
 
 func (p *grantPolicy) tick() {
 	now := p.w.loop.Now()
-	if now.Sub(p.seen) > p.w.params.Pause {
+	if now.Sub(p.seen) > p.w.params.MaxPause {
 		p.members, p.homeFor = nil, map[int]decide.Instant{}
 		p.have, p.given = map[int][]decide.Instant{}, map[int][]decide.Instant{}
 	}
@@ -166,7 +166,7 @@
 	p.tick()
 	now := p.w.loop.Now()
 	since, home := p.homeFor[u]
-	if !home || now.Sub(since) < p.w.params.Settle() {
+	if !home || now.Sub(since) < p.w.params.SettleTime() {
 		return
 	}
 	var open []decide.Instant
@@ -179,7 +179,7 @@
 	if len(open) >= p.w.limit {
 		return
 	}
-	p.given[u] = append(open, now.Add(grantLife+p.w.params.Pause+p.w.params.Work))
+	p.given[u] = append(open, now.Add(grantLife+p.w.params.MaxPause+p.w.params.MaxDispatch))
 	p.send(from.self.id, func(h *grantPolicy) {
 		h.have[u] = append(h.have[u], sent.Add(grantLife))
 		delete(h.asked, u)
@@ -294,7 +294,7 @@
 		if k, ok := p.known[key]; !ok || k.renewed != l.renewed {
 			p.known[key] = watched{renewed: l.renewed, since: now}
 		}
-		if now.Sub(p.known[key].since) > leaseTime+p.w.params.Pause+p.w.params.Work {
+		if now.Sub(p.known[key].since) > leaseTime+p.w.params.MaxPause+p.w.params.MaxDispatch {
 			continue
 		}
 		n += l.slots
--- a/internal/decide/warm/measure_test.go
+++ b/internal/decide/warm/measure_test.go
@@ -93,7 +93,7 @@
 
 func (w *world) add(id string) *instance {
 	n := &instance{id: id, w: w}
-	n.listLag = time.Duration(w.random.Int64N(int64(w.params.Lag / 2)))
+	n.listLag = time.Duration(w.random.Int64N(int64(w.params.ListLag / 2)))
 	n.p = w.make(w, n)
 	w.instances = append(w.instances, n)
 	n.every(pollList, n.poll)
@@ -148,7 +148,7 @@
 	}
 	d := shortWork
 	if n.w.random.IntN(longShare) == 0 {
-		d = n.w.params.Work
+		d = n.w.params.MaxDispatch
 	}
 	n.w.loop.After(d, func() {
 		e.inFlight--
@@ -189,7 +189,7 @@
 func (w *world) victim() *instance { return w.instances[w.victimIndex()] }
 
 func (w *world) victimIndex() int {
-	top := warm.TopForTest("engine-0", w.live())
+	top := warm.FirstSlotHolderForTest("engine-0", w.live())
 	return slices.IndexFunc(w.instances, func(n *instance) bool { return n.id == top })
 }
 
@@ -228,7 +228,7 @@
 		{name: "entry paused, off the list and back", engines: 1, limit: 4, run: func(w *world) {
 			n := w.victim()
 			for _, other := range w.instances {
-				other.listLag = w.params.Lag / 2
+				other.listLag = w.params.ListLag / 2
 			}
 			n.listLag = 0
 			w.at(2*time.Second, func() { n.paused = true })
@@ -241,7 +241,7 @@
 		}},
 		{name: "two views within the lag", engines: 1, limit: 4, run: func(w *world) {
 			n := w.victim()
-			n.listLag = w.params.Lag / 2
+			n.listLag = w.params.ListLag / 2
 			w.at(2*time.Second, func() { w.setList(w.without(n.id)...) })
 			w.at(9*time.Second, func() { w.setList(append(w.live(), n.id)...) })
 		}},
--- a/internal/decide/warm/ramp.go
+++ b/internal/decide/warm/ramp.go
@@ -19,9 +19,9 @@
 
 // Caps bound what one instance may have at one upstream.
 type Caps struct {
-	InFlight   int  // dispatches
-	Unanswered int  // dispatches whose first byte has not come
-	Slots      bool // InFlight is a share of slots: good only until Slots.ValidUntil, for Params.Work at most each
+	InFlight          int  // dispatches
+	AwaitingFirstByte int  // dispatches whose first byte has not come
+	FromSlots         bool // InFlight is a share of slots: good only until Slots.ValidUntil, for Params.Work at most each
 }
 
 // Growth is how one upstream's caps grow with successes. The zero value is that of a cold one.
@@ -33,7 +33,7 @@
 }
 
 // Enter takes a new state; share is this instance's share of slots then.
-func (g *Growth) Enter(s health.State, share int) {
+func (g *Growth) OnStateChange(s health.State, share int) {
 	switch s {
 	case health.Warming:
 		g.base = max(rampBase, share)
@@ -48,7 +48,7 @@
 
 // Success counts a dispatch that showed that the upstream works. Once as many have as the ramp allows at a
 // time, the ramp doubles. It tells whether the ramp has reached its top.
-func (g *Growth) Success() bool {
+func (g *Growth) OnSuccess() bool {
 	if g.ramp == 0 || g.ramp >= rampTop {
 		return g.ramp >= rampTop
 	}
@@ -62,7 +62,7 @@
 // FirstByte counts a first byte that came in time while so many others were still out. The window grows
 // only while it is used, so that it follows what the upstream is known to bear: if it turns cold without a
 // word, no more than the window is sent before that shows.
-func (g *Growth) FirstByte(unanswered int) {
+func (g *Growth) OnFirstByte(unanswered int) {
 	if unanswered+1 >= g.window && g.window < windowTop {
 		g.window++
 	}
@@ -70,7 +70,7 @@
 
 // Shrink halves the window's growth; the shell calls it at a fixed interval while the window is not used,
 // so that it forgets a load that is long past.
-func (g *Growth) Shrink(unanswered int) {
+func (g *Growth) ShrinkWindow(unanswered int) {
 	if 2*unanswered < g.window {
 		g.window = max(windowBase, g.window-max(1, g.window/8))
 	}
@@ -80,12 +80,12 @@
 func (g *Growth) Caps(s health.State, share int) Caps {
 	switch s {
 	case health.Warm:
-		return Caps{InFlight: Unlimited, Unanswered: g.window}
+		return Caps{InFlight: Unlimited, AwaitingFirstByte: g.window}
 	case health.Warming:
-		return Caps{InFlight: max(g.ramp, share), Unanswered: Unlimited}
+		return Caps{InFlight: max(g.ramp, share), AwaitingFirstByte: Unlimited}
 	case health.Leaving, health.Gone:
 		return Caps{}
 	default:
-		return Caps{InFlight: share, Unanswered: share, Slots: true}
+		return Caps{InFlight: share, AwaitingFirstByte: share, FromSlots: true}
 	}
 }
--- a/internal/decide/warm/ramp_test.go
+++ b/internal/decide/warm/ramp_test.go
@@ -18,18 +18,18 @@
 func TestRampGrowsBySuccesses(t *testing.T) {
 	is := is.New(t)
 	var g warm.Growth
-	g.Enter(health.Cold, 0)
-	is.Equal(g.Caps(health.Cold, 0), warm.Caps{Slots: true})
-	g.Enter(health.Warming, 0)
+	g.OnStateChange(health.Cold, 0)
+	is.Equal(g.Caps(health.Cold, 0), warm.Caps{FromSlots: true})
+	g.OnStateChange(health.Warming, 0)
 	ended := 0
 	for top := false; !top; {
 		ended++
-		top = g.Success()
+		top = g.OnSuccess()
 		is.True(g.Caps(health.Warming, 0).InFlight <= ended+1) // no more at once than succeeded before, and one
 	}
 	is.Equal(ended, 63) // 1+2+4+8+16+32
 	is.Equal(g.Caps(health.Warm, 0).InFlight, warm.Unlimited)
-	is.Equal(g.Caps(health.Suspect, 2), warm.Caps{InFlight: 2, Unanswered: 2, Slots: true})
+	is.Equal(g.Caps(health.Suspect, 2), warm.Caps{InFlight: 2, AwaitingFirstByte: 2, FromSlots: true})
 	is.Equal(g.Caps(health.Leaving, 2), warm.Caps{})
 	is.Equal(g.Caps(health.Gone, 2), warm.Caps{})
 }
@@ -37,19 +37,19 @@
 func TestWindowFollowsUse(t *testing.T) {
 	is := is.New(t)
 	var g warm.Growth
-	g.Enter(health.Warm, 0)
+	g.OnStateChange(health.Warm, 0)
 	for range 100 {
-		g.FirstByte(1) // one at a time never needs more
+		g.OnFirstByte(1) // one at a time never needs more
 	}
-	is.Equal(g.Caps(health.Warm, 0).Unanswered, 16)
+	is.Equal(g.Caps(health.Warm, 0).AwaitingFirstByte, 16)
 	for range 100 {
-		g.FirstByte(g.Caps(health.Warm, 0).Unanswered)
+		g.OnFirstByte(g.Caps(health.Warm, 0).AwaitingFirstByte)
 	}
-	is.Equal(g.Caps(health.Warm, 0).Unanswered, 116)
+	is.Equal(g.Caps(health.Warm, 0).AwaitingFirstByte, 116)
 	for range 100 {
-		g.Shrink(0)
+		g.ShrinkWindow(0)
 	}
-	is.Equal(g.Caps(health.Warm, 0).Unanswered, 16)
+	is.Equal(g.Caps(health.Warm, 0).AwaitingFirstByte, 16)
 }
 
 // turn is one engine that turns cold without a word under load from nine entries.
@@ -80,7 +80,7 @@
 	var es []*entry
 	for range entries {
 		e := &entry{}
-		e.g.Enter(health.Warm, 0)
+		e.g.OnStateChange(health.Warm, 0)
 		es = append(es, e)
 		offset := time.Duration(random.Int64N(int64(reportRead)))
 		inferAt := turnsAt.Add(time.Duration(random.Int64N(int64(reportMade))) + offset)
@@ -96,7 +96,7 @@
 			return
 		}
 		all++
-		if windowed && e.unanswered >= e.g.Caps(health.Warm, 0).Unanswered {
+		if windowed && e.unanswered >= e.g.Caps(health.Warm, 0).AwaitingFirstByte {
 			if !cold {
 				held++
 			}
@@ -112,7 +112,7 @@
 		}
 		loop.After(took, func() {
 			if loop.Now() < turnsAt {
-				e.g.FirstByte(e.unanswered)
+				e.g.OnFirstByte(e.unanswered)
 			}
 			e.unanswered--
 			out--
--- a/internal/decide/warm/slots.go
+++ b/internal/decide/warm/slots.go
@@ -17,23 +17,23 @@
 
 // Params are the bounds that the slots' safety rests on. All instances must have the same.
 type Params struct {
-	Lag   time.Duration // within it a change of the instance list is gone by everywhere; half of it is the platform's own
-	Pause time.Duration // longest pause of the process between asking for a slot and writing the request
-	Work  time.Duration // longest dispatch to a cold upstream; the engine ends it even if the holder is gone
+	ListLag     time.Duration // within it a change of the instance list is gone by everywhere; half of it is the platform's own
+	MaxPause    time.Duration // longest pause of the process between asking for a slot and writing the request
+	MaxDispatch time.Duration // longest dispatch to a cold upstream; the engine ends it even if the holder is gone
 }
 
 // DefaultParams are those of the daemon.
 func DefaultParams() Params {
-	return Params{Lag: 5 * time.Second, Pause: 1500 * time.Millisecond, Work: 10 * time.Second}
+	return Params{ListLag: 5 * time.Second, MaxPause: 1500 * time.Millisecond, MaxDispatch: 10 * time.Second}
 }
 
 // Settle is how long a new holder waits before it uses a slot. The former holder may still see the old
 // list for Lag; at its end it may be paused for up to Pause before it dispatches once more; and that
 // dispatch runs for up to Work.
-func (p Params) Settle() time.Duration { return p.Lag + p.Pause + p.Work }
+func (p Params) SettleTime() time.Duration { return p.ListLag + p.MaxPause + p.MaxDispatch }
 
 // unread is how long an instance goes by a list that it can't read anew: what the platform leaves of Lag.
-func (p Params) unread() time.Duration { return p.Lag / 2 }
+func (p Params) unread() time.Duration { return p.ListLag / 2 }
 
 // Reasons of the slots' decisions.
 const (
@@ -78,11 +78,11 @@
 // After a pause or an outage the list may have taken a slot away and given it back unseen, and its holder
 // in between may still use it. It shows as a version that changed over a long gap; the instance then
 // settles anew. The version grows with each change, so an unchanged one needs no such care.
-func (s *Slots) OnList(version uint64, live []string, began, now decide.Instant) {
+func (s *Slots) OnInstanceList(version uint64, live []string, began, now decide.Instant) {
 	if version < s.version {
 		return
 	}
-	if version > s.version && began.Sub(s.fresh) > s.params.Settle()-s.params.Lag {
+	if version > s.version && began.Sub(s.fresh) > s.params.SettleTime()-s.params.ListLag {
 		s.restart(now)
 	}
 	if version >= s.newest {
@@ -99,7 +99,7 @@
 // OnPeerList notes that a peer went by that version of the list at an instant not before at. The same
 // version vouches for this instance's own list while the list can't be read; a higher one shows that this
 // instance is behind, and its reads count for nothing until they have caught up.
-func (s *Slots) OnPeerList(version uint64, at decide.Instant) {
+func (s *Slots) OnPeerVersion(version uint64, at decide.Instant) {
 	s.newest = max(s.newest, version)
 	if version == s.version && version == s.newest {
 		s.fresh = max(s.fresh, at)
@@ -108,7 +108,7 @@
 
 // trim drops views that went out of force before the settle time.
 func (s *Slots) trim(now decide.Instant) {
-	horizon := now.Add(-s.params.Settle())
+	horizon := now.Add(-s.params.SettleTime())
 	for len(s.views) > 1 && s.views[1].since <= horizon {
 		s.views = s.views[1:]
 	}
--- a/internal/entry/query/answer.go
+++ b/internal/entry/query/answer.go
@@ -255,7 +255,7 @@
 	a.h.limits.OnBoot(a.grant.Upstream, ce.BootID)
 	switch {
 	case ce.Dead:
-		a.h.limits.Evidence(a.grant.Upstream, health.Unheard)
+		a.h.limits.Evidence(a.grant.Upstream, health.NoReply)
 	case !ce.Sent:
 		a.h.limits.Evidence(a.grant.Upstream, health.ConnReset)
 	}
--- a/internal/route/grant.go
+++ b/internal/route/grant.go
@@ -99,7 +99,7 @@
 func (g *Grant) free() {
 	g.begin()
 	for _, s := range g.sent {
-		s.engine.Ended(s.memory)
+		s.engine.ReleaseMemory(s.memory)
 	}
 	g.sent = nil
 }
@@ -107,7 +107,7 @@
 func (g *Grant) begin() {
 	g.began.Do(func() {
 		for _, s := range g.sent {
-			s.engine.Began(g.class, s.tokens)
+			s.engine.RecordFirstToken(g.class, s.tokens)
 		}
 	})
 }
--- a/internal/route/lanes.go
+++ b/internal/route/lanes.go
@@ -19,10 +19,10 @@
 func (m *model) demanded(r *admit.Request, p *pooled) {
 	rate := int64(0)
 	for _, c := range p.pool.All {
-		rate = max(rate, c.Rate())
+		rate = max(rate, c.PrefillRate())
 	}
-	seconds := cost.Time(int64(r.Prompt.Tokens), rate).Seconds()
-	share := float64(r.Prompt.Memory()) / float64(p.pool.Memory)
+	seconds := cost.PrefillTime(int64(r.Prompt.Tokens), rate).Seconds()
+	share := float64(r.Prompt.MemoryTokens()) / float64(p.pool.EngineMemory)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.demand.Add(seconds+r.Decode.Seconds()*share, m.router.now())
@@ -43,8 +43,8 @@
 	s := m.router.scene()
 	p := m.pool(s.view)
 	m.mu.Lock()
-	m.sizer.Min = min(leastLanes(p.pool.Memory), p.size)
-	size, reason := m.sizer.Size(m.demand.Engines(now)*float64(s.entries), p.size, now)
+	m.sizer.MinLanes = min(leastLanes(p.pool.EngineMemory), p.size)
+	size, reason := m.sizer.Resize(m.demand.BusyEngines(now)*float64(s.entries), p.size, now)
 	m.mu.Unlock()
 	if int64(size) == m.lanes.Swap(int64(size)) {
 		return
--- a/internal/route/model.go
+++ b/internal/route/model.go
@@ -53,13 +53,13 @@
 	m := &model{router: r, name: name, waiters: map[*admit.Request]*waiter{}}
 	m.gate = admit.NewGate(&r.profile, pick.Default(m.open()), r.limits.QueueLength)
 	m.pace.Store(int64(firstPace))
-	m.sizer = lane.Sizer{Headroom: r.profile.Headroom, MaxShare: r.profile.LaneMax}
+	m.sizer = lane.Sizer{Headroom: r.profile.Headroom, MaxShare: r.profile.MaxLaneShare}
 	return m
 }
 
 // open keeps engines at their own limit (cold ones) out of the choice.
 func (m *model) open() pick.Filter {
-	return pick.Filter{Reason: pick.Elsewhere, Keep: func(_ *pick.Query, c *pick.Candidate) bool {
+	return pick.Filter{Reason: pick.RejectedByGate, Keep: func(_ *pick.Query, c *pick.Candidate) bool {
 		u := m.current.Load().view.Upstream(c.ID)
 		return u != nil && m.router.gate.Open(u)
 	}}
@@ -82,7 +82,7 @@
 func (m *model) acquire(ctx context.Context, s *scene, q *Request) (*Grant, error) {
 	w, p := m.world(s)
 	a := &ask{m: m, scene: s, q: q, r: m.request(s, p, q, w.Now)}
-	if a.r.Class.Lane() {
+	if a.r.Class.UsesLanes() {
 		m.demanded(a.r, p)
 	}
 	for range placeTries {
@@ -114,8 +114,8 @@
 func (m *model) request(s *scene, p *pooled, q *Request, now decide.Instant) *admit.Request {
 	r := &admit.Request{
 		ID: q.ID, Workspace: q.Workspace, Weight: s.spaces[q.Workspace].Weight,
-		Prompt:  cost.Prompt{Tokens: q.Tokens, Answer: q.MaxTokens, Blocks: q.Blocks},
-		Class:   cost.ClassOf(q.Tokens, q.MaxTokens, p.pool.Memory),
+		Prompt:  cost.Prompt{Tokens: q.Tokens, MaxAnswerTokens: q.MaxTokens, Blocks: q.Blocks},
+		Class:   cost.ClassOf(q.Tokens, q.MaxTokens, p.pool.EngineMemory),
 		Arrived: now, Deadline: m.router.instant(q.Deadline),
 		Decode: time.Duration(q.MaxTokens) * time.Duration(m.pace.Load()), Exclude: q.Exclude,
 	}
@@ -264,7 +264,7 @@
 		estimate = d.Plan.Estimate
 	} else {
 		g.Upstream = a.upstream(d.Choice.Engine.ID)
-		g.sent = []sentTo{{d.Choice.Engine, int64(estimate.Cost), a.r.Prompt.Memory()}}
+		g.sent = []sentTo{{d.Choice.Engine, int64(estimate.Cost), a.r.Prompt.MemoryTokens()}}
 	}
 	if err := m.router.usable(); err != nil {
 		g.undo()
@@ -282,7 +282,7 @@
 	m.router.meter.count("dispatch", d.Reason)
 	m.router.record("route", a.q, d.Reason, "upstream", g.Upstream.ID, "failure_domain", g.Upstream.Domain,
 		"class", a.r.Class, "attempt", a.q.Attempt, "tokens", a.q.Tokens, "to_compute", estimate.Cost,
-		"predicted", estimate.First.Round(time.Millisecond), "looked", d.Choice.Looked, "group", g.Group)
+		"predicted", estimate.FirstToken.Round(time.Millisecond), "looked", d.Choice.Scored, "group", g.Group)
 	return g, nil
 }
 
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -155,7 +155,7 @@
 // OnLoad takes an engine's load report; at is when its figures were true.
 func (r *Router) OnLoad(u *fleet.Upstream, l wire.Load, at time.Time) {
 	l.AgeMs = 0
-	r.engine(u).Tell(pick.ReportOf(&l, r.instant(at)))
+	r.engine(u).UpdateReport(pick.NewReport(&l, r.instant(at)))
 	for _, name := range u.Models {
 		r.model(name).reported()
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -348,8 +348,8 @@
 		is.Equal(int(b.model("m").lanes.Load()), leastLanes(memory))
 		is.True(strings.Contains(string(b.meter.registry.Text()), `route_lanes{model="m"} 3`))
 		p := b.model("m").pool(b.view)
-		is.Equal(len(p.pool.For(cost.Long)), 3)
-		is.Equal(len(p.pool.For(cost.Short)), 12)
+		is.Equal(len(p.pool.ForClass(cost.Long)), 3)
+		is.Equal(len(p.pool.ForClass(cost.Short)), 12)
 	})
 }
 
--- a/internal/warm/follow.go
+++ b/internal/warm/follow.go
@@ -15,14 +15,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.cfg.Now()
-	l.slots.OnList(version, live, now.Add(-time.Since(began)), now)
+	l.slots.OnInstanceList(version, live, now.Add(-time.Since(began)), now)
 }
 
 // OnPeerList notes that a peer went by that version of the list, not before at.
 func (l *Limits) OnPeerList(version uint64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.slots.OnPeerList(version, l.cfg.Now().Add(-time.Since(at)))
+	l.slots.OnPeerVersion(version, l.cfg.Now().Add(-time.Since(at)))
 }
 
 // Settled tells whether this instance's slots are settled. Before that it can't send to cold upstreams.
@@ -104,7 +104,7 @@
 	defer up.mu.Unlock()
 	state := up.machine.State()
 	if shrink && state == health.Warm {
-		up.growth.Shrink(int(up.inFlight.Load() - up.answered.Load()))
+		up.growth.ShrinkWindow(int(up.inFlight.Load() - up.answered.Load()))
 	}
 	if u.Kind == fleet.Engine && state != health.Warm {
 		share, reason := l.slots.Share(string(u.ID), up.coldLimit, now)
@@ -127,7 +127,7 @@
 		pauseBeats, leastPause = 3, 250 * time.Millisecond
 	)
 	p := warm.DefaultParams()
-	p.Lag = max(lagReads*list, leastLag)
-	p.Pause = max(pauseBeats*heartbeat, leastPause)
+	p.ListLag = max(lagReads*list, leastLag)
+	p.MaxPause = max(pauseBeats*heartbeat, leastPause)
 	return p
 }
--- a/internal/warm/limits.go
+++ b/internal/warm/limits.go
@@ -98,9 +98,9 @@
 
 // capsIn gives the caps in a state; mu is held or up is not shared yet.
 func (up *upstream) capsIn(s health.State) warm.Caps {
-	held := up.machine.Held()
+	held := up.machine.InHoldoff()
 	switch {
-	case !s.Takes(), up.kind == fleet.Engine && held:
+	case !s.AcceptsWork(), up.kind == fleet.Engine && held:
 		return warm.Caps{}
 	case up.kind == fleet.Engine:
 		return up.growth.Caps(s, up.share)
@@ -109,17 +109,17 @@
 	if held { // one at a time: a call that always fails must not keep the others from the whole service
 		c.InFlight = 1
 	}
-	c.Slots = false
+	c.FromSlots = false
 	return c
 }
 
 // room gives the caps as they hold now.
 func (up *upstream) room(now decide.Instant) warm.Caps {
 	p := up.caps.Load()
-	if p.Slots && now > p.until {
+	if p.FromSlots && now > p.until {
 		// The clock ran on while nothing here did, or the list could not be read: the slots may be
 		// somebody else's by now.
-		return warm.Caps{Slots: true}
+		return warm.Caps{FromSlots: true}
 	}
 	return p.Caps
 }
@@ -129,7 +129,7 @@
 	up := l.upstream(u)
 	c := up.room(l.cfg.Now())
 	n := up.inFlight.Load()
-	return n < int64(c.InFlight) && n-up.answered.Load() < int64(c.Unanswered)
+	return n < int64(c.InFlight) && n-up.answered.Load() < int64(c.AwaitingFirstByte)
 }
 
 // Allow takes a place for one request; Done gives it back.
@@ -137,7 +137,7 @@
 	up := l.upstream(u)
 	c := up.room(l.cfg.Now())
 	n := up.inFlight.Add(1)
-	if n > int64(c.InFlight) || n-up.answered.Load() > int64(c.Unanswered) {
+	if n > int64(c.InFlight) || n-up.answered.Load() > int64(c.AwaitingFirstByte) {
 		up.inFlight.Add(-1)
 		return false
 	}
@@ -147,15 +147,15 @@
 // Bound is the longest time that one dispatch to the upstream may take, and whether there is one: what is
 // sent to a cold upstream ends before its slot can be another instance's.
 func (l *Limits) Bound(u *fleet.Upstream) (time.Duration, bool) {
-	return l.cfg.Params.Work, l.upstream(u).caps.Load().Slots
+	return l.cfg.Params.MaxDispatch, l.upstream(u).caps.Load().FromSlots
 }
 
 // FirstByte notes that the first byte of a dispatch came after took. LastByte must follow, before Done.
 func (l *Limits) FirstByte(u *fleet.Upstream, took, expected time.Duration) {
 	up := l.upstream(u)
 	unanswered := up.inFlight.Load() - up.answered.Add(1) + 1
-	if expected > 0 && health.Slow(took, expected) {
-		l.Evidence(u, health.SlowFirst)
+	if expected > 0 && health.IsSlowFirstByte(took, expected) {
+		l.Evidence(u, health.SlowFirstByte)
 		return
 	}
 	if up.caps.Load().state == health.Warming {
@@ -164,7 +164,7 @@
 	}
 	// The window is a hint: a request that would have to wait for it leaves it to the next one.
 	if up.mu.TryLock() {
-		up.growth.FirstByte(int(unanswered))
+		up.growth.OnFirstByte(int(unanswered))
 		l.publish(up)
 		up.mu.Unlock()
 	}
@@ -194,8 +194,8 @@
 	}
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	if up.growth.Success() {
-		l.on(u.ID, up, health.Ramped)
+	if up.growth.OnSuccess() {
+		l.on(u.ID, up, health.RampCompleted)
 	}
 	l.publish(up)
 }
@@ -214,7 +214,7 @@
 	up := l.upstream(u)
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	if t, changed := up.machine.OnBoot(bootID, l.cfg.Now()); changed {
+	if t, changed := up.machine.ApplyBootID(bootID, l.cfg.Now()); changed {
 		l.changed(u.ID, up, t)
 		l.publish(up)
 	}
@@ -227,7 +227,7 @@
 	made := l.cfg.Now().Add(-time.Since(at))
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	if !up.machine.Newer(made) {
+	if !up.machine.AcceptsEvidence(made) {
 		return
 	}
 	if r.ColdLimit > 0 {
@@ -242,18 +242,18 @@
 }
 
 // OnSilent takes note that a report or probe was not answered.
-func (l *Limits) OnSilent(u *fleet.Upstream, _ error) { l.Evidence(u, health.Unheard) }
+func (l *Limits) OnSilent(u *fleet.Upstream, _ error) { l.Evidence(u, health.NoReply) }
 
 // on applies an event; up.mu is held.
 func (l *Limits) on(id fleet.UpstreamID, up *upstream, e health.Event) {
-	if t, changed := up.machine.On(e, l.cfg.Now()); changed {
+	if t, changed := up.machine.Apply(e, l.cfg.Now()); changed {
 		l.changed(id, up, t)
 	}
 }
 
 // changed records a transition, the one line of its decision; up.mu is held.
 func (l *Limits) changed(id fleet.UpstreamID, up *upstream, t health.Transition) {
-	up.growth.Enter(t.To, up.share)
+	up.growth.OnStateChange(t.To, up.share)
 	l.cfg.Explain.Record("health", string(id), t.Reason, "from", t.From, "to", t.To)
 }
 
--- a/internal/warm/probe.go
+++ b/internal/warm/probe.go
@@ -41,7 +41,7 @@
 	defer wg.Wait()
 	places := make(chan struct{}, probesAtOne)
 	for _, u := range l.cfg.View().Upstreams {
-		if s := l.State(u); u.Kind != fleet.Service || s == health.Warm || !s.Takes() {
+		if s := l.State(u); u.Kind != fleet.Service || s == health.Warm || !s.AcceptsWork() {
 			continue
 		}
 		places <- struct{}{}
@@ -64,13 +64,13 @@
 	}
 	up := l.upstream(u)
 	up.mu.Lock()
-	newer := up.machine.Newer(sent)
+	newer := up.machine.AcceptsEvidence(sent)
 	proven := up.machine.State() == health.Cold && l.cfg.Now().Sub(up.machine.Since()) >= provenAfter
 	up.mu.Unlock()
 	switch {
 	case proven:
-		l.Evidence(u, health.Proven)
+		l.Evidence(u, health.ProbationPassed)
 	case newer:
-		l.Evidence(u, health.Answered)
+		l.Evidence(u, health.ProbeAnswered)
 	}
 }
--- a/internal/warm/warmup.go
+++ b/internal/warm/warmup.go
@@ -53,7 +53,7 @@
 		return
 	}
 	outcome := route.OK
-	if err := p.WarmUp(ctx, u.Addr, u.Models[0], min(warmUpWait, l.cfg.Params.Work)); err != nil {
+	if err := p.WarmUp(ctx, u.Addr, u.Models[0], min(warmUpWait, l.cfg.Params.MaxDispatch)); err != nil {
 		outcome = route.Failed
 		l.cfg.Log.Debug("warm-up prompt failed", "upstream", u.ID, "error", err)
 	}
