--- a/internal/decide/pick/engine.go
+++ b/internal/decide/pick/engine.go
@@ -1,10 +1,12 @@
-// Package pick chooses the engine for a prompt: filters take engines out, scorers predict its first-token
-// time on those left, and a picker looks at a few of them and takes the best.
+// Package pick chooses the engine for a prompt. A picker selects a few engines of the pool, filters remove those
+// that can't take the prompt, and scorers rate the rest, mainly by the predicted first-token time. The engine with
+// the lowest score is chosen.
 //
-// Each instance sees engines through load reports that lag, knows its own dispatches exactly, and sends
-// only its part of the fleet's traffic. A prediction is therefore the report, less the work done since,
-// plus the own dispatches since, scaled up for the other instances, less the cached prefix. Looking at a
-// few random engines keeps the instances from herding to the one engine that the last report praised.
+// An instance sees engines through load reports that lag. It knows its own dispatches exactly, but sends only a part
+// of the fleet's traffic. The predicted work ahead of a prompt is therefore the reported queue, less the work done
+// since the report, plus this instance's dispatches since the report, scaled up for the other instances. The prompt's
+// own work is its tokens less the cached prefix. Scoring only a few random engines keeps the instances from all
+// sending to the one engine that looked best in the last report.
 //
 // Decisions read an immutable Pool and atomic counters; they take no lock and allocate nothing.
 package pick
@@ -21,21 +23,22 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// StaleAfter is the age of a load report above which its engine is chosen only where no other can be.
+// StaleAfter is the age above which a load report is stale. An engine with a stale report is chosen only if no engine
+// with a recent one can be.
 const StaleAfter = 3 * time.Second
 
-// Report is an engine's last load report, in this instance's time.
+// Report is an engine's load report, with its time on this instance's clock.
 type Report struct {
-	At           decide.Instant // when its figures were true
+	At           decide.Instant // when the engine measured the figures
 	Running      int
-	Queued       int   // prompts of which tokens are not yet computed
-	QueuedTokens int64 // those tokens
-	MemoryUsed   int64 // KV cache held by work and reservations, tokens
+	Queued       int   // prompts with tokens still to compute
+	QueuedTokens int64 // tokens still to compute
+	MemoryUsed   int64 // KV cache held by running work and reservations, in tokens
 	MemoryTotal  int64
-	PrefillRate  int64 // prompt tokens a second
+	PrefillRate  int64 // prompt tokens per second
 }
 
-// ReportOf gives the wire's report in the instance's time; arrived is when it came in.
+// NewReport returns the load report l, received at the instant arrived, with its time on this instance's clock.
 func NewReport(l *wire.Load, arrived decide.Instant) *Report {
 	return &Report{
 		At:      arrived.Add(-time.Duration(l.AgeMs) * time.Millisecond),
@@ -44,23 +47,23 @@
 	}
 }
 
-// Engine is what one instance knows of one engine. It outlives the pools that it is in.
+// Engine is this instance's knowledge of one engine. It outlives the pools that contain it.
 type Engine struct {
-	ID     fleet.UpstreamID
-	Cache  *cost.Table // nil where cache events are not read
-	report atomic.Pointer[Report]
-	sent   ledger
-	begun  [cost.ClassCount]atomic.Int64 // tokens of own dispatches without a first token yet
-	holds  atomic.Int64                  // memory of own dispatches that have not ended
+	ID            fleet.UpstreamID
+	Cache         *cost.Table // nil if the engine's cache events are not read
+	report        atomic.Pointer[Report]
+	recent        recentDispatches
+	pendingTokens [cost.ClassCount]atomic.Int64 // tokens of this instance's dispatches that have no first token yet
+	heldMemory    atomic.Int64                  // memory of this instance's dispatches that have not ended, in tokens
 }
 
-// NewEngine makes an engine of which nothing is known yet.
+// NewEngine returns an engine that has no load report yet.
 func NewEngine(id fleet.UpstreamID, cache *cost.Table) *Engine {
 	return &Engine{ID: id, Cache: cache}
 }
 
-// Tell takes a load report in. A report that is older than the last one is dropped: it shows an earlier
-// state, and would let work be counted as done that is not.
+// UpdateReport replaces the load report unless r is older than the current one, and reports whether it did. An older
+// report shows an earlier state, and with it unfinished work would be counted as done.
 func (e *Engine) UpdateReport(r *Report) bool {
 	for {
 		last := e.report.Load()
@@ -73,46 +76,51 @@
 	}
 }
 
-// Report gives the last load report, or nil.
+// Report returns the latest load report, or nil if there is none.
 func (e *Engine) Report() *Report { return e.report.Load() }
 
-// Sent notes an own dispatch: tokens to compute and the memory that it may come to hold. Each call is
-// followed by one of Began with the same class and tokens, and one of Ended with the same memory.
+// RecordDispatch records a dispatch of this instance: the prompt tokens to compute, and the most KV cache that it may
+// hold, in tokens. Each call must be followed by one call of RecordFirstToken with the same class and tokens, and one
+// of ReleaseMemory with the same memory.
 func (e *Engine) RecordDispatch(class cost.Class, tokens, memory int64, now decide.Instant) {
-	e.sent.add(class, tokens, memory, now)
-	e.begun[class].Add(tokens)
-	e.holds.Add(memory)
+	e.recent.add(class, tokens, memory, now)
+	e.pendingTokens[class].Add(tokens)
+	e.heldMemory.Add(memory)
 }
 
-// Began notes that an own dispatch has its first token, or ended without one.
-func (e *Engine) RecordFirstToken(class cost.Class, tokens int64) { e.begun[class].Add(-tokens) }
+// RecordFirstToken records that a dispatch of this instance has its first token or ended without one.
+func (e *Engine) RecordFirstToken(class cost.Class, tokens int64) {
+	e.pendingTokens[class].Add(-tokens)
+}
 
-// Ended notes that an own dispatch holds no memory any more.
-func (e *Engine) ReleaseMemory(memory int64) { e.holds.Add(-memory) }
+// ReleaseMemory records that a dispatch of this instance no longer holds its memory.
+func (e *Engine) ReleaseMemory(memory int64) { e.heldMemory.Add(-memory) }
 
-// unbegun is the work of own dispatches, up to class, that have no first token yet.
-func (e *Engine) unbegun(class cost.Class) int64 {
+// pendingPrefill returns the prompt tokens of this instance's dispatches that have no first token yet, of all classes
+// up to class.
+func (e *Engine) pendingPrefill(class cost.Class) int64 {
 	var sum int64
 	for c := range class + 1 {
-		sum += e.begun[c].Load()
+		sum += e.pendingTokens[c].Load()
 	}
 	return sum
 }
 
-// Candidate is an engine in a pool.
+// Candidate is an engine of a pool.
 type Candidate struct {
 	*Engine
-	Lane bool // in the long lanes
+	Lane bool // whether the engine is one of the long lanes
 }
 
-// Pool is the engines that may take a model's new work now. It is immutable.
+// Pool holds the engines that may take new work for a model. It is immutable.
 type Pool struct {
 	All          []Candidate // sorted by ID
-	Lanes        []Candidate // those of them in the long lanes
-	EngineMemory int64       // the least memory of one engine, in tokens; bounds what is no group's prompt
+	Lanes        []Candidate // the engines of All that are long lanes
+	EngineMemory int64       // smallest KV cache of an engine, in tokens; larger prompts are of class Group
 }
 
-// NewPool makes a pool of engines, lanes of which are in the long lanes.
+// NewPool returns a pool of the engines. lanes lists those that are long lanes, and memory is the smallest KV cache of
+// an engine, in tokens.
 func NewPool(engines []*Engine, lanes []fleet.UpstreamID, memory int64) *Pool {
 	p := &Pool{EngineMemory: memory}
 	sorted := slices.Clone(engines)
@@ -131,8 +139,8 @@
 	return p
 }
 
-// For gives the engines that prompts of the class may go to: long ones stay on the lanes, unless there
-// are none.
+// ForClass returns the engines that prompts of the class may go to. Long prompts stay on the lanes, unless the pool has
+// no lanes.
 func (p *Pool) ForClass(class cost.Class) []Candidate {
 	if class.UsesLanes() && len(p.Lanes) > 0 {
 		return p.Lanes
--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -7,88 +7,90 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide"
 )
 
-// Reasons of a choice.
+// Reasons for a Choice.
 const (
-	BestPredicted  decide.Reason = "best_predicted" // lowest predicted first-token time of those looked at
-	CachedPrefix   decide.Reason = "cached_prefix"  // the best, and a cached prefix is part of why
+	BestPredicted  decide.Reason = "best_predicted" // the lowest score of the engines scored
+	CachedPrefix   decide.Reason = "cached_prefix"  // as BestPredicted, and a part of the prompt is cached there
 	OnlyCandidate  decide.Reason = "only_candidate"
-	NoEngine       decide.Reason = "no_engine"         // the pool is empty, or all were tried before
-	NoMemory       decide.Reason = "no_memory"         // no engine has the memory now
-	StaleReports   decide.Reason = "reports_stale"     // chosen though its report is stale: none is fresh
-	RejectedByGate decide.Reason = "taken_out_by_gate" // the caller's own filters took all out
+	NoEngine       decide.Reason = "no_engine"         // the pool is empty, or the request has tried all engines
+	NoMemory       decide.Reason = "no_memory"         // no engine has enough free memory
+	StaleReports   decide.Reason = "reports_stale"     // chosen with a stale report: no scored engine has a recent one
+	RejectedByGate decide.Reason = "taken_out_by_gate" // the caller's gates removed all engines
 )
 
-// Reasons lists all of them.
+// Reasons lists all reasons for a Choice.
 var Reasons = []decide.Reason{BestPredicted, CachedPrefix, OnlyCandidate, NoEngine, NoMemory, StaleReports, RejectedByGate}
 
-// Filter takes engines out. Reason stands for a choice that failed because of this filter.
+// Filter removes engines from a choice. Reason is the reason for a failed choice in which this filter removed engines.
 type Filter struct {
 	Reason decide.Reason
 	Keep   func(q *Query, c *Candidate) bool
 }
 
-// Scorer adds to an engine's score; the lowest sum is chosen.
+// Scorer computes a part of an engine's score. The engine with the lowest sum is chosen.
 type Scorer struct {
 	Name  string
 	Score func(q *Query, c *Candidate) time.Duration
 }
 
-// Picker gives the indexes of the engines to look at, appended to at.
-type Picker func(q *Query, pool []Candidate, at []int) []int
+// Picker appends the indexes of the engines to score to indexes and returns it.
+type Picker func(q *Query, pool []Candidate, indexes []int) []int
 
-// Pipeline is a routing policy made of small parts.
+// Pipeline is a routing policy composed of filters, scorers and a picker.
 type Pipeline struct {
-	Gates   []Filter // the caller's own; they hold for plans of long prompts too
+	Gates   []Filter // the caller's filters; they apply to plans for long prompts as well
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
 }
 
-// Choice is the outcome of a pipeline.
+// Choice is the result of a pipeline.
 type Choice struct {
-	Engine   *Engine // nil where none can take the prompt
+	Engine   *Engine // nil if no engine can take the prompt
 	Estimate Estimate
 	Score    time.Duration
-	Scored   int // engines that were scored
+	Scored   int // number of engines scored
 	Reason   decide.Reason
 }
 
-// lookMax bounds the engines that a picker may name.
-const lookMax = 32
+// maxScored is the largest number of engines that a picker may return.
+const maxScored = 32
 
-// Pick chooses an engine of the pool. Where all that the picker named are taken out, the rest is gone
-// through from a random place, and the first one kept is taken.
+// Pick chooses an engine of the pool. If the filters remove all engines that the picker selected, Pick goes through the
+// pool from a random position and chooses the first engine that passes the filters.
 func (p *Pipeline) Pick(q *Query, pool []Candidate) Choice {
 	if len(pool) == 0 {
 		return Choice{Reason: NoEngine}
 	}
 	best := Choice{Reason: NoEngine}
-	for _, i := range p.Picker(q, pool, q.space[:0]) {
-		p.look(q, &pool[i], &best)
+	for _, i := range p.Picker(q, pool, q.indexBuf[:0]) {
+		p.consider(q, &pool[i], &best)
 	}
 	if best.Engine == nil {
-		p.scan(q, pool, &best)
+		p.considerUntilFirstPasses(q, pool, &best)
 	}
-	best.explain(q, pool)
+	best.setReason(q, pool)
 	return best
 }
 
-func (p *Pipeline) scan(q *Query, pool []Candidate, best *Choice) {
+func (p *Pipeline) considerUntilFirstPasses(q *Query, pool []Candidate, best *Choice) {
+	// Starts at a random position, so that no engine is preferred.
 	from := decide.IntN(q.Rand, len(pool))
 	for i := range pool {
-		p.look(q, &pool[(from+i)%len(pool)], best)
+		p.consider(q, &pool[(from+i)%len(pool)], best)
 		if best.Engine != nil {
 			return
 		}
 	}
 }
 
-// look scores the candidate and keeps it where it is better than best.
-func (p *Pipeline) look(q *Query, c *Candidate, best *Choice) {
+// consider scores the candidate if it passes the filters, and stores it in best if its score is lower. Otherwise
+// best gets the filter's reason, if its own is still NoEngine.
+func (p *Pipeline) consider(q *Query, c *Candidate, best *Choice) {
 	for _, filters := range [...][]Filter{p.Gates, p.Filters} {
-		if why, ok := keep(filters, q, c); !ok {
+		if reason, ok := passes(filters, q, c); !ok {
 			if best.Reason == NoEngine {
-				best.Reason = why // an engine that may have room later tells more than one tried before
+				best.Reason = reason // missing memory or a gate says more than an engine tried before
 			}
 			return
 		}
@@ -104,8 +106,8 @@
 	}
 }
 
-// keep tells whether all filters keep the candidate, or why the first that does not.
-func keep(filters []Filter, q *Query, c *Candidate) (why decide.Reason, ok bool) {
+// passes reports whether the candidate passes all filters. If not, reason is that of the first filter that removes it.
+func passes(filters []Filter, q *Query, c *Candidate) (reason decide.Reason, ok bool) {
 	for i := range filters {
 		if !filters[i].Keep(q, c) {
 			return filters[i].Reason, false
@@ -114,9 +116,9 @@
 	return "", true
 }
 
-func (b *Choice) explain(q *Query, pool []Candidate) {
+func (b *Choice) setReason(q *Query, pool []Candidate) {
 	switch {
-	case b.Engine == nil:
+	case b.Engine == nil: // the reason is already set
 	case len(pool) == 1:
 		b.Reason = OnlyCandidate
 	case !(&Candidate{Engine: b.Engine}).HasFreshReport(q.Now):
@@ -128,64 +130,65 @@
 	}
 }
 
-// Sample looks at Profile.Choices random engines, and at Profile.Affine ones that the prompt's prefix
-// names: prompts that begin alike meet there, and find the prefix cached.
-func Sample(q *Query, pool []Candidate, at []int) []int {
+// Sample is a Picker that returns up to Profile.RandomChoices random engines and up to Profile.PrefixChoices engines
+// selected by a hash of the prompt's prefix. Prompts with a common prefix share the latter, where the prefix is likely
+// to be cached.
+func Sample(q *Query, pool []Candidate, indexes []int) []int {
 	n := len(pool)
-	choices := min(q.Profile.RandomChoices, lookMax-q.Profile.PrefixChoices)
+	choices := min(q.Profile.RandomChoices, maxScored-q.Profile.PrefixChoices)
 	if n <= choices {
-		return All(q, pool, at)
+		return All(q, pool, indexes)
 	}
-	for tries := 0; len(at) < choices && tries < 4*choices; tries++ {
-		at = addNew(at, decide.IntN(q.Rand, n))
+	for tries := 0; len(indexes) < choices && tries < 4*choices; tries++ {
+		indexes = appendUnique(indexes, decide.IntN(q.Rand, n))
 	}
 	if len(q.Prompt.Blocks) == 0 {
-		return at
+		return indexes
 	}
-	prefix := q.Prompt.Blocks[min(affineBlock, len(q.Prompt.Blocks)-1)]
+	prefix := q.Prompt.Blocks[min(prefixBlock, len(q.Prompt.Blocks)-1)]
 	for i := range uint64(q.Profile.PrefixChoices) {
-		at = addNew(at, int(((prefix>>32)+i)%uint64(n)))
+		indexes = appendUnique(indexes, int(((prefix>>32)+i)%uint64(n)))
 	}
-	return at
+	return indexes
 }
 
-// affineBlock is the block by which Sample finds a prompt's like: the second one tells more than a
-// workspace's common head.
-const affineBlock = 1
+// prefixBlock is the index of the prefix block whose hash Sample uses. It is the second block, because the first one is
+// often the same in all prompts of a workspace.
+const prefixBlock = 1
 
-func addNew(at []int, i int) []int {
-	if slices.Contains(at, i) {
-		return at
+func appendUnique(indexes []int, i int) []int {
+	if slices.Contains(indexes, i) {
+		return indexes
 	}
-	return append(at, i)
+	return append(indexes, i)
 }
 
-// All looks at every engine, up to the bound, from a random place.
-func All(q *Query, pool []Candidate, at []int) []int {
+// All is a Picker that returns all engines from a random position on, at most maxScored.
+func All(q *Query, pool []Candidate, indexes []int) []int {
 	from := decide.IntN(q.Rand, len(pool))
-	for i := range min(len(pool), lookMax) {
-		at = append(at, (from+i)%len(pool))
+	for i := range min(len(pool), maxScored) {
+		indexes = append(indexes, (from+i)%len(pool))
 	}
-	return at
+	return indexes
 }
 
-// Untried takes out engines that the request was at before.
+// NotExcluded removes engines that have failed or refused the request.
 var NotExcluded = Filter{NoEngine, func(q *Query, c *Candidate) bool {
 	return !slices.Contains(q.Exclude, c.ID)
 }}
 
-// Room takes out engines without memory for the prompt. An engine that has not reported has unknown
-// room, and is kept.
+// HasMemory removes engines without enough free memory for the prompt. It keeps an engine without a load report, whose
+// free memory is unknown.
 var HasMemory = Filter{NoMemory, func(q *Query, c *Candidate) bool {
 	return c.Report() == nil || c.FreeMemory(q) >= q.Prompt.MemoryTokens()
 }}
 
-// FirstToken scores by the predicted first-token time.
+// FirstToken scores an engine by its predicted first-token time.
 var FirstToken = Scorer{"first_token", func(q *Query, c *Candidate) time.Duration {
 	return q.Estimate.FirstToken
 }}
 
-// Spill keeps prompts that are not long off the lanes until a lane saves them enough.
+// LanePenalty keeps prompts that are not long off the lanes, unless a lane is faster by Profile.LanePenalty.
 var LanePenalty = Scorer{"spill", func(q *Query, c *Candidate) time.Duration {
 	if c.Lane && !q.Class.UsesLanes() {
 		return q.Profile.LanePenalty
@@ -193,23 +196,23 @@
 	return 0
 }}
 
-// stalePenalty puts engines that fell silent behind all others.
-const stalePenalty = time.Hour
+// staleReportPenalty exceeds any predicted first-token time.
+const staleReportPenalty = time.Hour
 
-// Silent scores engines whose report is stale behind all others.
+// StalePenalty ranks engines without a recent load report behind all others.
 //
-// Failure guarded against: an engine, or the reading of its reports, stops; its last report praised it.
-// It shows as all instances sending their prompts there. Its prediction grows by an hour, so that it is
-// taken only where no other engine can be.
+// It guards against an engine that stops, or whose reports can't be read any more, after a report that showed it idle:
+// all instances would send their prompts there. The penalty of one hour lets the engine be chosen only if no other can
+// be.
 var StalePenalty = Scorer{"silent", func(q *Query, c *Candidate) time.Duration {
 	if c.HasFreshReport(q.Now) {
 		return 0
 	}
-	return stalePenalty
+	return staleReportPenalty
 }}
 
-// Default is the pipeline of the daemon. Gates are the caller's own filters: cold limits, condemned
-// connections.
+// Default returns the daemon's pipeline. gates are the caller's filters, for example cold-start limits and connections
+// that must not be used.
 func Default(gates ...Filter) *Pipeline {
 	return &Pipeline{
 		Gates:   gates,
--- a/internal/decide/pick/pick_test.go
+++ b/internal/decide/pick/pick_test.go
@@ -19,7 +19,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// A fixed seed, so that every run of the randomized tests gives the same verdict.
+// TestMain fixes the seed of the randomized tests, so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
@@ -27,23 +27,23 @@
 }
 
 const (
-	memory = 400_000
-	rate   = 20_000
+	memoryTokens = 400_000
+	tokensPerSec = 20_000
 )
 
 var start = decide.Instant(0).Add(time.Minute)
 
-// fleetOf makes n engines that have just reported to be idle.
-func fleetOf(n int) []*pick.Engine {
+// idleEngines returns n engines that have just reported that they are idle.
+func idleEngines(n int) []*pick.Engine {
 	engines := make([]*pick.Engine, n)
 	for i := range engines {
-		engines[i] = pick.NewEngine(fleet.UpstreamID(fmt.Sprintf("e%04d", i)), cost.NewTable(memory))
-		engines[i].UpdateReport(&pick.Report{At: start, MemoryTotal: memory, PrefillRate: rate})
+		engines[i] = pick.NewEngine(fleet.UpstreamID(fmt.Sprintf("e%04d", i)), cost.NewTable(memoryTokens))
+		engines[i].UpdateReport(&pick.Report{At: start, MemoryTotal: memoryTokens, PrefillRate: tokensPerSec})
 	}
 	return engines
 }
 
-func short(now decide.Instant) *pick.Query {
+func shortQuery(now decide.Instant) *pick.Query {
 	profile := pick.ProfileOf(api.ProfileShortFirst)
 	return &pick.Query{
 		Prompt: &cost.Prompt{Tokens: 4000, MaxAnswerTokens: 100, Blocks: []uint64{1, 2, 3}}, Class: cost.Short,
@@ -51,53 +51,53 @@
 	}
 }
 
-func TestPredictionAddsReportAndOwnDispatchesLessWorkDone(t *testing.T) {
+func TestPredictCountsReportAndDispatchesLessProgress(t *testing.T) {
 	is := is.New(t)
-	e := pick.NewEngine("e", cost.NewTable(memory))
+	e := pick.NewEngine("e", cost.NewTable(memoryTokens))
 	c := &pick.Candidate{Engine: e}
-	e.UpdateReport(&pick.Report{At: start, QueuedTokens: 30_000, Queued: 3, MemoryTotal: memory, PrefillRate: rate})
+	e.UpdateReport(&pick.Report{At: start, QueuedTokens: 30_000, Queued: 3, MemoryTotal: memoryTokens, PrefillRate: tokensPerSec})
 	e.RecordDispatch(cost.Short, 10_000, 10_000, start.Add(300*time.Millisecond))
 
-	q := short(start.Add(500 * time.Millisecond))
-	got := pick.Predict(q, c)
-	wait := 1500 * time.Millisecond // (30000 reported + 10000 sent - 10000 done in 0.5 s) / 20000
-	step := got.Wait - wait
-	is.True(step > 0 && step < 50*time.Millisecond) // and the step under way
-	is.Equal(got.FirstToken, got.Wait+200*time.Millisecond)
+	q := shortQuery(start.Add(500 * time.Millisecond))
+	estimate := pick.Predict(q, c)
+	wait := 1500 * time.Millisecond // (30000 reported + 10000 dispatched - 10000 computed in 0.5 s) / 20000
+	step := estimate.Wait - wait
+	is.True(step > 0 && step < 50*time.Millisecond) // the current batch step
+	is.Equal(estimate.FirstToken, estimate.Wait+200*time.Millisecond)
 
 	q.Instances, q.Profile.PeerWeight = 9, 0.5
-	more := pick.Predict(q, c)
-	is.Equal(more.Wait-got.Wait, 2*time.Second) // each own token stands for four of the others
+	scaled := pick.Predict(q, c)
+	is.Equal(scaled.Wait-estimate.Wait, 2*time.Second) // each dispatched token stands for four of other instances
 
 	e.Cache.Apply(&wire.CacheEvents{BootID: "b", Events: []wire.CacheEvent{{Seq: 1, Hash: 1}, {Seq: 2, Hash: 2}}}, q.Now)
 	is.Equal(pick.Predict(q, c).Cost, 4000-2*wire.BlockTokens)
 
-	e.UpdateReport(&pick.Report{At: start.Add(400 * time.Millisecond), MemoryTotal: memory, PrefillRate: rate})
-	is.Equal(pick.Predict(q, c).Wait, time.Duration(0)) // the new report has counted the dispatch
+	e.UpdateReport(&pick.Report{At: start.Add(400 * time.Millisecond), MemoryTotal: memoryTokens, PrefillRate: tokensPerSec})
+	is.Equal(pick.Predict(q, c).Wait, time.Duration(0)) // the new report includes the dispatch
 }
 
-// Prompts wait at the entry before an engine that is idle. Order: a burst is answered between two reports.
-// Cause: what was sent since the report counts as waiting though its answers are there.
-func TestAnsweredDispatchesDoNotCount(t *testing.T) {
+// Guards against prompts that queue at the instance while the engine is idle: a burst of prompts is answered between
+// two load reports, and the dispatches since the first report still count as work ahead.
+func TestAnsweredDispatchesDoNotCountAsWorkAhead(t *testing.T) {
 	is := is.New(t)
-	e := fleetOf(1)[0]
+	e := idleEngines(1)[0]
 	c := &pick.Candidate{Engine: e}
 	for range 50 {
 		e.RecordDispatch(cost.Short, 4000, 4100, start.Add(100*time.Millisecond))
 	}
-	q := short(start.Add(200 * time.Millisecond))
+	q := shortQuery(start.Add(200 * time.Millisecond))
 	is.True(pick.Predict(q, c).Wait > 9*time.Second)
-	is.Equal(c.FreeMemory(q), int64(memory-50*4100))
+	is.Equal(c.FreeMemory(q), int64(memoryTokens-50*4100))
 	for range 50 {
 		e.RecordFirstToken(cost.Short, 4000)
 		e.ReleaseMemory(4100)
 	}
 	is.Equal(pick.Predict(q, c).Wait, time.Duration(0))
-	is.Equal(c.FreeMemory(q), int64(memory))
+	is.Equal(c.FreeMemory(q), int64(memoryTokens))
 }
 
-// Prompts pile up on an engine that was thought idle. Order: two reports are read over two connections,
-// the newer one is taken in first. Cause: the older one then replaces it.
+// Guards against prompts that pile up on a busy engine: two load reports arrive over two connections, the newer one
+// first, and the older one, which shows the engine idle, replaces it.
 func TestOlderReportIsDropped(t *testing.T) {
 	is := is.New(t)
 	e := pick.NewEngine("e", nil)
@@ -106,30 +106,30 @@
 	is.Equal(e.Report().QueuedTokens, int64(5))
 }
 
-// All short prompts wait on one engine though nineteen are idle. Order: an engine reports to be the
-// least loaded; nine entries read that and each sends all its prompts there until the next report.
-// Cause: everybody takes the one best, by figures that nobody's dispatches change.
-func TestEntriesDoNotHerdToTheEnginePraisedLast(t *testing.T) {
+// Guards against all short prompts waiting on one engine while nineteen have almost nothing to do: nine instances read
+// the report that shows one engine as the least loaded, and each sends all its prompts there until the next report,
+// because its own dispatches don't change the figures that it compares.
+func TestInstancesDoNotHerdToLeastLoadedEngine(t *testing.T) {
 	is := is.New(t)
-	most := func(picker pick.Picker, count bool) int64 {
-		const entries, prompts = 9, 12
+	maxPerEngine := func(picker pick.Picker, recordDispatches bool) int64 {
+		const instances, prompts = 9, 12
 		sent := map[*pick.Engine]int64{}
 		byID := map[fleet.UpstreamID]int64{}
-		for entry := range entries {
-			engines := fleetOf(20)
-			for _, e := range engines[1:] { // the first is idle, the others have a little to do
-				e.UpdateReport(&pick.Report{At: start, QueuedTokens: 3000, MemoryTotal: memory, PrefillRate: rate})
+		for instance := range instances {
+			engines := idleEngines(20)
+			for _, e := range engines[1:] { // the first engine is idle, the others have little work
+				e.UpdateReport(&pick.Report{At: start, QueuedTokens: 3000, MemoryTotal: memoryTokens, PrefillRate: tokensPerSec})
 			}
-			pool := pick.NewPool(engines, nil, memory)
+			pool := pick.NewPool(engines, nil, memoryTokens)
 			p := pick.Default()
 			p.Picker = picker
-			q := short(start)
-			q.Rand, q.Instances = rand.New(rand.NewPCG(uint64(entry), 3)), entries
+			q := shortQuery(start)
+			q.Rand, q.Instances = rand.New(rand.NewPCG(uint64(instance), 3)), instances
 			q.Prompt.Blocks = nil
 			for range prompts {
 				c := p.Pick(q, pool.All)
 				byID[c.Engine.ID]++
-				if count {
+				if recordDispatches {
 					c.Engine.RecordDispatch(cost.Short, int64(c.Estimate.Cost), 4100, q.Now)
 				}
 				sent[c.Engine]++
@@ -141,135 +141,134 @@
 		}
 		return most
 	}
-	is.Equal(most(pick.All, false), int64(9*12))   // without the guard every prompt of every entry
-	is.True(most(pick.Sample, true) <= int64(2*6)) // with it at most about twice the mean of 5.4
+	is.Equal(maxPerEngine(pick.All, false), int64(9*12))   // without the guard: every prompt of every instance
+	is.True(maxPerEngine(pick.Sample, true) <= int64(2*6)) // with it: at most about twice the mean of 5.4
 }
 
-// Prompts time out on an engine that nobody hears of any more. Order: it reports to be idle, then falls
-// silent. Cause: the old report still makes it the best, and the better the older it is.
-func TestSilentEngineIsTakenLast(t *testing.T) {
+// Guards against prompts that time out on an engine that reported itself idle and then stopped reporting: its old
+// report gives it the best score, and the older the report, the more work counts as done.
+func TestEngineWithStaleReportIsChosenLast(t *testing.T) {
 	is := is.New(t)
-	engines := fleetOf(3)
+	engines := idleEngines(3)
 	now := start.Add(pick.StaleAfter + time.Second)
 	for _, e := range engines[1:] {
-		e.UpdateReport(&pick.Report{At: now, QueuedTokens: 100_000, MemoryTotal: memory, PrefillRate: rate})
+		e.UpdateReport(&pick.Report{At: now, QueuedTokens: 100_000, MemoryTotal: memoryTokens, PrefillRate: tokensPerSec})
 	}
-	pool := pick.NewPool(engines, nil, memory)
+	pool := pick.NewPool(engines, nil, memoryTokens)
 	for range 50 {
-		is.True(pick.Default().Pick(short(now), pool.All).Engine != engines[0])
+		is.True(pick.Default().Pick(shortQuery(now), pool.All).Engine != engines[0])
 	}
-	alone := pick.NewPool(engines[:1], nil, memory)
-	is.Equal(pick.Default().Pick(short(now), alone.All).Engine, engines[0]) // there is no other
+	onlyStale := pick.NewPool(engines[:1], nil, memoryTokens)
+	is.Equal(pick.Default().Pick(shortQuery(now), onlyStale.All).Engine, engines[0]) // no other engine in the pool
 }
 
-func TestEngineWithoutMemoryIsLeftOut(t *testing.T) {
+func TestEngineWithoutFreeMemoryIsNotChosen(t *testing.T) {
 	is := is.New(t)
-	engines := fleetOf(4)
+	engines := idleEngines(4)
 	for _, e := range engines[:3] {
-		e.UpdateReport(&pick.Report{At: start, MemoryUsed: memory - 1000, MemoryTotal: memory, PrefillRate: rate})
+		e.UpdateReport(&pick.Report{At: start, MemoryUsed: memoryTokens - 1000, MemoryTotal: memoryTokens, PrefillRate: tokensPerSec})
 	}
-	pool := pick.NewPool(engines, nil, memory)
+	pool := pick.NewPool(engines, nil, memoryTokens)
 	p := pick.Default()
-	is.Equal(p.Pick(short(start), pool.All).Engine, engines[3])
-	engines[3].RecordDispatch(cost.Medium, 0, memory-1000, start) // own dispatches count before the report shows them
-	is.Equal(p.Pick(short(start), pool.All).Reason, pick.NoMemory)
+	is.Equal(p.Pick(shortQuery(start), pool.All).Engine, engines[3])
+	engines[3].RecordDispatch(cost.Medium, 0, memoryTokens-1000, start) // dispatches count before a report shows them
+	is.Equal(p.Pick(shortQuery(start), pool.All).Reason, pick.NoMemory)
 
-	q := short(start)
+	q := shortQuery(start)
 	q.Exclude = []fleet.UpstreamID{"e0000", "e0001", "e0002", "e0003"}
 	is.Equal(p.Pick(q, pool.All).Reason, pick.NoEngine)
-	closed := pick.Default(pick.Filter{Reason: pick.RejectedByGate, Keep: func(*pick.Query, *pick.Candidate) bool { return false }})
-	is.Equal(closed.Pick(short(start), pool.All).Reason, pick.RejectedByGate)
+	rejectAll := pick.Default(pick.Filter{Reason: pick.RejectedByGate, Keep: func(*pick.Query, *pick.Candidate) bool { return false }})
+	is.Equal(rejectAll.Pick(shortQuery(start), pool.All).Reason, pick.RejectedByGate)
 }
 
-func TestShortPromptsKeepOffTheLanesUntilItPays(t *testing.T) {
+func TestShortPromptsUseLanesOnlyWhenFaster(t *testing.T) {
 	is := is.New(t)
-	engines := fleetOf(2)
-	pool := pick.NewPool(engines, []fleet.UpstreamID{"e0001"}, memory)
+	engines := idleEngines(2)
+	pool := pick.NewPool(engines, []fleet.UpstreamID{"e0001"}, memoryTokens)
 	p := pick.Default()
 	for range 20 {
-		is.Equal(p.Pick(short(start), pool.All).Engine, engines[0])
+		is.Equal(p.Pick(shortQuery(start), pool.All).Engine, engines[0])
 	}
-	engines[0].UpdateReport(&pick.Report{At: start, QueuedTokens: 10_000, MemoryTotal: memory, PrefillRate: rate})
-	engines[1].UpdateReport(&pick.Report{At: start, QueuedTokens: 200_000, MemoryTotal: memory, PrefillRate: rate})
-	is.Equal(p.Pick(short(start), pool.All).Engine, engines[1]) // its long prompts stand behind a short one
+	engines[0].UpdateReport(&pick.Report{At: start, QueuedTokens: 10_000, MemoryTotal: memoryTokens, PrefillRate: tokensPerSec})
+	engines[1].UpdateReport(&pick.Report{At: start, QueuedTokens: 200_000, MemoryTotal: memoryTokens, PrefillRate: tokensPerSec})
+	is.Equal(p.Pick(shortQuery(start), pool.All).Engine, engines[1]) // its long prompts are scheduled after short ones
 	is.Equal(len(pool.ForClass(cost.Long)), 1)
 	is.Equal(len(pool.ForClass(cost.Short)), 2)
 }
 
-// Medium prompts wait fifteen seconds behind a long one though other engines are free sooner. Order: the
-// profile gives them the long ones' priority; they are sent to a lane all the same. Cause: on lanes only
-// the shorter prompts' work was counted, whatever the priority.
-func TestLongWorkCountsWhereItIsNotOutranked(t *testing.T) {
+// Guards against medium prompts that wait fifteen seconds behind a long one though other engines are free sooner: the
+// profile gives both classes the same priority, but the prediction for a lane counts only the work of shorter prompts.
+func TestLongWorkOnLaneCountsAtEqualPriority(t *testing.T) {
 	is := is.New(t)
 	e := pick.NewEngine("e", nil)
-	e.UpdateReport(&pick.Report{At: start, QueuedTokens: 300_000, MemoryTotal: memory, PrefillRate: rate})
+	e.UpdateReport(&pick.Report{At: start, QueuedTokens: 300_000, MemoryTotal: memoryTokens, PrefillRate: tokensPerSec})
 	c := &pick.Candidate{Engine: e, Lane: true}
-	q := short(start)
-	is.Equal(pick.Predict(q, c).Wait, time.Duration(0)) // short stands before long
+	q := shortQuery(start)
+	is.Equal(pick.Predict(q, c).Wait, time.Duration(0)) // short prompts are scheduled before long ones
 	q.Profile.Priority[cost.Short] = q.Profile.Priority[cost.Long]
 	is.True(pick.Predict(q, c).Wait >= 15*time.Second)
 }
 
-// Whatever the engines have free, a plan covers the prompt's memory exactly, stays within each engine's
-// room, names each engine once and in their order; and there is one whenever a single engine has room.
-func TestPlansFitTheirEngines(t *testing.T) {
+// Checks for any free memory of the engines: the parts of a plan add up to the prompt's memory, each fits its engine,
+// and they are sorted by engine without duplicates. There is a plan whenever a single engine can hold the prompt.
+func TestPlanFitsFreeMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 10).Draw(t, "engines")
-		engines := fleetOf(n)
-		largest := int64(0)
-		room := map[fleet.UpstreamID]int64{}
+		engines := idleEngines(n)
+		mostFree := int64(0)
+		free := map[fleet.UpstreamID]int64{}
 		for _, e := range engines {
-			used := rapid.Int64Range(0, memory).Draw(t, "used")
-			e.UpdateReport(&pick.Report{At: start, MemoryUsed: used, MemoryTotal: memory, PrefillRate: rate})
-			room[e.ID] = memory - used
-			largest = max(largest, memory-used)
+			used := rapid.Int64Range(0, memoryTokens).Draw(t, "used")
+			e.UpdateReport(&pick.Report{At: start, MemoryUsed: used, MemoryTotal: memoryTokens, PrefillRate: tokensPerSec})
+			free[e.ID] = memoryTokens - used
+			mostFree = max(mostFree, memoryTokens-used)
 		}
-		q := short(start)
+		q := shortQuery(start)
 		q.Prompt = &cost.Prompt{Tokens: rapid.IntRange(cost.LongMin, 1_000_000).Draw(t, "tokens"), MaxAnswerTokens: 100}
-		q.Class = cost.ClassOf(q.Prompt.Tokens, q.Prompt.MaxAnswerTokens, memory)
-		plan := pick.PlanLong(q, pick.NewPool(engines, nil, memory).All, nil)
+		q.Class = cost.ClassOf(q.Prompt.Tokens, q.Prompt.MaxAnswerTokens, memoryTokens)
+		plan := pick.PlanLong(q, pick.NewPool(engines, nil, memoryTokens).All, nil)
 		if len(plan.Parts) == 0 {
-			if largest >= q.Prompt.MemoryTokens() {
-				t.Fatal("an engine had room")
+			if mostFree >= q.Prompt.MemoryTokens() {
+				t.Fatal("no plan, but one engine has enough free memory")
 			}
 			return
 		}
-		sum, last := int64(0), fleet.UpstreamID("")
+		sum, lastID := int64(0), fleet.UpstreamID("")
 		for _, p := range plan.Parts {
-			if p.Tokens > room[p.Engine.ID] || p.Engine.ID <= last {
-				t.Fatalf("part of %d tokens on %s with room for %d, after %s", p.Tokens, p.Engine.ID, room[p.Engine.ID], last)
+			if p.Tokens > free[p.Engine.ID] || p.Engine.ID <= lastID {
+				t.Fatalf("part of %d tokens on %s with %d free, after part on %s", p.Tokens, p.Engine.ID, free[p.Engine.ID], lastID)
 			}
-			sum, last = sum+p.Tokens, p.Engine.ID
+			sum, lastID = sum+p.Tokens, p.Engine.ID
 		}
 		if sum != q.Prompt.MemoryTokens() {
-			t.Fatalf("parts of %d tokens for a prompt of %d", sum, q.Prompt.MemoryTokens())
+			t.Fatalf("parts hold %d tokens, want %d", sum, q.Prompt.MemoryTokens())
 		}
 	})
 }
 
-func TestLongPromptIsSplitWhereThatPays(t *testing.T) {
+func TestLongPromptIsSplitWhenSufficientlyFaster(t *testing.T) {
 	is := is.New(t)
-	engines := fleetOf(3)
-	q := short(start)
+	engines := idleEngines(3)
+	q := shortQuery(start)
 	q.Prompt, q.Class = &cost.Prompt{Tokens: 300_000, MaxAnswerTokens: 100}, cost.Long
-	pool := pick.NewPool(engines, nil, memory)
-	is.Equal(pick.PlanLong(q, pool.All, nil).Reason, pick.OneEngine) // not in this profile
+	pool := pick.NewPool(engines, nil, memoryTokens)
+	is.Equal(pick.PlanLong(q, pool.All, nil).Reason, pick.OneEngine) // the short-first profile allows no splits
 
 	*q.Profile = pick.ProfileOf(api.ProfileLongFirst)
 	plan := pick.PlanLong(q, pool.All, nil)
 	is.Equal(plan.Reason, pick.Split)
 	is.Equal(plan.Parts[0].Tokens, plan.Parts[1].Tokens)
 	for _, e := range engines[1:] {
-		e.UpdateReport(&pick.Report{At: start, QueuedTokens: 200_000, MemoryTotal: memory, PrefillRate: rate})
+		e.UpdateReport(&pick.Report{At: start, QueuedTokens: 200_000, MemoryTotal: memoryTokens, PrefillRate: tokensPerSec})
 	}
-	is.Equal(pick.PlanLong(q, pool.All, nil).Reason, pick.OneEngine) // the second engine has 10 s to do
+	is.Equal(pick.PlanLong(q, pool.All, nil).Reason, pick.OneEngine) // every other engine has 10 s of work queued
 }
 
 func TestPickAllocatesNothing(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{20, 400, 2000} {
-		pool := pick.NewPool(fleetOf(n), nil, memory)
-		p, q := pick.Default(), short(start)
+		pool := pick.NewPool(idleEngines(n), nil, memoryTokens)
+		p, q := pick.Default(), shortQuery(start)
 		is.Equal(testing.AllocsPerRun(200, func() { p.Pick(q, pool.All) }), 0.0)
 	}
 }
@@ -277,11 +276,11 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{20, 400, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			pool := pick.NewPool(fleetOf(n), nil, memory)
+			pool := pick.NewPool(idleEngines(n), nil, memoryTokens)
 			p := pick.Default()
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
-				q := short(start)
+				q := shortQuery(start)
 				for pb.Next() {
 					c := p.Pick(q, pool.All)
 					c.Engine.RecordDispatch(cost.Short, int64(c.Estimate.Cost), 0, q.Now)
--- a/internal/decide/pick/profile.go
+++ b/internal/decide/pick/profile.go
@@ -7,24 +7,25 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/cost"
 )
 
-// Profile is a setting of the routing policy. The two that users name differ in how they weigh the
-// slowdown of short prompts against the first-token time of long ones, and in nothing else.
+// Profile holds the parameters of the routing policy. The two profiles that users can select differ only in how they
+// weigh the slowdown of short prompts against the first-token time of long ones.
 type Profile struct {
 	Name          string
-	Priority      [cost.ClassCount]int           // passed to the engine, -10 to 10
-	MaxWait       [cost.ClassCount]time.Duration // longest predicted wait on an engine; above it the prompt waits at the entry
-	RandomChoices int                            // random engines that a decision looks at
-	PrefixChoices int                            // engines more, found by the prompt's prefix
-	PeerWeight    float64                        // how much of the other instances' dispatches own ones stand for, 0 to 1
-	LanePenalty   time.Duration                  // what a lane must save a short prompt before it goes there
-	Headroom      float64                        // lane capacity for each unit of measured long demand
-	MaxLaneShare  float64                        // largest share of the engines that may be lanes
-	// SplitGain is how much of one engine's first-token time two engines may at most need for a long
-	// prompt to be split over them, though one could hold it; 0: never.
+	Priority      [cost.ClassCount]int           // passed to the engine, -10 to 10; a higher one is scheduled earlier
+	MaxWait       [cost.ClassCount]time.Duration // longest predicted wait on an engine; above it the prompt is queued
+	RandomChoices int                            // random engines that a decision scores
+	PrefixChoices int                            // additional engines, selected by the prompt's prefix
+	PeerWeight    float64                        // dispatches of each other instance per own one, 0 to 1
+	LanePenalty   time.Duration                  // time that a lane must save a prompt that is not long
+	Headroom      float64                        // lanes per engine of measured demand by long prompts
+	MaxLaneShare  float64                        // largest share of the engines that may be lanes, 0 to 1
+	// MaxSplitRatio limits the division of a long prompt among more engines than it needs: the first-token time must be
+	// at most this fraction of that with fewer engines. 0 disables such splits.
 	MaxSplitRatio float64
 }
 
-// ProfileOf gives the profile that the settings name. The values are measured: docs/design/routing.md.
+// ProfileOf returns the profile of that name, or the short-first one for any other name. See docs/design/routing.md for
+// the values.
 func ProfileOf(name string) Profile {
 	p := Profile{
 		Name:     api.ProfileShortFirst,
