--- a/internal/decide/cost/cost.go
+++ b/internal/decide/cost/cost.go
@@ -1,6 +1,6 @@
-// Package cost says what a prompt costs on an engine: its tokens less those whose prefix the engine
-// already has in its cache. What an engine has cached is known from its cache events, which come late and
-// with gaps, so the package gives an expectation and never a promise.
+// Package cost estimates the work of a prompt on an engine: its tokens less those of the prefix that the engine has
+// cached. The cache contents are known from the engine's cache events, which arrive late and with gaps, so the result
+// is an expected value and not a guarantee.
 package cost
 
 import (
@@ -9,26 +9,26 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// Class is a prompt's length class. Routing, priorities and queues go by it.
+// Class is a prompt's length class. Routing, priorities and queues depend on it.
 type Class uint8
 
 // The length classes, from the shortest.
 const (
 	Short  Class = iota // up to ShortMax tokens
 	Medium              // above ShortMax, below LongMin
-	Long                // from LongMin, fits one engine
-	Group               // more than one engine's memory: held in parts by a group of engines
+	Long                // at least LongMin, fits one engine
+	Group               // exceeds one engine's memory; held in parts by a group of engines
 	ClassCount
 )
 
-// Bounds of the classes, in prompt tokens. LongMin is the length that the users' letter names ("one in
-// fifty is over a hundred thousand").
+// Bounds of the classes, in prompt tokens. LongMin follows from the expected load, in which one prompt in fifty has
+// more than a hundred thousand tokens.
 const (
 	ShortMax = 8 * 1024
 	LongMin  = 100_000
 )
 
-// String gives the class as it stands in logs and metrics.
+// String returns the name of the class in logs and metrics.
 func (c Class) String() string {
 	switch c {
 	case Short:
@@ -42,36 +42,36 @@
 	}
 }
 
-// Lane tells whether prompts of the class stay on the long lanes.
+// UsesLanes reports whether prompts of the class stay on the long lanes.
 func (c Class) UsesLanes() bool { return c >= Long }
 
-// ClassOf gives the class of a prompt of that many tokens, its answer included, where one engine holds
-// memory tokens of KV cache.
-func ClassOf(prompt, answer int, memory int64) Class {
+// ClassOf returns the class of a prompt of promptTokens with an answer of at most answerTokens, for engines that each
+// hold memoryTokens of KV cache.
+func ClassOf(promptTokens, answerTokens int, memoryTokens int64) Class {
 	switch {
-	case int64(prompt+answer) > memory:
+	case int64(promptTokens+answerTokens) > memoryTokens:
 		return Group
-	case prompt >= LongMin:
+	case promptTokens >= LongMin:
 		return Long
-	case prompt > ShortMax:
+	case promptTokens > ShortMax:
 		return Medium
 	default:
 		return Short
 	}
 }
 
-// Prompt is what routing needs to know of a request.
+// Prompt holds the properties of a request that routing depends on.
 type Prompt struct {
 	Tokens          int      // prompt tokens
-	MaxAnswerTokens int      // most tokens of its answer
-	Blocks          []uint64 // chained hashes of its whole prefix blocks, wire.Blocks
+	MaxAnswerTokens int      // largest number of tokens of the answer
+	Blocks          []uint64 // chained hashes of the complete prefix blocks, see wire.Blocks
 }
 
-// Memory is the KV cache that the prompt may come to hold, in tokens.
+// MemoryTokens returns the most KV cache that the prompt and its answer may hold, in tokens.
 func (p *Prompt) MemoryTokens() int64 { return int64(p.Tokens + p.MaxAnswerTokens) }
 
-// On gives the prompt tokens that the engine behind table is expected to compute. A nil table knows of no
-// cached block. At least one token is always computed: it gives the first token of the answer.
+// UncachedTokens returns the expected number of prompt tokens that the engine of the table must compute. A nil table
+// counts as an empty cache. The engine always computes at least one token, which yields the first token of the answer.
 func (p *Prompt) UncachedTokens(table *Table, now Instant) int {
 	if table == nil {
 		return p.Tokens
@@ -79,7 +79,7 @@
 	return max(p.Tokens-int(table.CachedTokens(p.Blocks, now)), 1)
 }
 
-// Time is how long an engine takes to compute that many prompt tokens at rate tokens a second.
+// PrefillTime returns the time that an engine takes to compute the prompt tokens at rate tokens per second.
 func PrefillTime(tokens, rate int64) time.Duration {
 	if rate <= 0 {
 		return 0
@@ -87,5 +87,5 @@
 	return time.Duration(float64(tokens) / float64(rate) * float64(time.Second))
 }
 
-// blockTokens is the size of a prefix block as a float, for expectations.
+// blockTokens is the size of a prefix block in tokens, as a float for expected values.
 const blockTokens = float64(wire.BlockTokens)
--- a/internal/decide/cost/main_test.go
+++ b/internal/decide/cost/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A fixed seed, so that every run of the randomized tests gives the same verdict.
+// TestMain fixes the seed of the randomized tests, so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
