--- a/internal/decide/lane/lane.go
+++ b/internal/decide/lane/lane.go
@@ -1,10 +1,10 @@
-// Package lane sizes a model's long lanes: the engines that long prompts stay on, so that they can't take
-// the memory and the batch steps of all engines from the short ones.
+// Package lane determines the number of a model's long lanes. Lanes are the engines that long prompts are restricted
+// to, so that they can't occupy the memory and the batch steps of all engines at the expense of short prompts.
 //
-// Each instance sizes the lanes by itself, from the long demand that it measures. That is safe since lanes
-// are an optimisation: an instance that counts one lane more than another sends a long prompt to an engine
-// that the other thinks of as short, and no promise is broken. The order of the engines is the same
-// everywhere, so two sizes differ only in the last engines.
+// Each instance determines the number by itself, from the demand by long prompts that it measures. The instances
+// needn't agree, as lanes are only an optimization: an instance with one lane more than another may send a long prompt
+// to an engine that the other uses for short prompts. All instances order the engines alike, so their lanes differ only
+// in the last engines of that order.
 package lane
 
 import (
@@ -16,108 +16,110 @@
 	"github.com/damaskshelf/damaskshelf/internal/rendezvous"
 )
 
-// Window is the time over which demand is averaged.
+// DemandWindow is the time constant with which demand is averaged.
 const DemandWindow = 2 * time.Minute
 
-// Demand measures the engines that long prompts keep busy: an exponentially weighted sum of
-// engine-seconds, divided by the window. Not safe for concurrent use.
+// Demand measures how many engines long prompts keep busy, as an exponentially weighted sum of engine-seconds divided
+// by the window. It is not safe for concurrent use.
 type Demand struct {
-	sum     float64 // engine-seconds, decayed to at
-	at      decide.Instant
-	started decide.Instant
-	any     bool
+	sum       float64 // engine-seconds, decayed up to decayedAt
+	decayedAt decide.Instant
+	started   decide.Instant
+	hasDemand bool
 }
 
-// Add counts a long prompt that will keep engines busy for that many engine-seconds.
+// Add adds a long prompt that keeps engines busy for that many engine-seconds.
 func (d *Demand) Add(engineSeconds float64, now decide.Instant) {
-	if !d.any {
-		d.any, d.started, d.at = true, now, now
+	if !d.hasDemand {
+		d.hasDemand, d.started, d.decayedAt = true, now, now
 	}
 	d.decayTo(now)
 	d.sum += engineSeconds
 }
 
 func (d *Demand) decayTo(now decide.Instant) {
-	if now.Before(d.at) {
+	if now.Before(d.decayedAt) {
 		return
 	}
-	d.sum *= math.Exp(-now.Sub(d.at).Seconds() / DemandWindow.Seconds())
-	d.at = now
+	d.sum *= math.Exp(-now.Sub(d.decayedAt).Seconds() / DemandWindow.Seconds())
+	d.decayedAt = now
 }
 
-// Engines is the measured demand, in engines. Until a whole window has passed the sum is divided by what
-// has passed of it, at least a tenth.
+// BusyEngines returns the measured demand as a number of engines. The sum covers only the time since the first Add,
+// so the window is scaled by the weight of that time, which counts as a tenth at least.
 func (d *Demand) BusyEngines(now decide.Instant) float64 {
-	if !d.any {
+	if !d.hasDemand {
 		return 0
 	}
 	d.decayTo(now)
-	passed := 1 - math.Exp(-now.Sub(d.started).Seconds()/DemandWindow.Seconds())
-	return d.sum / (DemandWindow.Seconds() * max(passed, 0.1))
+	elapsedWeight := 1 - math.Exp(-now.Sub(d.started).Seconds()/DemandWindow.Seconds())
+	return d.sum / (DemandWindow.Seconds() * max(elapsedWeight, 0.1))
 }
 
-// Reasons of a size.
+// Reasons for the result of Sizer.Resize.
 const (
 	Steady  decide.Reason = "lanes_steady"
 	Grown   decide.Reason = "lanes_grown"
 	Shrunk  decide.Reason = "lanes_shrunk"
-	Holding decide.Reason = "lanes_hold_down" // fewer would do, but not for long enough yet
+	Holding decide.Reason = "lanes_hold_down" // fewer lanes suffice, but not for HoldDown yet
 )
 
-// Reasons lists all of them.
+// Reasons lists all reasons of this package.
 var Reasons = []decide.Reason{Steady, Grown, Shrunk, Holding}
 
-// HoldDown is how long fewer lanes must have sufficed before one is given back.
+// HoldDown is how long fewer lanes must suffice before the number is reduced by one.
 const HoldDown = 30 * time.Second
 
-// Sizer holds the number of lanes with hysteresis: it grows at once, since long prompts wait meanwhile,
-// and gives back one lane each HoldDown, since a lane given back and taken again costs its cached
-// prefixes and short prompts' placements twice.
+// Sizer determines the number of lanes with hysteresis. It adds lanes immediately, because long prompts wait for them.
+// It removes one lane per HoldDown, because a lane that is removed and added again loses its cached prefixes and moves
+// short prompts to other engines each time.
 type Sizer struct {
-	Headroom float64 // lanes for each engine of demand
-	MinLanes int     // lanes that are kept however small the demand; enough for the longest prompt
-	MaxShare float64 // largest share of the engines
+	Headroom float64 // lanes per engine of demand
+	MinLanes int     // smallest number of lanes, enough for the longest prompt
+	MaxShare float64 // largest share of the engines that may be lanes, 0 to 1
 
-	size     int
-	below    bool
-	belowFor decide.Instant // since when fewer would have sufficed
+	size            int
+	shrinkable      bool
+	shrinkableSince decide.Instant // since when fewer lanes have sufficed, or the last was removed
 }
 
-// Size gives the lanes for a demand, in engines, among that many engines.
+// Resize updates and returns the number of lanes, given the demand in engines and the number of engines.
 func (s *Sizer) Resize(demand float64, engines int, now decide.Instant) (int, decide.Reason) {
-	want := s.want(demand, engines)
+	target := s.target(demand, engines)
 	switch {
-	case want > s.size:
-		s.size, s.below = want, false
+	case target > s.size:
+		s.size, s.shrinkable = target, false
 		return s.size, Grown
-	case want == s.size:
-		s.below = false
+	case target == s.size:
+		s.shrinkable = false
 		return s.size, Steady
-	case s.size > s.most(engines): // engines have left
-		s.size, s.below = s.most(engines), false
+	case s.size > s.maxLanes(engines): // the number of engines has fallen
+		s.size, s.shrinkable = s.maxLanes(engines), false
 		return s.size, Shrunk
-	case !s.below:
-		s.below, s.belowFor = true, now
+	case !s.shrinkable:
+		s.shrinkable, s.shrinkableSince = true, now
 		return s.size, Holding
-	case now.Sub(s.belowFor) < HoldDown:
+	case now.Sub(s.shrinkableSince) < HoldDown:
 		return s.size, Holding
 	default:
-		s.size, s.belowFor = s.size-1, now
+		s.size, s.shrinkableSince = s.size-1, now
 		return s.size, Shrunk
 	}
 }
 
-func (s *Sizer) most(engines int) int {
+func (s *Sizer) maxLanes(engines int) int {
+	// MaxShare of the engines, but at least MinLanes if there are that many engines.
 	return max(int(s.MaxShare*float64(engines)), min(s.MinLanes, engines))
 }
 
-func (s *Sizer) want(demand float64, engines int) int {
-	want := max(int(math.Ceil(demand*s.Headroom)), s.MinLanes)
-	return min(want, s.most(engines))
+func (s *Sizer) target(demand float64, engines int) int {
+	// The lanes for the current demand, before hysteresis.
+	target := max(int(math.Ceil(demand*s.Headroom)), s.MinLanes)
+	return min(target, s.maxLanes(engines))
 }
 
-// Order gives a model's engines in the order in which they become lanes: by rendezvous within a failure
-// domain, and the domains in turn, so that a domain that leaves takes its share of the lanes and no more.
+// Order returns a model's engines in the order in which they become lanes. Engines of a failure domain are ordered by
+// rendezvous hashing, and the domains take turns, so that the loss of a domain removes only its share of the lanes.
 func Order(model string, engines []*fleet.Upstream) []fleet.UpstreamID {
 	byDomain := map[string][]string{}
 	var domains []string
@@ -133,10 +135,10 @@
 		byDomain[d] = rendezvous.Top(model, ids, len(ids))
 	}
 	order := make([]fleet.UpstreamID, 0, len(engines))
-	for rank := 0; len(order) < len(engines); rank++ {
+	for position := 0; len(order) < len(engines); position++ {
 		for _, d := range domains {
-			if rank < len(byDomain[d]) {
-				order = append(order, fleet.UpstreamID(byDomain[d][rank]))
+			if position < len(byDomain[d]) {
+				order = append(order, fleet.UpstreamID(byDomain[d][position]))
 			}
 		}
 	}
--- a/internal/decide/lane/lane_test.go
+++ b/internal/decide/lane/lane_test.go
@@ -14,7 +14,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-func TestDemandConvergesToTheLoad(t *testing.T) {
+func TestDemandConvergesToLoad(t *testing.T) {
 	is := is.New(t)
 	var d lane.Demand
 	now := decide.Instant(0)
@@ -23,15 +23,14 @@
 		now = now.Add(time.Second)
 	}
 	is.True(math.Abs(d.BusyEngines(now)-4) < 0.2)
-	is.True(d.BusyEngines(now.Add(3*lane.DemandWindow)) < 0.3) // and forgets it
+	is.True(d.BusyEngines(now.Add(3*lane.DemandWindow)) < 0.3) // and decays without load
 }
 
-// Short prompts' first tokens jump up and down by the minute though the load is the same.
-// Order: demand wavers around a whole number of engines; lanes are given back and taken each time.
-// Cause: without hysteresis the size follows every sample.
-func TestWaveringDemandDoesNotFlap(t *testing.T) {
+// Guards against first-token times of short prompts that rise and fall by the minute under constant load: the demand
+// varies around a whole number of engines, and without hysteresis the number of lanes follows every sample.
+func TestLaneCountDoesNotFlap(t *testing.T) {
 	is := is.New(t)
-	s := lane.Sizer{Headroom: 1, MinLanes: 1, MaxShare: 0.8}
+	sizer := lane.Sizer{Headroom: 1, MinLanes: 1, MaxShare: 0.8}
 	changes, last := 0, 0
 	now := decide.Instant(0)
 	for i := range 600 {
@@ -39,7 +38,7 @@
 		if i%10 >= 5 {
 			demand = 4.1
 		}
-		size, _ := s.Resize(demand, 20, now)
+		size, _ := sizer.Resize(demand, 20, now)
 		if size != last {
 			changes++
 		}
@@ -47,58 +46,58 @@
 		now = now.Add(time.Second)
 	}
 	is.Equal(last, 5)
-	is.Equal(changes, 2) // to 4 at the start, then to 5 for good
+	is.Equal(changes, 2) // to 4 at the start, then to 5 permanently
 }
 
-func TestLanesAreGivenBackOneByOne(t *testing.T) {
+func TestLanesAreRemovedOneByOne(t *testing.T) {
 	is := is.New(t)
-	s := lane.Sizer{Headroom: 1, MinLanes: 2, MaxShare: 0.5}
+	sizer := lane.Sizer{Headroom: 1, MinLanes: 2, MaxShare: 0.5}
 	now := decide.Instant(0)
-	size, why := s.Resize(30, 20, now)
-	is.Equal(size, 10) // never more than the share
-	is.Equal(why, lane.Grown)
-	size, why = s.Resize(1, 20, now)
+	size, reason := sizer.Resize(30, 20, now)
+	is.Equal(size, 10) // limited by MaxShare
+	is.Equal(reason, lane.Grown)
+	size, reason = sizer.Resize(1, 20, now)
 	is.Equal(size, 10)
-	is.Equal(why, lane.Holding)
-	size, why = s.Resize(1, 20, now.Add(lane.HoldDown))
+	is.Equal(reason, lane.Holding)
+	size, reason = sizer.Resize(1, 20, now.Add(lane.HoldDown))
 	is.Equal(size, 9)
-	is.Equal(why, lane.Shrunk)
+	is.Equal(reason, lane.Shrunk)
 	for i := range 20 {
-		size, _ = s.Resize(0, 20, now.Add(time.Duration(i+2)*lane.HoldDown))
+		size, _ = sizer.Resize(0, 20, now.Add(time.Duration(i+2)*lane.HoldDown))
 	}
-	is.Equal(size, 2) // enough for the longest prompt
+	is.Equal(size, 2) // MinLanes
 }
 
-func TestEnginesThatLeaveTakeTheirLanes(t *testing.T) {
+func TestLanesShrinkWhenEnginesLeave(t *testing.T) {
 	is := is.New(t)
-	s := lane.Sizer{Headroom: 1, MinLanes: 2, MaxShare: 0.5}
-	s.Resize(10, 20, 0)
-	size, why := s.Resize(4, 13, 1)
+	sizer := lane.Sizer{Headroom: 1, MinLanes: 2, MaxShare: 0.5}
+	sizer.Resize(10, 20, 0)
+	size, reason := sizer.Resize(4, 13, 1)
 	is.Equal(size, 6)
-	is.Equal(why, lane.Shrunk)
+	is.Equal(reason, lane.Shrunk)
 }
 
-func TestOrderSpreadsOverDomainsAndIsNested(t *testing.T) {
+func TestOrderAlternatesDomainsForAnyInputOrder(t *testing.T) {
 	is := is.New(t)
 	var engines []*fleet.Upstream
-	domain := map[fleet.UpstreamID]fleet.DomainID{}
+	domainOf := map[fleet.UpstreamID]fleet.DomainID{}
 	for i := range 20 {
 		u := &fleet.Upstream{ID: fleet.UpstreamID(fmt.Sprintf("e%02d", i)), Domain: fleet.DomainID(fmt.Sprintf("d%d", i%3))}
 		engines = append(engines, u)
-		domain[u.ID] = u.Domain
+		domainOf[u.ID] = u.Domain
 	}
 	order := lane.Order("m", engines)
 	is.Equal(len(order), 20)
 	for n := 3; n <= 18; n += 3 {
-		count := map[fleet.DomainID]int{}
+		perDomain := map[fleet.DomainID]int{}
 		for _, id := range order[:n] {
-			count[domain[id]]++
+			perDomain[domainOf[id]]++
 		}
-		is.Equal(len(count), 3)
-		for _, c := range count {
-			is.Equal(c, n/3)
+		is.Equal(len(perDomain), 3)
+		for _, lanes := range perDomain {
+			is.Equal(lanes, n/3)
 		}
 	}
 	slices.Reverse(engines)
-	is.Equal(lane.Order("m", engines), order) // whatever the order of the list
+	is.Equal(lane.Order("m", engines), order) // independent of the order of the input
 }
