--- a/internal/decide/health/health.go
+++ b/internal/decide/health/health.go
@@ -1,5 +1,6 @@
-// Package health keeps the state of one upstream as one instance sees it, out of passive evidence (how
-// dispatches end) and active evidence (load reports and probes). All transitions stand in one table.
+// Package health determines the state of an upstream from the view of one instance. The state depends on passive
+// evidence (the results of dispatches) and active evidence (load reports and probes). One table defines all
+// transitions.
 package health
 
 import (
@@ -11,65 +12,65 @@
 // State is an upstream's state.
 type State uint8
 
-// The states. Only Warm and Warming take more than the slots of a cold upstream; see package warm.
+// The states. Only warm and warming upstreams get more load than the slots of a cold one; see package warm.
 const (
-	Unknown State = iota // nothing is known yet: treated as cold
-	Cold                 // bears only its cold limit
-	Warming              // said to be warm; load grows by successes
+	Unknown State = iota // no evidence yet; treated as cold
+	Cold                 // can handle only its cold limit
+	Warming              // reported or probed as warm; its load grows with successful dispatches
 	Warm
-	Suspect // may have turned cold or died: treated as cold until a report or probe tells
-	Leaving // takes no new work
+	Suspect // may have turned cold or failed; treated as cold until a report or probe decides
+	Leaving // gets no new work
 	Gone    // not in the instance list
 	stateCount
 )
 
 var stateNames = [stateCount]string{"unknown", "cold", "warming", "warm", "suspect", "leaving", "gone"}
 
-// String gives the state's name as it stands in logs.
+// String returns the state's name in logs.
 func (s State) String() string { return stateNames[s] }
 
-// Takes tells whether an upstream in that state gets new work.
+// AcceptsWork reports whether an upstream in that state gets new work.
 func (s State) AcceptsWork() bool { return s != Leaving && s != Gone }
 
 // Event is a piece of evidence.
 type Event uint8
 
-// The evidence. Reports and probes count only if their answer was made after the state began: one that
-// was under way says nothing about what happened since. The shell sees to that with Newer.
+// The events. A report or probe counts only if it shows the upstream after the state began, because an earlier one
+// can't reflect what changed the state. The caller checks that with Machine.AcceptsEvidence.
 const (
-	ReportedWarm    Event = iota // load report: not cold
-	ReportedCold                 // load report: cold
-	BootChanged                  // another boot id than before
-	ConnReset                    // a connection was reset or cut, or could not be opened
-	SlowFirstByte                // the first byte took far longer than it should
-	Errored                      // an answer that says the upstream itself failed
-	NoReply                      // a report or probe was not answered
-	ProbeAnswered                // a probe was answered by an upstream that makes no reports
-	ProbationPassed              // a cold upstream that makes no reports has answered probes for long enough
-	RampCompleted                // load has grown to the top
-	IsLeaving                    // the list, the configuration or the upstream itself says that it leaves
-	IsBack                       // it stays after all
-	Unlisted                     // not in the instance list any more
-	Listed                       // in the instance list again
+	ReportedWarm    Event = iota // a load report says that the upstream is not cold
+	ReportedCold                 // a load report says that the upstream is cold
+	BootChanged                  // the boot ID has changed
+	ConnReset                    // a connection was reset or closed, or could not be opened
+	SlowFirstByte                // the first byte took far longer than expected
+	Errored                      // an answer reports a failure of the upstream itself
+	NoReply                      // a load report, a probe or a connection got no reply
+	ProbeAnswered                // an upstream without load reports answered a probe
+	ProbationPassed              // a cold upstream without load reports has answered probes for long enough
+	RampCompleted                // the load of a warming upstream has grown to its maximum
+	IsLeaving                    // the list, the configuration or the upstream itself says that it is leaving
+	IsBack                       // the upstream no longer leaves
+	Unlisted                     // removed from the instance list
+	Listed                       // back in the instance list
 	eventCount
 )
 
-// Reasons of transitions, one for each event, in the events' order.
+// Reasons holds the reason of each event's transitions, indexed by event.
 var Reasons = []decide.Reason{
 	"reported_warm", "reported_cold", "boot_changed", "conn_reset", "slow_first_byte", "errored", "unheard",
 	"answered_probe", "proven", "ramped", "is_leaving", "is_back", "unlisted", "listed",
 }
 
-// Reason gives the event's reason.
+// Reason returns the reason for transitions caused by the event.
 func (e Event) Reason() decide.Reason { return Reasons[e] }
 
-// table[s][e] is the state after e in s; an event that stands in no row changes nothing.
+// transitions[s][e] is the state that follows event e in state s. An event without an entry doesn't change the state.
 //
-// A warm upstream never turns cold by inference alone: a reset may be one connection's own trouble. It
-// turns suspect, which bears no more than cold, until its own report or probe tells which it is. If that
-// says that all is well, load grows anew: an upstream that fails its work and reports well would otherwise
-// fail a full load each time.
-var table = [stateCount]map[Event]State{
+// A failed dispatch alone doesn't make a warm upstream cold, because a reset may concern only one connection. The
+// upstream becomes suspect, with no more load than a cold one, until its own report or a probe decides. If that says
+// that the upstream is healthy, its load grows again from the start. If full load returned at once, an upstream that
+// fails its work but reports that it is healthy would fail a full load each time.
+var transitions = [stateCount]map[Event]State{
 	Unknown: {
 		ReportedWarm: Warm, ReportedCold: Cold, BootChanged: Cold, ProbeAnswered: Warming, ProbationPassed: Warming,
 		ConnReset: Cold, SlowFirstByte: Cold, Errored: Cold, NoReply: Suspect,
@@ -93,96 +94,100 @@
 		ReportedWarm: Warming, ReportedCold: Cold, BootChanged: Cold, ProbeAnswered: Warming, ProbationPassed: Warming,
 		IsLeaving: Leaving, Unlisted: Gone,
 	},
-	// A domain that comes back: what was reported before it left, or just before it turned cold, says nothing.
+	// A returning upstream starts cold, because reports from before it left or turned cold are outdated.
 	Leaving: {IsBack: Cold, Unlisted: Gone},
 	Gone:    {Listed: Unknown},
 }
 
-// Transition is a change of state with its reason.
+// Transition describes a change of state.
 type Transition struct {
 	From, To State
 	Reason   decide.Reason
 }
 
-// Machine is one upstream's state. The zero value is unknown since instant 0.
+// Machine is the state machine of one upstream. The zero value is in state Unknown since instant 0.
 type Machine struct {
-	state   State
-	since   decide.Instant
-	boot    string
-	strikes int            // failures of its work, each soon after the one before
-	struck  decide.Instant // the latest
+	state       State
+	since       decide.Instant
+	bootID      string
+	failures    int            // consecutive failures, each within failureResetTime of the one before
+	lastFailure decide.Instant // when the latest failure occurred
 }
 
-// State gives the state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Since is when the state began.
+// Since returns the instant at which the current state began.
 func (m *Machine) Since() decide.Instant { return m.since }
 
-// On takes an event and tells whether the state changed.
+// Apply applies an event and reports whether the state changed.
 func (m *Machine) Apply(e Event, now decide.Instant) (Transition, bool) {
-	to, ok := table[m.state][e]
+	to, ok := transitions[m.state][e]
 	if !ok || to == m.state {
 		return Transition{}, false
 	}
 	t := Transition{From: m.state, To: to, Reason: e.Reason()}
 	m.state, m.since = to, now
 	if to == Suspect && e != NoReply {
-		m.strike(now)
+		m.recordFailure(now)
 	}
 	return t, true
 }
 
-// OnBoot takes a boot id that an answer bore. The first one seen is no change.
+// ApplyBootID applies the boot ID of an answer. A change counts as BootChanged; the first ID does not.
 func (m *Machine) ApplyBootID(id string, now decide.Instant) (Transition, bool) {
-	if id == "" || id == m.boot {
+	if id == "" || id == m.bootID {
 		return Transition{}, false
 	}
-	first := m.boot == ""
-	m.boot = id
+	first := m.bootID == ""
+	m.bootID = id
 	if first {
 		return Transition{}, false
 	}
 	return m.Apply(BootChanged, now)
 }
 
-// Newer tells whether evidence that was true at made says anything about the state since it began. Of an
-// unknown upstream any does.
-func (m *Machine) AcceptsEvidence(made decide.Instant) bool {
-	return m.state == Unknown || made > m.since.Add(m.hold())
+// AcceptsEvidence reports whether a report or probe that shows the upstream at evidenceAt may change the state. In
+// state Unknown all evidence may. In other states evidenceAt must be after the start of the state and its holdoff.
+func (m *Machine) AcceptsEvidence(evidenceAt decide.Instant) bool {
+	return m.state == Unknown || evidenceAt > m.since.Add(m.holdoff())
 }
 
-// Bounds of the time for which a report or probe does not clear a suspicion. An upstream that fails its
-// work and yet reports that all is well would otherwise get full load again with each report.
+// Limits of the holdoff: the time for which reports and probes don't end the state Suspect. Without it, an upstream
+// that fails its work but reports that it is healthy would get full load again after each report. The holdoff doubles
+// with each consecutive failure.
 const (
-	forgive   = 30 * time.Second // a failure this long after the last is the first again
-	firstHold = 250 * time.Millisecond
-	longHold  = 8 * time.Second
-	mostShift = 16
+	failureResetTime = 30 * time.Second // a failure later than this after the last one counts as the first
+	minHoldoff       = 250 * time.Millisecond
+	maxHoldoff       = 8 * time.Second
+	maxDoublings     = 16
 )
 
-func (m *Machine) strike(now decide.Instant) {
-	if now.Sub(m.struck) > forgive {
-		m.strikes = 0
+func (m *Machine) recordFailure(now decide.Instant) {
+	// Counts a failure of the upstream's work; the count restarts after failureResetTime without one.
+	if now.Sub(m.lastFailure) > failureResetTime {
+		m.failures = 0
 	}
-	m.strikes++
-	m.struck = now
+	m.failures++
+	m.lastFailure = now
 }
 
-func (m *Machine) hold() time.Duration {
-	if m.state != Suspect || m.strikes == 0 || m.since.Sub(m.struck) > forgive {
+func (m *Machine) holdoff() time.Duration {
+	// The holdoff is 0 unless the upstream became suspect through a recent failure of its work.
+	if m.state != Suspect || m.failures == 0 || m.since.Sub(m.lastFailure) > failureResetTime {
 		return 0
 	}
-	return min(firstHold<<min(m.strikes-1, mostShift), longHold)
+	return min(minHoldoff<<min(m.failures-1, maxDoublings), maxHoldoff)
 }
 
-// Held tells whether the upstream is suspect because its work failed; it gets none until it is cleared.
-func (m *Machine) InHoldoff() bool { return m.hold() > 0 }
+// InHoldoff reports whether the upstream is suspect because its work failed. Its work is withheld until a report or
+// probe clears it.
+func (m *Machine) InHoldoff() bool { return m.holdoff() > 0 }
 
-// Slow tells whether a first byte that took took is far longer than expected: such a wait is the first
-// sign of an upstream that turned cold without a word.
-func IsSlowFirstByte(took, expected time.Duration) bool {
-	return took > max(slowFactor*expected, slowFloor)
+// IsSlowFirstByte reports whether a first byte that arrived after elapsed is far later than expected. That is the first
+// sign of an upstream that has turned cold unannounced.
+func IsSlowFirstByte(elapsed, expected time.Duration) bool {
+	return elapsed > max(slowFactor*expected, slowFloor)
 }
 
 const (
