--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -23,17 +23,17 @@
 	Incarnation string        // unique to this run of the process; part of tokens and write ids
 	CallTimeout time.Duration // of one store call; 0: DefaultCallTimeout
 	Now         func() decide.Instant
-	Wall        func() claim.Wall
+	Wall        func() claim.WallTime
 }
 
 // DefaultCallTimeout bounds a store call. A keyed request waits at most a read and a write.
 const DefaultCallTimeout = time.Second
 
 // Clocks gives the process's clocks for a Config.
-func Clocks() (now func() decide.Instant, wall func() claim.Wall) {
+func Clocks() (now func() decide.Instant, wall func() claim.WallTime) {
 	start := time.Now()
 	return func() decide.Instant { return decide.Instant(time.Since(start)) },
-		func() claim.Wall { return claim.Wall(time.Now().UnixMilli()) }
+		func() claim.WallTime { return claim.WallTime(time.Now().UnixMilli()) }
 }
 
 // Request is one keyed request.
@@ -84,8 +84,8 @@
 func (k *Keeper) Claim(ctx context.Context, r Request) (*Held, claim.Result) {
 	op := claim.Op{
 		Kind: claim.Claim, Key: claim.FullKey(r.Workspace, r.Key), Fingerprint: r.Fingerprint,
-		Token: claim.Token(fmt.Sprintf("%s.%d", k.cfg.Incarnation, k.tokens.Add(1))),
-		Until: k.cfg.Wall().Add(time.Until(r.Deadline)),
+		Token:    claim.Token(fmt.Sprintf("%s.%d", k.cfg.Incarnation, k.tokens.Add(1))),
+		Deadline: k.cfg.Wall().Add(time.Until(r.Deadline)),
 	}
 	res := k.claim(ctx, op, r.Deadline)
 	k.log.Debug("claim", "reason", res.Verdict.Reason(), "workspace", r.Workspace, "key", r.Key, "token", op.Token)
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -72,7 +72,7 @@
 	t.Helper()
 	now, wall := shell.Clocks()
 	limits := claim.DefaultLimits()
-	limits.Interval, limits.Linger, limits.Retry = time.Millisecond, 2*time.Millisecond, 5*time.Millisecond
+	limits.WriteInterval, limits.Linger, limits.RetryDelay = time.Millisecond, 2*time.Millisecond, 5*time.Millisecond
 	k := shell.New(store, shell.Config{
 		Limits: limits, Incarnation: name, CallTimeout: 50 * time.Millisecond, Now: now, Wall: wall,
 	}, hclog.NewNullLogger())
@@ -240,11 +240,11 @@
 	is := is.New(t)
 	store := memory.New()
 	limits := claim.DefaultLimits()
-	issued, _ := claim.Issued(timedKey)
+	issued, _ := claim.IssueTime(timedKey)
 	wall := issued
 	now, _ := shell.Clocks()
 	k := shell.New(store, shell.Config{
-		Limits: limits, Incarnation: "a", Now: now, Wall: func() claim.Wall { return wall },
+		Limits: limits, Incarnation: "a", Now: now, Wall: func() claim.WallTime { return wall },
 	}, hclog.NewNullLogger())
 	defer k.Close()
 	_, r := k.Claim(t.Context(), request(timedKey))
@@ -257,10 +257,10 @@
 		is.NoErr(err)
 		wall = wall.Add(-limits.MaxSkew) // an instance whose clock is behind
 		_, r = k.Claim(t.Context(), request(timedKey))
-		is.True(r.Verdict == claim.InProgress || r.Verdict == claim.Orphaned || r.Verdict == claim.Expired)
-		is.True(deleted == 0 || r.Verdict == claim.Expired)
+		is.True(r.Verdict == claim.InProgress || r.Verdict == claim.Orphaned || r.Verdict == claim.KeyExpired)
+		is.True(deleted == 0 || r.Verdict == claim.KeyExpired)
 	}
-	_, err := store.Get(t.Context(), objects.Key{Kind: claim.Kind, Name: name})
+	_, err := store.Get(t.Context(), objects.Key{Kind: claim.ObjectKind, Name: name})
 	is.Equal(err, objects.ErrNotFound) // it does go
 }
 
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -33,7 +33,7 @@
 
 func newShard(k *Keeper, name string) *shard {
 	return &shard{
-		keeper: k, key: objects.Key{Kind: claim.Kind, Name: name},
+		keeper: k, key: objects.Key{Kind: claim.ObjectKind, Name: name},
 		c: claim.NewCommitter(k.cfg.Limits), answers: map[claim.OpID]chan<- claim.Result{},
 	}
 }
@@ -52,18 +52,18 @@
 func (s *shard) giveUp(id claim.OpID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.carry(s.c.GiveUp(id, s.keeper.cfg.Now(), s.keeper.cfg.Wall()))
+	s.carry(s.c.Cancel(id, s.keeper.cfg.Now(), s.keeper.cfg.Wall()))
 }
 
 func (s *shard) waiting() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.c.Waiting()
+	return s.c.Pending()
 }
 
 // carry starts the effects; mu is held.
 func (s *shard) carry(e claim.Effects) {
-	for _, a := range e.Answers {
+	for _, a := range e.Responses {
 		if ch := s.answers[a.ID]; ch != nil {
 			ch <- a.Result
 			delete(s.answers, a.ID)
@@ -136,10 +136,10 @@
 	s.carry(s.c.OnWrite(written, version, s.keeper.cfg.Now(), s.keeper.cfg.Wall()))
 }
 
-func (s *shard) write(ctx context.Context, p claim.Put, writeID string) (uint64, claim.Written, error) {
+func (s *shard) write(ctx context.Context, p claim.Put, writeID string) (uint64, claim.WriteOutcome, error) {
 	value, err := json.Marshal(p.Shard)
 	if err != nil {
-		return 0, claim.WriteUnsent, fmt.Errorf("encode shard: %w", err)
+		return 0, claim.WriteNotSent, fmt.Errorf("encode shard: %w", err)
 	}
 	version, err := s.keeper.store.Put(ctx, objects.Write{
 		Key: s.key, IfVersion: p.IfVersion, WriteID: writeID, Value: value,
@@ -147,11 +147,11 @@
 	var conflict *objects.ConflictError
 	switch {
 	case err == nil:
-		return version, claim.WriteDone, nil
+		return version, claim.WriteApplied, nil
 	case errors.As(err, &conflict):
-		return 0, claim.WriteRefused, nil
+		return 0, claim.WriteConflict, nil
 	case errors.Is(err, objects.ErrUnavailable):
-		return 0, claim.WriteUnsent, err
+		return 0, claim.WriteNotSent, err
 	default:
 		return 0, claim.WriteUnknown, err
 	}
--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -22,7 +22,7 @@
 type Sweeper struct {
 	keeper *Keeper
 	own    func(shard string) bool // the caller's share, by rendezvous
-	swept  claim.Wall              // all that was dead then is done; 0: nothing yet
+	swept  claim.WallTime          // all that was dead then is done; 0: nothing yet
 }
 
 // NewSweeper gives a Sweeper of the shards for which own says yes.
@@ -39,11 +39,11 @@
 		span = time.Duration(wall-s.swept) * time.Millisecond
 	}
 	deleted := 0
-	for _, name := range s.keeper.cfg.Limits.Dead(wall, span) {
+	for _, name := range s.keeper.cfg.Limits.ExpiredShards(wall, span) {
 		if !s.own(name) {
 			continue
 		}
-		gone, err := s.drop(ctx, objects.Key{Kind: claim.Kind, Name: name})
+		gone, err := s.drop(ctx, objects.Key{Kind: claim.ObjectKind, Name: name})
 		if err != nil {
 			return deleted, err
 		}
--- a/internal/decide/claim/apply.go
+++ b/internal/decide/claim/apply.go
@@ -19,7 +19,7 @@
 // Apply gives the shard after op, whether it changed, and the verdict. The given shard is not changed.
 // The verdict holds once the shard that it came from is in the store: for Granted and Done after the
 // write took effect, for the others at the version that was read.
-func (l Limits) Apply(s Shard, op Op, now Wall) (Shard, bool, Result) {
+func (l Limits) Apply(s Shard, op Op, now WallTime) (Shard, bool, Result) {
 	switch op.Kind {
 	case Record:
 		return l.record(s, op, now)
@@ -30,40 +30,40 @@
 	}
 }
 
-func (l Limits) claim(s Shard, op Op, now Wall) (Shard, bool, Result) {
+func (l Limits) claim(s Shard, op Op, now WallTime) (Shard, bool, Result) {
 	if l.tooOld(op.Key, now) {
-		return s, false, Result{Verdict: Expired, Run: fault.RunUnknown}
+		return s, false, Result{Verdict: KeyExpired, Run: fault.RunUnknown}
 	}
 	at, found := s.find(op.Key)
 	if found {
 		return s, false, l.standing(s.Entries[at], op, now)
 	}
 	if t, buried := s.tombstone(op.Key); buried {
-		return s, false, Result{Verdict: Expired, Run: t.Run}
+		return s, false, Result{Verdict: KeyExpired, Run: t.Run}
 	}
 	if s.size()+entrySize+len(op.Key)+l.MaxBody > l.MaxShard {
-		return s, false, Result{Verdict: Full}
+		return s, false, Result{Verdict: ShardFull}
 	}
 	s.Entries = slices.Insert(slices.Clone(s.Entries), at, Entry{
-		Key: op.Key, Fingerprint: op.Fingerprint, Token: op.Token, At: now, Until: op.Until,
+		Key: op.Key, Fingerprint: op.Fingerprint, Token: op.Token, UpdatedAt: now, Deadline: op.Deadline,
 	})
 	return s, true, Result{Verdict: Granted}
 }
 
 // standing answers a claim on a key that is claimed already.
-func (l Limits) standing(e Entry, op Op, now Wall) Result {
+func (l Limits) standing(e Entry, op Op, now WallTime) Result {
 	switch {
 	case e.Token == op.Token && e.Outcome == nil:
 		// The write that claimed it took effect although its answer was lost.
 		return Result{Verdict: Granted}
 	case e.Fingerprint != op.Fingerprint:
-		return Result{Verdict: Reused}
+		return Result{Verdict: KeyReused}
 	case e.Outcome != nil:
 		return Result{Verdict: Replay, Outcome: *e.Outcome, Run: e.Outcome.Run}
-	case now > e.Until.Add(l.Grace+l.MaxSkew):
+	case now > e.Deadline.Add(l.Grace+l.MaxSkew):
 		return Result{Verdict: Orphaned, Run: fault.RunUnknown}
 	default:
-		return Result{Verdict: InProgress, Run: fault.RunUnknown, Wait: l.comeBack(e, now)}
+		return Result{Verdict: InProgress, Run: fault.RunUnknown, RetryAfter: l.comeBack(e, now)}
 	}
 }
 
@@ -73,24 +73,24 @@
 	maxComeBack = 30 * time.Second
 )
 
-func (l Limits) comeBack(e Entry, now Wall) time.Duration {
-	left := time.Duration(e.Until-now) * time.Millisecond
+func (l Limits) comeBack(e Entry, now WallTime) time.Duration {
+	left := time.Duration(e.Deadline-now) * time.Millisecond
 	return min(max(left, minComeBack), maxComeBack)
 }
 
 // record keeps an outcome. An entry that was pruned meanwhile is put back, since what ran must be known;
 // an entry of another attempt is never touched.
-func (l Limits) record(s Shard, op Op, now Wall) (Shard, bool, Result) {
+func (l Limits) record(s Shard, op Op, now WallTime) (Shard, bool, Result) {
 	outcome := op.Outcome
 	at, found := s.find(op.Key)
 	if found && (s.Entries[at].Token != op.Token || s.Entries[at].Outcome != nil) {
 		return s, false, Result{Verdict: Done}
 	}
 	if len(outcome.Body) > l.MaxBody || s.size()+entrySize+len(op.Key)+encoded(outcome.Body) > l.MaxShard {
-		outcome.Body, outcome.Dropped = nil, true
+		outcome.Body, outcome.BodyDropped = nil, true
 	}
 	entry := Entry{
-		Key: op.Key, Fingerprint: op.Fingerprint, Token: op.Token, At: now, Until: op.Until, Outcome: &outcome,
+		Key: op.Key, Fingerprint: op.Fingerprint, Token: op.Token, UpdatedAt: now, Deadline: op.Deadline, Outcome: &outcome,
 	}
 	s.Entries = slices.Clone(s.Entries)
 	if found {
@@ -114,21 +114,21 @@
 
 // Prune drops what is too old. An entry whose key carries a time may go once the key itself is refused
 // for its age by every instance; any other leaves a tombstone, which goes after Limits.Tombstone.
-func (l Limits) Prune(s Shard, now Wall) Shard {
+func (l Limits) Prune(s Shard, now WallTime) Shard {
 	oldest := now.Add(-l.Retention - 2*l.MaxSkew)
 	kept := make([]Entry, 0, len(s.Entries))
 	tombs := slices.Clone(s.Tombstones)
 	for _, e := range s.Entries {
-		if e.At >= oldest || e.Until >= oldest {
+		if e.UpdatedAt >= oldest || e.Deadline >= oldest {
 			kept = append(kept, e)
 			continue
 		}
-		if _, timed := Issued(idempotencyKey(e.Key)); timed {
+		if _, timed := IssueTime(idempotencyKey(e.Key)); timed {
 			continue
 		}
-		tombs = append(tombs, Tombstone{Hash: xxhash.Sum64String(e.Key), At: now, Run: e.run()})
+		tombs = append(tombs, Tombstone{Hash: xxhash.Sum64String(e.Key), PrunedAt: now, Run: e.run()})
 	}
-	tombs = slices.DeleteFunc(tombs, func(t Tombstone) bool { return t.At <= now.Add(-l.Tombstone) })
+	tombs = slices.DeleteFunc(tombs, func(t Tombstone) bool { return t.PrunedAt <= now.Add(-l.TombstoneRetention) })
 	slices.SortFunc(tombs, func(a, b Tombstone) int {
 		if a.Hash < b.Hash {
 			return -1
@@ -140,8 +140,8 @@
 
 // tooOld tells whether a key that carries a time is past the bound. A key from the future is refused
 // too: its entry could be pruned while the key still passes.
-func (l Limits) tooOld(key string, now Wall) bool {
-	issued, timed := Issued(idempotencyKey(key))
+func (l Limits) tooOld(key string, now WallTime) bool {
+	issued, timed := IssueTime(idempotencyKey(key))
 	return timed && (issued <= now.Add(-l.Retention) || issued > now.Add(l.MaxSkew))
 }
 
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -19,10 +19,10 @@
 // Wall is a wall-clock time in milliseconds since the Unix epoch. Claims outlive instances, so their
 // ages can't be measured by one instance's monotonic clock; wall clocks are assumed to agree within
 // Limits.MaxSkew.
-type Wall int64
+type WallTime int64
 
 // Add gives the time d later.
-func (w Wall) Add(d time.Duration) Wall { return w + Wall(d.Milliseconds()) }
+func (w WallTime) Add(d time.Duration) WallTime { return w + WallTime(d.Milliseconds()) }
 
 // Token names one attempt to claim a key: no two attempts share one, so a claim found in the store is
 // known to be one's own when its token is.
@@ -35,7 +35,7 @@
 	Fault       string    `json:"fault,omitempty"` // kind of the failure that the caller got; Body is its detail
 	ContentType string    `json:"content_type,omitempty"`
 	Body        []byte    `json:"body,omitempty"`
-	Dropped     bool      `json:"dropped,omitempty"` // the body was too large to keep
+	BodyDropped bool      `json:"dropped,omitempty"` // the body was too large to keep
 }
 
 // Entry is one claimed key. Without an Outcome the request may be running, or its holder has died; it is
@@ -44,16 +44,16 @@
 	Key         string   `json:"key"` // workspace/idempotency key
 	Fingerprint string   `json:"fingerprint"`
 	Token       Token    `json:"token"`
-	At          Wall     `json:"at"`    // claimed, or outcome recorded
-	Until       Wall     `json:"until"` // the request's deadline
+	UpdatedAt   WallTime `json:"at"`    // claimed, or outcome recorded
+	Deadline    WallTime `json:"until"` // the request's deadline
 	Outcome     *Outcome `json:"outcome,omitempty"`
 }
 
 // Tombstone is what stays of a pruned entry whose key carries no time: enough to refuse a late repeat.
 type Tombstone struct {
-	Hash uint64    `json:"h"`
-	At   Wall      `json:"t"` // when the entry was pruned
-	Run  fault.Run `json:"r"`
+	Hash     uint64    `json:"h"`
+	PrunedAt WallTime  `json:"t"` // when the entry was pruned
+	Run      fault.Run `json:"r"`
 }
 
 // Shard is the value of one shard object.
@@ -64,31 +64,31 @@
 
 // Limits bound a shard and the times of its entries.
 type Limits struct {
-	Retention time.Duration // how long an outcome is kept, and how old a key with a time may be
-	Tombstone time.Duration // how long a pruned key without a time is still refused
-	MaxSkew   time.Duration // assumed bound of wall-clock differences between instances
-	Grace     time.Duration // after an entry's deadline, until its holder counts as dead
-	MaxBody   int           // bytes of an answer that are kept
-	MaxShard  int           // estimated bytes of a shard's value; below the store's megabyte
-	Interval  time.Duration // least time between two writes of a shard by one instance
-	Linger    time.Duration // how long an outcome waits for other changes to share its write
-	Retry     time.Duration // pause before outcomes are written again while the store is down
-	MaxQueue  int           // operations waiting for one shard on one instance
+	Retention          time.Duration // how long an outcome is kept, and how old a key with a time may be
+	TombstoneRetention time.Duration // how long a pruned key without a time is still refused
+	MaxSkew            time.Duration // assumed bound of wall-clock differences between instances
+	Grace              time.Duration // after an entry's deadline, until its holder counts as dead
+	MaxBody            int           // bytes of an answer that are kept
+	MaxShard           int           // estimated bytes of a shard's value; below the store's megabyte
+	WriteInterval      time.Duration // least time between two writes of a shard by one instance
+	Linger             time.Duration // how long an outcome waits for other changes to share its write
+	RetryDelay         time.Duration // pause before outcomes are written again while the store is down
+	MaxQueue           int           // operations waiting for one shard on one instance
 }
 
 // DefaultLimits are those of the daemon.
 func DefaultLimits() Limits {
 	return Limits{
-		Retention: 24 * time.Hour,
-		Tombstone: 30 * 24 * time.Hour,
-		MaxSkew:   5 * time.Minute,
-		Grace:     10 * time.Second,
-		MaxBody:   16 << 10,
-		MaxShard:  900 << 10,
-		Interval:  20 * time.Millisecond,
-		Linger:    100 * time.Millisecond,
-		Retry:     500 * time.Millisecond,
-		MaxQueue:  4096,
+		Retention:          24 * time.Hour,
+		TombstoneRetention: 30 * 24 * time.Hour,
+		MaxSkew:            5 * time.Minute,
+		Grace:              10 * time.Second,
+		MaxBody:            16 << 10,
+		MaxShard:           900 << 10,
+		WriteInterval:      20 * time.Millisecond,
+		Linger:             100 * time.Millisecond,
+		RetryDelay:         500 * time.Millisecond,
+		MaxQueue:           4096,
 	}
 }
 
@@ -108,7 +108,7 @@
 	Key         string
 	Fingerprint string
 	Token       Token
-	Until       Wall
+	Deadline    WallTime
 	Outcome     Outcome // of Record
 }
 
@@ -121,9 +121,9 @@
 	Replay              // the key ran: its outcome is returned unchanged
 	InProgress          // another attempt holds the claim and its time is not over
 	Orphaned            // the holder's time is over without an outcome: unknown, never run again
-	Reused              // the key stands for another request
-	Expired             // the key is too old: its outcome is no longer kept
-	Full                // the shard has no room: nothing was claimed
+	KeyReused           // the key stands for another request
+	KeyExpired          // the key is too old: its outcome is no longer kept
+	ShardFull           // the shard has no room: nothing was claimed
 	Unavailable         // the store could not be reached: nothing will be dispatched
 	Done                // Record or Withdraw took effect
 )
@@ -139,10 +139,10 @@
 
 // Result is a verdict with what it needs.
 type Result struct {
-	Verdict Verdict
-	Outcome Outcome       // of Replay
-	Run     fault.Run     // what is known of earlier runs of the key
-	Wait    time.Duration // when to come back; 0: the kind's default
+	Verdict    Verdict
+	Outcome    Outcome       // of Replay
+	Run        fault.Run     // what is known of earlier runs of the key
+	RetryAfter time.Duration // when to come back; 0: the kind's default
 }
 
 // Fault gives the refusal for a claim that was neither granted nor replayed, else nil.
@@ -151,23 +151,23 @@
 	case Granted, Done:
 		return nil
 	case Replay:
-		if !r.Outcome.Dropped {
+		if !r.Outcome.BodyDropped {
 			return nil
 		}
 		return fault.Ran(fault.UpstreamFailed, r.Outcome.Run,
 			"the request ran before with status %d; its answer was too large to keep", r.Outcome.Status)
 	case InProgress:
 		e := fault.Ran(fault.InProgress, fault.RunUnknown, "another attempt with this idempotency key is running")
-		e.RetryAfter = r.Wait
+		e.RetryAfter = r.RetryAfter
 		return e
 	case Orphaned:
 		return fault.Ran(fault.UpstreamFailed, fault.RunUnknown,
 			"an earlier attempt with this idempotency key ended without a recorded outcome; it is never run again")
-	case Reused:
+	case KeyReused:
 		return fault.New(fault.KeyReused, "the idempotency key stands for another request")
-	case Expired:
+	case KeyExpired:
 		return fault.Ran(fault.KeyExpired, r.Run, "the idempotency key is older than outcomes are kept; use a new key only if it may run again")
-	case Full:
+	case ShardFull:
 		return fault.New(fault.StoreUnavailable, "no room for another idempotency key")
 	default:
 		return fault.New(fault.StoreUnavailable, "the idempotency key could not be claimed")
@@ -178,11 +178,11 @@
 const uuidV7 = 7
 
 // Issued gives the time that a key carries in itself, if it does: version 7 UUIDs do.
-func Issued(idempotencyKey string) (Wall, bool) {
+func IssueTime(idempotencyKey string) (WallTime, bool) {
 	id, err := uuid.Parse(idempotencyKey)
 	if err != nil || id.Version() != uuidV7 {
 		return 0, false
 	}
 	sec, nsec := id.Time().UnixTime()
-	return Wall(sec*1000 + nsec/int64(time.Millisecond)), true
+	return WallTime(sec*1000 + nsec/int64(time.Millisecond)), true
 }
--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -11,14 +11,14 @@
 	"github.com/damaskshelf/damaskshelf/internal/fault"
 )
 
-const now = claim.Wall(1_800_000_000_000)
+const now = claim.WallTime(1_800_000_000_000)
 
 // at gives the decision's instant d after the start.
 func at(d time.Duration) decide.Instant { return decide.Instant(d) }
 
 func op(kind claim.OpKind, token claim.Token) claim.Op {
 	return claim.Op{
-		Kind: kind, Key: claim.FullKey("ice", "k1"), Fingerprint: "f", Token: token, Until: now.Add(time.Minute),
+		Kind: kind, Key: claim.FullKey("ice", "k1"), Fingerprint: "f", Token: token, Deadline: now.Add(time.Minute),
 		Outcome: claim.Outcome{Run: fault.RunYes, Status: 201, Body: []byte(`{"booking":7}`)},
 	}
 }
@@ -48,13 +48,13 @@
 		{"repeat while it runs", []claim.Op{op(claim.Claim, "t1")}, op(claim.Claim, "t2"), 0, claim.InProgress, fault.RunUnknown},
 		{"own claim whose answer was lost", []claim.Op{op(claim.Claim, "t1")}, op(claim.Claim, "t1"), 0, claim.Granted, fault.RunNo},
 		{"repeat after the outcome", []claim.Op{op(claim.Claim, "t1"), op(claim.Record, "t1")}, op(claim.Claim, "t2"), 0, claim.Replay, fault.RunYes},
-		{"another request", []claim.Op{op(claim.Claim, "t1"), op(claim.Record, "t1")}, other, 0, claim.Reused, fault.RunNo},
+		{"another request", []claim.Op{op(claim.Claim, "t1"), op(claim.Record, "t1")}, other, 0, claim.KeyReused, fault.RunNo},
 		{"holder died", []claim.Op{op(claim.Claim, "t1")}, op(claim.Claim, "t2"), time.Hour, claim.Orphaned, fault.RunUnknown},
 		{"withdrawn", []claim.Op{op(claim.Claim, "t1"), op(claim.Withdraw, "t1")}, op(claim.Claim, "t2"), 0, claim.Granted, fault.RunNo},
 		{"withdrawal of another attempt", []claim.Op{op(claim.Claim, "t1"), op(claim.Withdraw, "t0")}, op(claim.Claim, "t2"), 0, claim.InProgress, fault.RunUnknown},
 		{"withdrawal after the outcome", []claim.Op{op(claim.Claim, "t1"), op(claim.Record, "t1"), op(claim.Withdraw, "t1")}, op(claim.Claim, "t2"), 0, claim.Replay, fault.RunYes},
-		{"pruned after its outcome", []claim.Op{op(claim.Claim, "t1"), op(claim.Record, "t1")}, op(claim.Claim, "t2"), early + time.Hour, claim.Expired, fault.RunYes},
-		{"pruned without an outcome", []claim.Op{op(claim.Claim, "t1")}, op(claim.Claim, "t2"), early + time.Hour, claim.Expired, fault.RunUnknown},
+		{"pruned after its outcome", []claim.Op{op(claim.Claim, "t1"), op(claim.Record, "t1")}, op(claim.Claim, "t2"), early + time.Hour, claim.KeyExpired, fault.RunYes},
+		{"pruned without an outcome", []claim.Op{op(claim.Claim, "t1")}, op(claim.Claim, "t2"), early + time.Hour, claim.KeyExpired, fault.RunUnknown},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 				is.Equal(r.Run, row.run)
 			}
 			if f := r.Fault(); f != nil && f.Run == fault.RunNo {
-				is.Equal(r.Verdict, claim.Reused) // only a request that was never dispatched is "not run"
+				is.Equal(r.Verdict, claim.KeyReused) // only a request that was never dispatched is "not run"
 			}
 		})
 	}
@@ -80,24 +80,24 @@
 	is := is.New(t)
 	l := claim.DefaultLimits()
 	key := timedKey
-	issued, timed := claim.Issued(key)
+	issued, timed := claim.IssueTime(key)
 	is.True(timed)
 	first := op(claim.Claim, "t1")
-	first.Key, first.Until = claim.FullKey("ice", key), issued.Add(time.Minute)
+	first.Key, first.Deadline = claim.FullKey("ice", key), issued.Add(time.Minute)
 	// The claimer's clock is behind by the whole skew: its entry looks as old as it can.
 	s, changed, _ := l.Apply(claim.Shard{}, first, issued.Add(-l.MaxSkew))
 	is.True(changed)
 	second := first
 	second.Token = "t2"
 	for age := time.Duration(0); age < 2*l.Retention; age += time.Minute {
-		pruned := l.Prune(s, issued.Add(age+l.MaxSkew))            // by the clock that is ahead
-		_, _, r := l.Apply(pruned, second, issued.Add(age))        // by the one that is behind
-		is.True(r.Verdict != claim.Granted)                        // the repeat is never granted
-		is.True(r.Fault() == nil || r.Fault().Run != fault.RunNo)  // nor called "not run"
-		is.True(age < l.Retention || r.Verdict == claim.Expired)   // it is refused for its age
-		is.True(len(pruned.Entries) == 1 || age >= l.Retention)    // and kept until then
-		is.True(age < l.Retention*3/2 || len(pruned.Entries) == 0) // the entry does go
-		is.True(len(pruned.Tombstones) == 0)                       // and leaves nothing behind
+		pruned := l.Prune(s, issued.Add(age+l.MaxSkew))             // by the clock that is ahead
+		_, _, r := l.Apply(pruned, second, issued.Add(age))         // by the one that is behind
+		is.True(r.Verdict != claim.Granted)                         // the repeat is never granted
+		is.True(r.Fault() == nil || r.Fault().Run != fault.RunNo)   // nor called "not run"
+		is.True(age < l.Retention || r.Verdict == claim.KeyExpired) // it is refused for its age
+		is.True(len(pruned.Entries) == 1 || age >= l.Retention)     // and kept until then
+		is.True(age < l.Retention*3/2 || len(pruned.Entries) == 0)  // the entry does go
+		is.True(len(pruned.Tombstones) == 0)                        // and leaves nothing behind
 	}
 }
 
@@ -112,7 +112,7 @@
 		o := op(claim.Claim, claim.Token(rune('a'+i)))
 		o.Key = claim.FullKey("ice", string(rune(1000+i)))
 		next, _, r := l.Apply(s, o, now)
-		if r.Verdict == claim.Full {
+		if r.Verdict == claim.ShardFull {
 			full++
 			is.Equal(r.Fault().Run, fault.RunNo)
 			continue
@@ -138,17 +138,17 @@
 func TestLossesBetweenClaimAndDispatch(t *testing.T) {
 	rows := []struct {
 		name     string
-		written  claim.Written
+		written  claim.WriteOutcome
 		landed   bool // the write took effect
 		readBack bool // the store answers the read that settles it
 		verdict  claim.Verdict
 	}{
-		{"answer arrives", claim.WriteDone, true, true, claim.Granted},
+		{"answer arrives", claim.WriteApplied, true, true, claim.Granted},
 		{"answer lost after effect", claim.WriteUnknown, true, true, claim.Granted},
 		{"write lost", claim.WriteUnknown, false, true, claim.Granted}, // written again
 		{"answer lost, then the store", claim.WriteUnknown, true, false, claim.Unavailable},
-		{"store down", claim.WriteUnsent, false, false, claim.Unavailable},
-		{"conflict", claim.WriteRefused, false, true, claim.Granted},
+		{"store down", claim.WriteNotSent, false, false, claim.Unavailable},
+		{"conflict", claim.WriteConflict, false, true, claim.Granted},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -158,18 +158,18 @@
 			is.True(e.Read)
 			e = c.OnRead(claim.Shard{}, 0, true, at(1), now)
 			is.True(e.Put != nil)
-			is.Equal(len(e.Answers), 0) // nothing is granted before the write is known to have taken effect
+			is.Equal(len(e.Responses), 0) // nothing is granted before the write is known to have taken effect
 			stored, version := claim.Shard{}, uint64(1)
 			if row.landed {
 				stored, version = e.Put.Shard, 2
 			}
 			e = c.OnWrite(row.written, 2, at(2), now)
-			answers := e.Answers
+			answers := e.Responses
 			for step := time.Second; len(answers) == 0; step += time.Second {
 				e = next(c, e, stored, version, row.readBack, at(step))
-				answers = e.Answers
+				answers = e.Responses
 			}
-			is.Equal(answers, []claim.Answer{{ID: id, Result: claim.Result{Verdict: row.verdict}}})
+			is.Equal(answers, []claim.Response{{ID: id, Result: claim.Result{Verdict: row.verdict}}})
 		})
 	}
 }
@@ -180,7 +180,7 @@
 	case e.Read:
 		return c.OnRead(s, version, up, t, now)
 	case e.Put != nil:
-		return c.OnWrite(claim.WriteDone, version+1, t, now)
+		return c.OnWrite(claim.WriteApplied, version+1, t, now)
 	default:
 		return c.Tick(t, now)
 	}
@@ -193,12 +193,12 @@
 	_, e := c.Submit(op(claim.Claim, "t1"), at(0), now)
 	is.True(e.Read)
 	e = c.OnRead(claim.Shard{}, 0, false, at(time.Millisecond), now)
-	is.Equal(e.Answers[0].Result.Verdict, claim.Unavailable)
-	f := e.Answers[0].Result.Fault()
+	is.Equal(e.Responses[0].Result.Verdict, claim.Unavailable)
+	f := e.Responses[0].Result.Fault()
 	is.Equal(f.Run, fault.RunNo)
 	is.True(f.Wait() > 0)
 	_, e = c.Submit(op(claim.Claim, "t2"), at(2*time.Millisecond), now)
-	is.Equal(e.Answers[0].Result.Verdict, claim.Unavailable)
+	is.Equal(e.Responses[0].Result.Verdict, claim.Unavailable)
 	is.True(!e.Read)
 	_, e = c.Submit(op(claim.Claim, "t3"), at(time.Second), now)
 	is.True(e.Read)
@@ -213,8 +213,8 @@
 	id, _ := c.Submit(op(claim.Claim, "t1"), at(0), now)
 	e := c.OnRead(claim.Shard{}, 7, true, at(1), now)
 	late := *e.Put
-	e = c.GiveUp(id, at(2), now)
-	is.Equal(e.Answers[0].Result.Verdict, claim.Unavailable)
+	e = c.Cancel(id, at(2), now)
+	is.Equal(e.Responses[0].Result.Verdict, claim.Unavailable)
 	e = c.OnWrite(claim.WriteUnknown, 0, at(3), now)
 	e = c.Tick(e.Wake, now)
 	is.True(e.Read)
@@ -222,6 +222,6 @@
 	is.True(e.Put != nil)                     // a write although the claim is not there
 	is.Equal(e.Put.IfVersion, late.IfVersion) // of which only one can take effect
 	is.Equal(len(e.Put.Shard.Entries), 0)
-	c.OnWrite(claim.WriteDone, 8, at(2*time.Second), now)
+	c.OnWrite(claim.WriteApplied, 8, at(2*time.Second), now)
 	is.True(c.Idle())
 }
--- a/internal/decide/claim/commit.go
+++ b/internal/decide/claim/commit.go
@@ -16,7 +16,7 @@
 }
 
 // Answer resolves an operation.
-type Answer struct {
+type Response struct {
 	ID     OpID
 	Result Result
 }
@@ -24,21 +24,21 @@
 // Effects are what the shell has to do, in the fields' order. At most one of Read and Put is asked for,
 // and none while an earlier one is not answered.
 type Effects struct {
-	Answers []Answer
-	Read    bool
-	Put     *Put
-	Wake    decide.Instant // call Tick then; 0: no need
+	Responses []Response
+	Read      bool
+	Put       *Put
+	Wake      decide.Instant // call Tick then; 0: no need
 }
 
 // Written is the outcome of a Put.
-type Written uint8
+type WriteOutcome uint8
 
 // The outcomes of a Put.
 const (
-	WriteDone    Written = iota
-	WriteRefused         // conflict: no effect
-	WriteUnsent          // the store is down: no effect
-	WriteUnknown         // the answer was lost: it took effect, or it may yet
+	WriteApplied  WriteOutcome = iota
+	WriteConflict              // conflict: no effect
+	WriteNotSent               // the store is down: no effect
+	WriteUnknown               // the answer was lost: it took effect, or it may yet
 )
 
 // Committer commits operations on one shard together: those that come while a write is under way share
@@ -70,36 +70,36 @@
 
 // NewCommitter gives a Committer that has not read its shard yet.
 func NewCommitter(l Limits) *Committer {
-	return &Committer{limits: l, lastPut: decide.Instant(-l.Interval)}
+	return &Committer{limits: l, lastPut: decide.Instant(-l.WriteInterval)}
 }
 
 // Submit queues an operation. Its answer comes in these or later Effects, under the returned id.
-func (c *Committer) Submit(op Op, now decide.Instant, wall Wall) (OpID, Effects) {
+func (c *Committer) Submit(op Op, now decide.Instant, wall WallTime) (OpID, Effects) {
 	c.nextID++
 	id := c.nextID
 	// While the store is known to be down, claims are refused without waiting for it to fail again; the
 	// first one after retryAt tries it.
 	down := op.Kind == Claim && now < c.retryAt
 	if down || len(c.queue) >= c.limits.MaxQueue {
-		return id, Effects{Answers: []Answer{{ID: id, Result: Result{Verdict: Unavailable}}}}
+		return id, Effects{Responses: []Response{{ID: id, Result: Result{Verdict: Unavailable}}}}
 	}
 	c.queue = append(c.queue, pending{id: id, op: op, at: now})
 	return id, c.step(Effects{}, now, wall)
 }
 
 // Tick lets time pass.
-func (c *Committer) Tick(now decide.Instant, wall Wall) Effects {
+func (c *Committer) Tick(now decide.Instant, wall WallTime) Effects {
 	return c.step(Effects{}, now, wall)
 }
 
 // GiveUp ends the wait for a claim whose request has no time left. Its request is not dispatched, and the
 // claim is withdrawn in case that its write takes effect after all.
-func (c *Committer) GiveUp(id OpID, now decide.Instant, wall Wall) Effects {
+func (c *Committer) Cancel(id OpID, now decide.Instant, wall WallTime) Effects {
 	var e Effects
 	c.abandon(&e, now, func(p pending) bool { return p.id == id })
 	for i, p := range c.flight {
 		if p.id == id && !p.own && p.op.Kind == Claim {
-			e.Answers = append(e.Answers, Answer{ID: id, Result: Result{Verdict: Unavailable}})
+			e.Responses = append(e.Responses, Response{ID: id, Result: Result{Verdict: Unavailable}})
 			c.flight[i].own = true
 			c.withdraw(p.op, now)
 		}
@@ -108,7 +108,7 @@
 }
 
 // OnRead takes the answer to a Read: the shard and its version (0: absent), or ok false.
-func (c *Committer) OnRead(s Shard, version uint64, ok bool, now decide.Instant, wall Wall) Effects {
+func (c *Committer) OnRead(s Shard, version uint64, ok bool, now decide.Instant, wall WallTime) Effects {
 	c.reading = false
 	var e Effects
 	if !ok {
@@ -120,11 +120,11 @@
 }
 
 // OnWrite takes the outcome of the Put; version is the new one after WriteDone.
-func (c *Committer) OnWrite(w Written, version uint64, now decide.Instant, wall Wall) Effects {
+func (c *Committer) OnWrite(w WriteOutcome, version uint64, now decide.Instant, wall WallTime) Effects {
 	var e Effects
 	flight := c.flight
 	c.flight = nil
-	if w == WriteDone {
+	if w == WriteApplied {
 		// Its condition held, so the copy that it was made from was the store's when it was sent.
 		c.version, c.readAt, c.retryAt = version, c.lastPut, 0
 		for _, p := range flight {
@@ -137,7 +137,7 @@
 	// whether the write took effect. Claims that were given up are left to their withdrawal.
 	flight = slices.DeleteFunc(flight, func(p pending) bool { return p.own && p.op.Kind == Claim })
 	c.queue = append(flight, c.queue...)
-	if w == WriteUnsent {
+	if w == WriteNotSent {
 		c.storeDown(&e, now)
 	}
 	return c.step(e, now, wall)
@@ -154,7 +154,7 @@
 // withdrawals wait for the store.
 func (c *Committer) storeDown(e *Effects, now decide.Instant) {
 	c.loaded = false
-	c.retryAt = now.Add(c.limits.Retry)
+	c.retryAt = now.Add(c.limits.RetryDelay)
 	c.abandon(e, now, func(pending) bool { return true })
 }
 
@@ -183,12 +183,12 @@
 
 func (c *Committer) answer(e *Effects, p pending, r Result) {
 	if !p.own {
-		e.Answers = append(e.Answers, Answer{ID: p.id, Result: r})
+		e.Responses = append(e.Responses, Response{ID: p.id, Result: r})
 	}
 }
 
 // step starts the next read or write when one is due.
-func (c *Committer) step(e Effects, now decide.Instant, wall Wall) Effects {
+func (c *Committer) step(e Effects, now decide.Instant, wall WallTime) Effects {
 	if c.reading || len(c.flight) > 0 || len(c.queue) == 0 {
 		return e
 	}
@@ -205,7 +205,7 @@
 // due is when the next read or write may go: with a claim at once, else after a linger in which a claim
 // may come to share the write.
 func (c *Committer) due() decide.Instant {
-	soonest := c.lastPut.Add(c.limits.Interval)
+	soonest := c.lastPut.Add(c.limits.WriteInterval)
 	if slices.ContainsFunc(c.queue, func(p pending) bool { return p.op.Kind == Claim }) {
 		return soonest
 	}
@@ -220,7 +220,7 @@
 
 // apply works the queue on the known shard. What needs no write is answered if the shard was read since
 // it was submitted; from an older copy only a recorded outcome is, since that never changes.
-func (c *Committer) apply(e Effects, now decide.Instant, wall Wall) Effects {
+func (c *Committer) apply(e Effects, now decide.Instant, wall WallTime) Effects {
 	next := c.limits.Prune(c.shard, wall)
 	var writes, stale []pending
 	for _, p := range c.queue {
@@ -254,4 +254,4 @@
 }
 
 // Waiting is the number of operations that are not committed.
-func (c *Committer) Waiting() int { return len(c.queue) + len(c.flight) }
+func (c *Committer) Pending() int { return len(c.queue) + len(c.flight) }
--- a/internal/decide/claim/interleave_test.go
+++ b/internal/decide/claim/interleave_test.go
@@ -59,7 +59,7 @@
 	return &entry{c: claim.NewCommitter(w.limits), asked: map[claim.OpID]claim.Op{}}
 }
 
-func (w *world) wall() claim.Wall { return now + claim.Wall(w.now/1e6) }
+func (w *world) wall() claim.WallTime { return now + claim.WallTime(w.now/1e6) }
 
 func (w *world) pick() *entry {
 	return w.entries[rapid.IntRange(0, len(w.entries)-1).Draw(w.t, "entry")]
@@ -71,7 +71,7 @@
 		e.effects = effects
 	}
 	life := e.c
-	for _, a := range effects.Answers {
+	for _, a := range effects.Responses {
 		if e.c == life { // a dead entry takes no answers
 			w.answered(e, e.asked[a.ID], a.Result)
 		}
@@ -151,7 +151,7 @@
 	key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(w.t, "key")
 	w.submit(w.pick(), claim.Op{
 		Kind: claim.Claim, Key: claim.FullKey("ws", key), Fingerprint: key,
-		Token: claim.Token(fmt.Sprint("t", w.tokens)), Until: w.wall().Add(5 * time.Second),
+		Token: claim.Token(fmt.Sprint("t", w.tokens)), Deadline: w.wall().Add(5 * time.Second),
 	})
 }
 
@@ -169,10 +169,10 @@
 	}
 }
 
-func (w *world) write(p claim.Put, lost string) claim.Written {
+func (w *world) write(p claim.Put, lost string) claim.WriteOutcome {
 	switch lost {
 	case "down":
-		return claim.WriteUnsent
+		return claim.WriteNotSent
 	case "request":
 		return claim.WriteUnknown
 	case "late":
@@ -184,9 +184,9 @@
 	case lost == "answer":
 		return claim.WriteUnknown
 	case done:
-		return claim.WriteDone
+		return claim.WriteApplied
 	default:
-		return claim.WriteRefused
+		return claim.WriteConflict
 	}
 }
 
@@ -204,7 +204,7 @@
 	e := w.pick()
 	for id := claim.OpID(1); int(id) <= len(e.asked); id++ {
 		if e.asked[id].Kind == claim.Claim && rapid.Bool().Draw(w.t, "give up") {
-			w.take(e, e.c.GiveUp(id, w.now, w.wall()))
+			w.take(e, e.c.Cancel(id, w.now, w.wall()))
 			return
 		}
 	}
@@ -252,11 +252,11 @@
 			entries, puts = append(entries, c), append(puts, c.OnRead(stored, version, true, 1, now).Put)
 		}
 		for i, c := range entries {
-			written := claim.WriteRefused
+			written := claim.WriteConflict
 			if puts[i].IfVersion == version || !guard {
-				version, written = version+1, claim.WriteDone
+				version, written = version+1, claim.WriteApplied
 			}
-			for _, a := range c.OnWrite(written, version, 2, now).Answers {
+			for _, a := range c.OnWrite(written, version, 2, now).Responses {
 				if a.Result.Verdict == claim.Granted {
 					granted++
 				}
--- a/internal/decide/claim/slope_test.go
+++ b/internal/decide/claim/slope_test.go
@@ -81,7 +81,7 @@
 		if b.load.owner {
 			entry = shard % b.load.entries
 		}
-		b.submit(entry, shard, claim.Op{Kind: claim.Claim, Key: key, Token: claim.Token(key), Until: now.Add(time.Minute)})
+		b.submit(entry, shard, claim.Op{Kind: claim.Claim, Key: key, Token: claim.Token(key), Deadline: now.Add(time.Minute)})
 		b.arrive(n + 1)
 	})
 }
@@ -90,7 +90,7 @@
 	n := b.nodes[entry][shard]
 	if n == nil {
 		limits := claim.DefaultLimits()
-		limits.Interval = b.load.interval
+		limits.WriteInterval = b.load.interval
 		n = &node{
 			c:     claim.NewCommitter(limits),
 			began: map[claim.OpID]decide.Instant{}, ops: map[claim.OpID]claim.Op{},
@@ -103,7 +103,7 @@
 }
 
 func (b *bench) carry(entry, shard int, n *node, e claim.Effects) {
-	for _, a := range e.Answers {
+	for _, a := range e.Responses {
 		op := n.ops[a.ID]
 		if op.Kind != claim.Claim {
 			continue
@@ -128,9 +128,9 @@
 }
 
 func (b *bench) put(entry, shard int, n *node, p claim.Put) {
-	written := claim.WriteRefused
+	written := claim.WriteConflict
 	if p.IfVersion == b.version[shard] {
-		b.stored[shard], written = p.Shard, claim.WriteDone
+		b.stored[shard], written = p.Shard, claim.WriteApplied
 		b.version[shard]++
 	} else {
 		b.sum.conflicts++
--- a/internal/decide/drain/drain.go
+++ b/internal/decide/drain/drain.go
@@ -18,24 +18,24 @@
 
 // Reasons of a judgement.
 const (
-	Returns decide.Reason = "returns"        // upstreams come back, nothing is lost
-	Carries decide.Reason = "rest_carries"   // the rest carries the load of this moment
-	Refuses decide.Reason = "rest_refuses"   // the rest would refuse a part of it
-	Unknown decide.Reason = "load_not_known" // no figure of the load was at hand
-	Dead    decide.Reason = "nothing_left"   // a model or plain service has no upstream left
-	Forced  decide.Reason = "forced_dead"    // the same, accepted by the operator
+	Restored          decide.Reason = "returns"        // upstreams come back, nothing is lost
+	LoadFits          decide.Reason = "rest_carries"   // the rest carries the load of this moment
+	Overload          decide.Reason = "rest_refuses"   // the rest would refuse a part of it
+	LoadUnknown       decide.Reason = "load_not_known" // no figure of the load was at hand
+	NothingLeft       decide.Reason = "nothing_left"   // a model or plain service has no upstream left
+	ForcedNothingLeft decide.Reason = "forced_dead"    // the same, accepted by the operator
 )
 
 // Reasons lists every reason that Assess returns.
-var Reasons = []decide.Reason{Returns, Carries, Refuses, Unknown, Dead, Forced}
+var Reasons = []decide.Reason{Restored, LoadFits, Overload, LoadUnknown, NothingLeft, ForcedNothingLeft}
 
 // Group is the upstreams of one model or plain service that take new work.
 type Group struct {
-	Kind   string // "model" or "service", as shown
-	Name   string
-	Before int
-	After  int
-	Busy   float64 // share of Before's capacity that is in use; below zero: not known
+	Kind            string // "model" or "service", as shown
+	Name            string
+	UpstreamsBefore int
+	UpstreamsAfter  int
+	Utilization     float64 // share of Before's capacity that is in use; below zero: not known
 	// Memory in tokens of KV cache; 0 for plain services.
 	MemoryBefore int64
 	MemoryAfter  int64
@@ -43,10 +43,10 @@
 
 // Input is one failure domain's change.
 type Input struct {
-	Domain string
-	Back   bool // brought back, not taken out
-	Groups []Group
-	Force  bool
+	Domain  string
+	Restore bool // brought back, not taken out
+	Groups  []Group
+	Force   bool
 }
 
 // Result is the judgement, in words where it is shown.
@@ -54,7 +54,7 @@
 	Reason   decide.Reason
 	Rejected string // why; empty where the change is allowed
 	Summary  []string
-	Hurt     []string
+	Impact   []string
 }
 
 // Assess judges. It gives the same result for groups in any order.
@@ -66,67 +66,67 @@
 		}
 		return strings.Compare(a.Name, b.Name)
 	})
-	if in.Back {
+	if in.Restore {
 		return returns(in.Domain, groups)
 	}
 	return leaves(in, groups)
 }
 
 func returns(domain string, groups []Group) Result {
-	r := Result{Reason: Returns}
+	r := Result{Reason: Restored}
 	r.Summary = append(r.Summary, fmt.Sprintf("failure domain %s comes back; its upstreams count as cold, load returns little by little", domain))
 	for _, g := range groups {
-		if g.After > g.Before {
-			r.Summary = append(r.Summary, fmt.Sprintf("%s %s: %d upstreams become %d", g.Kind, g.Name, g.Before, g.After))
+		if g.UpstreamsAfter > g.UpstreamsBefore {
+			r.Summary = append(r.Summary, fmt.Sprintf("%s %s: %d upstreams become %d", g.Kind, g.Name, g.UpstreamsBefore, g.UpstreamsAfter))
 		}
 	}
 	return r
 }
 
 func leaves(in Input, groups []Group) Result {
-	r := Result{Reason: Carries}
+	r := Result{Reason: LoadFits}
 	r.Summary = append(r.Summary, fmt.Sprintf("failure domain %s is taken out: new work stops there, requests in flight go on", in.Domain))
 	var dead []string
 	for _, g := range groups {
-		if g.After >= g.Before {
+		if g.UpstreamsAfter >= g.UpstreamsBefore {
 			continue
 		}
-		r.Summary = append(r.Summary, fmt.Sprintf("%s %s: %d of %d upstreams are lost", g.Kind, g.Name, g.Before-g.After, g.Before))
+		r.Summary = append(r.Summary, fmt.Sprintf("%s %s: %d of %d upstreams are lost", g.Kind, g.Name, g.UpstreamsBefore-g.UpstreamsAfter, g.UpstreamsBefore))
 		line, reason := judge(g)
-		r.Hurt = append(r.Hurt, line)
-		if reason == Dead {
+		r.Impact = append(r.Impact, line)
+		if reason == NothingLeft {
 			dead = append(dead, line)
 		}
 		r.Reason = worse(r.Reason, reason)
 		if line, ok := shorter(g); ok {
-			r.Hurt = append(r.Hurt, line)
+			r.Impact = append(r.Impact, line)
 		}
 	}
 	if len(dead) == 0 {
 		return r
 	}
 	if !in.Force {
-		return Result{Reason: Dead, Rejected: strings.Join(dead, "; ")}
+		return Result{Reason: NothingLeft, Rejected: strings.Join(dead, "; ")}
 	}
-	r.Reason = Forced
+	r.Reason = ForcedNothingLeft
 	return r
 }
 
 // judge tells how one group fares. Upstreams of a group count as equal.
 func judge(g Group) (string, decide.Reason) {
-	if g.After == 0 {
-		return fmt.Sprintf("%s %s: no upstream is left, every request would be refused", g.Kind, g.Name), Dead
+	if g.UpstreamsAfter == 0 {
+		return fmt.Sprintf("%s %s: no upstream is left, every request would be refused", g.Kind, g.Name), NothingLeft
 	}
-	if g.Busy < 0 {
-		return fmt.Sprintf("%s %s: whether %d upstreams carry its load is not known", g.Kind, g.Name, g.After), Unknown
+	if g.Utilization < 0 {
+		return fmt.Sprintf("%s %s: whether %d upstreams carry its load is not known", g.Kind, g.Name, g.UpstreamsAfter), LoadUnknown
 	}
-	load := g.Busy * float64(g.Before) / float64(g.After)
+	load := g.Utilization * float64(g.UpstreamsBefore) / float64(g.UpstreamsAfter)
 	if load <= 1 {
 		return fmt.Sprintf("%s %s: the other %d carry the load of this moment, at %s of what they can",
-			g.Kind, g.Name, g.After, percent(load)), Carries
+			g.Kind, g.Name, g.UpstreamsAfter, percent(load)), LoadFits
 	}
 	return fmt.Sprintf("%s %s: the other %d can't carry the load of this moment, about %s of it would be refused",
-		g.Kind, g.Name, g.After, percent(1-1/load)), Refuses
+		g.Kind, g.Name, g.UpstreamsAfter, percent(1-1/load)), Overload
 }
 
 // shorter tells that prompts which several engines hold together have less room.
@@ -142,7 +142,7 @@
 
 // worse gives the graver of two reasons.
 func worse(a, b decide.Reason) decide.Reason {
-	order := []decide.Reason{Carries, Unknown, Refuses, Dead}
+	order := []decide.Reason{LoadFits, LoadUnknown, Overload, NothingLeft}
 	if slices.Index(order, b) > slices.Index(order, a) {
 		return b
 	}
--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -16,17 +16,17 @@
 		reason any
 		hurt   string
 	}{
-		{drain.Group{Kind: "model", Name: "m", Before: 6, After: 4, Busy: 0.5}, drain.Carries, "at 75%"},
-		{drain.Group{Kind: "model", Name: "m", Before: 6, After: 4, Busy: 0.9}, drain.Refuses, "about 26% of it would be refused"},
-		{drain.Group{Kind: "model", Name: "m", Before: 6, After: 4, Busy: -1}, drain.Unknown, "is not known"},
-		{drain.Group{Kind: "model", Name: "m", Before: 6, After: 4, MemoryBefore: 600, MemoryAfter: 400}, drain.Carries, "from 600 to 400 tokens"},
+		{drain.Group{Kind: "model", Name: "m", UpstreamsBefore: 6, UpstreamsAfter: 4, Utilization: 0.5}, drain.LoadFits, "at 75%"},
+		{drain.Group{Kind: "model", Name: "m", UpstreamsBefore: 6, UpstreamsAfter: 4, Utilization: 0.9}, drain.Overload, "about 26% of it would be refused"},
+		{drain.Group{Kind: "model", Name: "m", UpstreamsBefore: 6, UpstreamsAfter: 4, Utilization: -1}, drain.LoadUnknown, "is not known"},
+		{drain.Group{Kind: "model", Name: "m", UpstreamsBefore: 6, UpstreamsAfter: 4, MemoryBefore: 600, MemoryAfter: 400}, drain.LoadFits, "from 600 to 400 tokens"},
 	}
 	for _, c := range cases {
 		is := is.New(t)
 		r := drain.Assess(drain.Input{Domain: "a", Groups: []drain.Group{c.group}})
 		is.Equal(r.Reason, c.reason)
 		is.Equal(r.Rejected, "")
-		is.True(strings.Contains(strings.Join(r.Hurt, "\n"), c.hurt))
+		is.True(strings.Contains(strings.Join(r.Impact, "\n"), c.hurt))
 		is.True(slices.Contains(drain.Reasons, r.Reason))
 	}
 }
@@ -36,24 +36,24 @@
 func TestDrainOfTheLastUpstreamIsRejectedUnlessForced(t *testing.T) {
 	is := is.New(t)
 	in := drain.Input{Domain: "a", Groups: []drain.Group{
-		{Kind: "service", Name: "bookdesk", Before: 1, After: 0, Busy: -1},
-		{Kind: "model", Name: "m", Before: 3, After: 2, Busy: 0.1},
+		{Kind: "service", Name: "bookdesk", UpstreamsBefore: 1, UpstreamsAfter: 0, Utilization: -1},
+		{Kind: "model", Name: "m", UpstreamsBefore: 3, UpstreamsAfter: 2, Utilization: 0.1},
 	}}
 	r := drain.Assess(in)
-	is.Equal(r.Reason, drain.Dead)
+	is.Equal(r.Reason, drain.NothingLeft)
 	is.Equal(r.Rejected, "service bookdesk: no upstream is left, every request would be refused")
 	in.Force = true
 	r = drain.Assess(in)
-	is.Equal(r.Reason, drain.Forced)
-	is.True(slices.Contains(r.Hurt, "service bookdesk: no upstream is left, every request would be refused"))
+	is.Equal(r.Reason, drain.ForcedNothingLeft)
+	is.True(slices.Contains(r.Impact, "service bookdesk: no upstream is left, every request would be refused"))
 	slices.Reverse(in.Groups)
 	is.Equal(drain.Assess(in), r) // the order of groups does not matter
 }
 
 func TestReturnSaysThatUpstreamsAreCold(t *testing.T) {
 	is := is.New(t)
-	r := drain.Assess(drain.Input{Domain: "a", Back: true, Groups: []drain.Group{{Kind: "model", Name: "m", Before: 2, After: 3}}})
-	is.Equal(r.Reason, drain.Returns)
+	r := drain.Assess(drain.Input{Domain: "a", Restore: true, Groups: []drain.Group{{Kind: "model", Name: "m", UpstreamsBefore: 2, UpstreamsAfter: 3}}})
+	is.Equal(r.Reason, drain.Restored)
 	is.True(strings.Contains(r.Summary[0], "count as cold"))
 	is.Equal(r.Summary[1], "model m: 2 upstreams become 3")
 }
--- a/internal/decide/order/difference.go
+++ b/internal/decide/order/difference.go
@@ -135,7 +135,7 @@
 }
 
 // Is tells whether what an engine has is just its placement.
-func Is(want api.Placement, loaded []wire.Loaded) bool {
+func MatchesPlacement(want api.Placement, loaded []wire.Loaded) bool {
 	in := Input{Target: want, State: wire.EngineState{Loaded: loaded}}
 	_, differs := deviation(in)
 	return !differs
@@ -143,7 +143,7 @@
 
 // Behind tells whether an engine lacks something that it should have in a stage: a step of an earlier
 // stage that is undone, or a model that it should serve all the time.
-func Behind(want api.Placement, steps []api.Step, stage int, loaded []wire.Loaded) bool {
+func IsBehind(want api.Placement, steps []api.Step, stage int, loaded []wire.Loaded) bool {
 	in := Input{Target: want, Steps: steps, Stage: stage, State: wire.EngineState{Loaded: loaded}}
 	_, _, differs := difference(in)
 	return differs
--- a/internal/decide/order/order.go
+++ b/internal/decide/order/order.go
@@ -18,20 +18,20 @@
 
 // Reasons of a decision.
 const (
-	Matches    decide.Reason = "matches_plan"
-	Steps      decide.Reason = "next_step"
-	Repairs    decide.Reason = "repairs"           // what was done, or never asked for, has changed
-	Repeats    decide.Reason = "repeats_order"     // the answer was lost; the same operation id again
-	Running    decide.Reason = "order_running"     // ours
-	OldOrder   decide.Reason = "old_order_running" // an earlier holder's or plan's
-	Settling   decide.Reason = "waits_for_old_orders"
-	FloorHolds decide.Reason = "floor_holds" // the step would take the model below its floor now
-	Failed     decide.Reason = "order_failed"
-	NoLease    decide.Reason = "no_lease"
+	MatchesPlan     decide.Reason = "matches_plan"
+	NextStep        decide.Reason = "next_step"
+	Repair          decide.Reason = "repairs"           // what was done, or never asked for, has changed
+	RepeatOrder     decide.Reason = "repeats_order"     // the answer was lost; the same operation id again
+	OrderRunning    decide.Reason = "order_running"     // ours
+	OldOrderRunning decide.Reason = "old_order_running" // an earlier holder's or plan's
+	AwaitOldOrders  decide.Reason = "waits_for_old_orders"
+	BlockedByFloor  decide.Reason = "floor_holds" // the step would take the model below its floor now
+	OrderFailed     decide.Reason = "order_failed"
+	NoLease         decide.Reason = "no_lease"
 )
 
 // Reasons lists every reason that Next returns.
-var Reasons = []decide.Reason{Matches, Steps, Repairs, Repeats, Running, OldOrder, Settling, FloorHolds, Failed, NoLease}
+var Reasons = []decide.Reason{MatchesPlan, NextStep, Repair, RepeatOrder, OrderRunning, OldOrderRunning, AwaitOldOrders, BlockedByFloor, OrderFailed, NoLease}
 
 // States of an order in an engine's answer.
 const (
@@ -48,7 +48,7 @@
 }
 
 // Issued is the last order that this holder gave to the engine.
-type Issued struct {
+type LastOrder struct {
 	Order   wire.Order
 	Boot    string // of the engine when it was given
 	Attempt int    // orders given so far
@@ -57,35 +57,35 @@
 
 // Input is one engine's situation.
 type Input struct {
-	Plan    string
-	Fencing bool // refuses orders with an old fencing number
-	State   wire.EngineState
-	Steps   []api.Step    // the plan's steps for this engine, in order
-	Stage   int           // steps up to this stage are due
-	Verify  bool          // all stages are done: the state must be just Target
-	Target  api.Placement // at the end of the plan
-	Lease   Lease
-	Issued  Issued
-	Now     decide.Instant
-	Floors  map[string]int // by model: engines that serve at every step
-	Models  map[string]Service
-	Forced  bool // the plan may break floors
+	PlanID    string
+	Fencing   bool // refuses orders with an old fencing number
+	State     wire.EngineState
+	Steps     []api.Step    // the plan's steps for this engine, in order
+	Stage     int           // steps up to this stage are due
+	Verify    bool          // all stages are done: the state must be just Target
+	Target    api.Placement // at the end of the plan
+	Lease     Lease
+	LastOrder LastOrder
+	Now       decide.Instant
+	Floors    map[string]int // by model: engines that serve at every step
+	Models    map[string]ModelService
+	Forced    bool // the plan may break floors
 }
 
 // Service is how a model is served now, as far as the instance knows.
-type Service struct {
-	Serving int  // engines that take new work and have the model in any version
-	Stable  int  // those of them that won't be changed before the next stage
-	First   bool // of the engines that deviate in it, this one is the first by id
+type ModelService struct {
+	Serving        int  // engines that take new work and have the model in any version
+	Stable         int  // those of them that won't be changed before the next stage
+	FirstDeviating bool // of the engines that deviate in it, this one is the first by id
 }
 
 // Decision is what to do about the engine now.
 type Decision struct {
-	Reason decide.Reason
-	Done   bool // the engine is as it should be, and no old order can change that
-	Order  *wire.Order
-	Issued Issued // to be kept once Order was sent
-	Model  string // that the decision is about
+	Reason    decide.Reason
+	Done      bool // the engine is as it should be, and no old order can change that
+	Order     *wire.Order
+	LastOrder LastOrder // to be kept once Order was sent
+	Model     string    // that the decision is about
 }
 
 // retryPause is the time after a failed order until the next attempt.
@@ -107,11 +107,11 @@
 	case !in.Fencing && !in.Lease.Settled:
 		// An engine that ignores fencing numbers would carry out an old order after ours. Until the old
 		// lease and the longest delay of an order are over, what its state shows is not final.
-		d.Reason = Settling
+		d.Reason = AwaitOldOrders
 	case in.blocked(want):
-		d.Reason = FloorHolds
+		d.Reason = BlockedByFloor
 	case failedLately(in):
-		d.Reason = Failed
+		d.Reason = OrderFailed
 	default:
 		return issue(in, want, repair)
 	}
@@ -126,9 +126,9 @@
 			continue
 		}
 		if o.Fence == in.Lease.Fence && in.Lease.Valid {
-			return Running, true
+			return OrderRunning, true
 		}
-		return OldOrder, true
+		return OldOrderRunning, true
 	}
 	return "", false
 }
@@ -137,9 +137,9 @@
 func matching(in Input) Decision {
 	barred := in.Fencing && in.Lease.Valid && in.State.HighestFence >= in.Lease.Fence
 	if in.Lease.Valid && !in.Lease.Settled && !barred {
-		return Decision{Reason: Settling}
+		return Decision{Reason: AwaitOldOrders}
 	}
-	return Decision{Reason: Matches, Done: true}
+	return Decision{Reason: MatchesPlan, Done: true}
 }
 
 // blocked tells whether a step would take its model below the floor as things stand now. The plan's order
@@ -153,7 +153,7 @@
 		return false
 	}
 	mends := in.Verify || s.Stage < in.Stage
-	return !mends || !m.First || m.Serving < floor
+	return !mends || !m.FirstDeviating || m.Serving < floor
 }
 
 // takes tells whether an order takes a model out of service, for good or while it is replaced.
@@ -162,7 +162,7 @@
 }
 
 func failedLately(in Input) bool {
-	last := in.Issued
+	last := in.LastOrder
 	if last.Attempt == 0 || in.Now.Sub(last.At) >= retryPause {
 		return false
 	}
@@ -176,20 +176,20 @@
 	o := wire.Order{
 		Fence: in.Lease.Fence, Kind: want.Kind, Model: want.Model, Version: want.Version, Adapter: want.Adapter,
 	}
-	d := Decision{Reason: Steps, Model: want.Model, Issued: in.Issued}
-	last := in.Issued.Order
+	d := Decision{Reason: NextStep, Model: want.Model, LastOrder: in.LastOrder}
+	last := in.LastOrder.Order
 	o.ID = last.ID
 	known := slices.ContainsFunc(in.State.Orders, func(s wire.OrderStatus) bool { return s.ID == last.ID })
-	if o == last && !known && in.Issued.Boot == in.State.BootID {
-		d.Reason = Repeats
+	if o == last && !known && in.LastOrder.Boot == in.State.BootID {
+		d.Reason = RepeatOrder
 	} else {
-		d.Issued.Attempt++
-		o.ID = fmt.Sprintf("%s.%d.%s.%d", in.Plan, o.Fence, in.State.BootID, d.Issued.Attempt)
+		d.LastOrder.Attempt++
+		o.ID = fmt.Sprintf("%s.%d.%s.%d", in.PlanID, o.Fence, in.State.BootID, d.LastOrder.Attempt)
 		if repair {
-			d.Reason = Repairs
+			d.Reason = Repair
 		}
 	}
 	d.Order = &o
-	d.Issued.Order, d.Issued.Boot, d.Issued.At = o, in.State.BootID, in.Now
+	d.LastOrder.Order, d.LastOrder.Boot, d.LastOrder.At = o, in.State.BootID, in.Now
 	return d
 }
--- a/internal/decide/plan/cases_test.go
+++ b/internal/decide/plan/cases_test.go
@@ -15,7 +15,7 @@
 	for i := range n {
 		all = append(all, plan.Engine{
 			ID: fmt.Sprintf("e%d", i), Domain: fmt.Sprintf("d%d", i%3), Memory: memory,
-			Loaded: loaded, Served: true, Usable: true,
+			Loaded: loaded, AvailableBefore: true, AvailableAfter: true,
 		})
 	}
 	return all
@@ -31,7 +31,7 @@
 	is := is.New(t)
 	in := plan.Input{
 		Before: api.Intent{Models: []api.Model{model("1", 3, 2)}}, After: api.Intent{Models: []api.Model{model("2", 3, 2)}},
-		Engines: engines(3, 10, api.Loaded{Model: "m", Version: "1"}), Rate: 3600,
+		Engines: engines(3, 10, api.Loaded{Model: "m", Version: "1"}), WeightRate: 3600,
 	}
 	r := plan.Make(in)
 	is.Equal(r.Reason, plan.Planned)
@@ -54,11 +54,11 @@
 
 	in.Engines = in.Engines[:3]
 	r = plan.Make(in)
-	is.Equal(r.Reason, plan.NoOrder)
+	is.Equal(r.Reason, plan.NoSafeOrder)
 	is.Equal(len(r.Steps), 0)
 	in.Force = true
 	r = plan.Make(in)
-	is.Equal(r.Reason, plan.ForcedFloor)
+	is.Equal(r.Reason, plan.ForcedBelowFloor)
 	is.Equal(len(stages(r.Steps)), 3) // one engine at a time
 }
 
@@ -72,7 +72,7 @@
 	r := plan.Make(in)
 	is.Equal(r.Reason, plan.Planned)
 	is.Equal(len(stages(r.Steps)), 4) // a quarter each
-	is.Equal(r.Hurt, []string{"model m: down to 9 of 12 engines on the way, its floor is 1; cached prefixes of the others are lost"})
+	is.Equal(r.Impact, []string{"model m: down to 9 of 12 engines on the way, its floor is 1; cached prefixes of the others are lost"})
 }
 
 // Replicas stand in distinct failure domains, and one that stood alone is moved.
--- a/internal/decide/plan/plan.go
+++ b/internal/decide/plan/plan.go
@@ -18,34 +18,34 @@
 
 // Reasons of a plan.
 const (
-	Nothing     decide.Reason = "nothing_to_do"
-	Planned     decide.Reason = "planned"
-	Short       decide.Reason = "replicas_do_not_fit"  // fewer replicas than wanted, floors kept
-	BelowFloor  decide.Reason = "below_floor"          // the target or the change itself breaks a floor
-	NoOrder     decide.Reason = "no_order_keeps_floor" // every order of steps breaks a floor
-	ForcedFloor decide.Reason = "forced_below_floor"   // one of the last two, accepted by the operator
+	NothingToDo      decide.Reason = "nothing_to_do"
+	Planned          decide.Reason = "planned"
+	ReplicasDoNotFit decide.Reason = "replicas_do_not_fit"  // fewer replicas than wanted, floors kept
+	BelowFloor       decide.Reason = "below_floor"          // the target or the change itself breaks a floor
+	NoSafeOrder      decide.Reason = "no_order_keeps_floor" // every order of steps breaks a floor
+	ForcedBelowFloor decide.Reason = "forced_below_floor"   // one of the last two, accepted by the operator
 )
 
 // Reasons lists every reason that Make returns.
-var Reasons = []decide.Reason{Nothing, Planned, Short, BelowFloor, NoOrder, ForcedFloor}
+var Reasons = []decide.Reason{NothingToDo, Planned, ReplicasDoNotFit, BelowFloor, NoSafeOrder, ForcedBelowFloor}
 
 // Engine is one engine as the planner sees it.
 type Engine struct {
-	ID     string
-	Domain string
-	Memory int64 // tokens; 0: not known, taken as enough
-	Loaded []api.Loaded
-	Served bool // takes new work before the change
-	Usable bool // takes new work after the change; others get no steps
+	ID              string
+	Domain          string
+	Memory          int64 // tokens; 0: not known, taken as enough
+	Loaded          []api.Loaded
+	AvailableBefore bool // takes new work before the change
+	AvailableAfter  bool // takes new work after the change; others get no steps
 }
 
 // Input is what a plan is made from.
 type Input struct {
-	Before  api.Intent // in force; sizes of versions that go
-	After   api.Intent
-	Engines []Engine // any order
-	Rate    int64    // weight store's, in gigabytes an hour; 0: not known
-	Force   bool     // give steps even where they break a floor
+	Before     api.Intent // in force; sizes of versions that go
+	After      api.Intent
+	Engines    []Engine // any order
+	WeightRate int64    // weight store's, in gigabytes an hour; 0: not known
+	Force      bool     // give steps even where they break a floor
 }
 
 // Result is a plan's part that concerns engines. A rejected one has a Rejected line and no steps.
@@ -57,7 +57,7 @@
 	Floors   map[string]int // by model: engines that serve at every step
 	Cost     api.Cost
 	Summary  []string
-	Hurt     []string
+	Impact   []string
 }
 
 // Make plans. It gives the same result for the same engines and models in any order.
@@ -68,21 +68,21 @@
 	short := p.shortages(target)
 	broken := p.brokenFloors(target)
 	staged := p.stage(target)
-	r.Steps, r.Cost = staged.steps, cost(staged.steps, in.Rate)
+	r.Steps, r.Cost = staged.steps, cost(staged.steps, in.WeightRate)
 	r.Summary = p.summary(staged.steps)
-	r.Hurt = append(append(slices.Clone(broken), staged.broken...), short...)
-	r.Hurt = append(r.Hurt, p.losses(staged.lowest)...)
+	r.Impact = append(append(slices.Clone(broken), staged.broken...), short...)
+	r.Impact = append(r.Impact, p.losses(staged.lowest)...)
 	switch {
 	case (len(broken) > 0 || len(staged.broken) > 0) && in.Force:
-		r.Reason = ForcedFloor
+		r.Reason = ForcedBelowFloor
 	case len(broken) > 0:
 		return reject(BelowFloor, broken)
 	case len(staged.broken) > 0:
-		return reject(NoOrder, staged.broken)
+		return reject(NoSafeOrder, staged.broken)
 	case len(short) > 0:
-		r.Reason = Short
+		r.Reason = ReplicasDoNotFit
 	case len(r.Steps) == 0:
-		r.Reason = Nothing
+		r.Reason = NothingToDo
 	default:
 		r.Reason = Planned
 	}
@@ -172,7 +172,7 @@
 	seen := map[string]bool{}
 	for i := range p.engines {
 		e := &p.engines[i]
-		if e.Served && hasModel(e.Loaded, model) {
+		if e.AvailableBefore && hasModel(e.Loaded, model) {
 			engines++
 			seen[e.Domain] = true
 		}
@@ -224,7 +224,7 @@
 func (p *planner) placements(target placement) []api.Placement {
 	var all []api.Placement
 	for i := range p.engines {
-		if !p.engines[i].Usable {
+		if !p.engines[i].AvailableAfter {
 			continue
 		}
 		row := api.Placement{Upstream: p.engines[i].ID}
--- a/internal/decide/plan/plan_test.go
+++ b/internal/decide/plan/plan_test.go
@@ -46,7 +46,7 @@
 	for i := range rapid.IntRange(1, 9).Draw(t, "engines") {
 		e := plan.Engine{
 			ID: fmt.Sprintf("e%d", i), Domain: fmt.Sprintf("d%d", rapid.IntRange(0, 2).Draw(t, "domain")),
-			Memory: rapid.Int64Range(6, 12).Draw(t, "capacity"), Served: true, Usable: true,
+			Memory: rapid.Int64Range(6, 12).Draw(t, "capacity"), AvailableBefore: true, AvailableAfter: true,
 		}
 		used := int64(0)
 		for _, m := range before.Models {
@@ -55,7 +55,7 @@
 				e.Loaded = append(e.Loaded, api.Loaded{Model: m.Name, Version: m.Version})
 			}
 		}
-		e.Usable = rapid.IntRange(0, 5).Draw(t, "usable") > 0
+		e.AvailableAfter = rapid.IntRange(0, 5).Draw(t, "usable") > 0
 		in.Engines = append(in.Engines, e)
 	}
 	return in
@@ -67,7 +67,7 @@
 func newWorld(in plan.Input) world {
 	w := world{}
 	for _, e := range in.Engines {
-		if !e.Usable {
+		if !e.AvailableAfter {
 			continue
 		}
 		w[e.ID] = map[string]string{}
@@ -109,7 +109,7 @@
 func served(in plan.Input, model string) int {
 	n := 0
 	for _, e := range in.Engines {
-		if e.Served && slices.ContainsFunc(e.Loaded, func(l api.Loaded) bool { return l.Model == model }) {
+		if e.AvailableBefore && slices.ContainsFunc(e.Loaded, func(l api.Loaded) bool { return l.Model == model }) {
 			n++
 		}
 	}
@@ -187,7 +187,7 @@
 			end.apply(s)
 		}
 		for _, stage := range stages(r.Steps) {
-			if r.Reason != plan.ForcedFloor {
+			if r.Reason != plan.ForcedBelowFloor {
 				worst(t, in, w, end, stage)
 			}
 			for _, s := range stage {
@@ -223,7 +223,7 @@
 			if i := slices.IndexFunc(r.Target, func(p api.Placement) bool { return p.Upstream == e.ID }); i >= 0 {
 				e.Loaded = r.Target[i].Loaded
 			}
-			e.Served = e.Usable
+			e.AvailableBefore = e.AvailableAfter
 			again.Engines = append(again.Engines, e)
 		}
 		if second := plan.Make(again); len(second.Steps) > 0 {
--- a/internal/decide/plan/stage.go
+++ b/internal/decide/plan/stage.go
@@ -104,7 +104,7 @@
 	pending := s.pending()
 	any := false
 	for i := range s.engines {
-		if !s.engines[i].Usable {
+		if !s.engines[i].AvailableAfter {
 			continue
 		}
 		for _, r := range s.missing(i) {
@@ -127,7 +127,7 @@
 func (s *stager) pending() map[string]bool {
 	models := map[string]bool{}
 	for i := range s.engines {
-		if !s.engines[i].Usable {
+		if !s.engines[i].AvailableAfter {
 			continue
 		}
 		for _, r := range s.missing(i) {
@@ -142,7 +142,7 @@
 func (s *stager) swap(floors bool) bool {
 	any := false
 	for i := range s.engines {
-		if !s.engines[i].Usable || len(s.missing(i)) == 0 {
+		if !s.engines[i].AvailableAfter || len(s.missing(i)) == 0 {
 			continue
 		}
 		moved := s.makeRoom(i, floors)
@@ -207,7 +207,7 @@
 		return true
 	}
 	for i := range s.engines {
-		if !s.engines[i].Usable {
+		if !s.engines[i].AvailableAfter {
 			continue
 		}
 		if extra := s.extra(i); len(extra) > 0 {
@@ -288,7 +288,7 @@
 // model out of service nowhere.
 func (s *stager) adapters() {
 	for i := range s.engines {
-		if !s.engines[i].Usable {
+		if !s.engines[i].AvailableAfter {
 			continue
 		}
 		for _, model := range slices.Sorted(maps.Keys(s.target[i])) {
--- a/internal/decide/plan/target.go
+++ b/internal/decide/plan/target.go
@@ -30,7 +30,7 @@
 		target[i] = loads{}
 	}
 	for i := range p.engines {
-		if !p.engines[i].Usable {
+		if !p.engines[i].AvailableAfter {
 			target[i] = now[i]
 		}
 	}
@@ -132,7 +132,7 @@
 		return
 	}
 	for i := len(p.engines) - 1; i >= 0; i-- {
-		if p.engines[i].Usable && target[i].has(want.model) {
+		if p.engines[i].AvailableAfter && target[i].has(want.model) {
 			delete(target[i], want.model)
 			break
 		}
@@ -174,7 +174,7 @@
 
 func (p *planner) allowed(i int, domains []string) bool {
 	e := &p.engines[i]
-	return e.Usable && (len(domains) == 0 || slices.Contains(domains, e.Domain))
+	return e.AvailableAfter && (len(domains) == 0 || slices.Contains(domains, e.Domain))
 }
 
 // perDomain counts a model's usable engines in each failure domain that has any.
@@ -200,7 +200,7 @@
 func (p *planner) byDomain(at placement, model string) perDomain {
 	counts := perDomain{}
 	for i := range p.engines {
-		if p.engines[i].Usable && at[i].has(model) {
+		if p.engines[i].AvailableAfter && at[i].has(model) {
 			counts[p.engines[i].Domain]++
 		}
 	}
@@ -211,7 +211,7 @@
 func (p *planner) countAll(at placement) map[string]perDomain {
 	all := map[string]perDomain{}
 	for i := range p.engines {
-		if !p.engines[i].Usable {
+		if !p.engines[i].AvailableAfter {
 			continue
 		}
 		for model := range at[i] {
--- a/internal/decide/plan/words.go
+++ b/internal/decide/plan/words.go
@@ -68,7 +68,7 @@
 func (p *planner) dropped(start placement) []string {
 	var names []string
 	for i := range p.engines {
-		if !p.engines[i].Usable {
+		if !p.engines[i].AvailableAfter {
 			continue
 		}
 		for model := range start[i] {
--- a/internal/execute/cost_test.go
+++ b/internal/execute/cost_test.go
@@ -127,7 +127,7 @@
 		e := f.engines[string(u.ID)]
 		replicas[e.state.Loaded[0].Model]++
 		in.Engines = append(in.Engines, plan.Engine{
-			ID: string(u.ID), Domain: string(u.Domain), Memory: 100, Served: true, Usable: true,
+			ID: string(u.ID), Domain: string(u.Domain), Memory: 100, AvailableBefore: true, AvailableAfter: true,
 			Loaded: []api.Loaded{{Model: e.state.Loaded[0].Model, Version: e.state.Loaded[0].Version}},
 		})
 	}
--- a/internal/execute/job.go
+++ b/internal/execute/job.go
@@ -52,12 +52,12 @@
 	case stage == j.verify():
 		return true
 	case stage > j.verify():
-		return !order.Is(*target, seen)
+		return !order.MatchesPlacement(*target, seen)
 	}
 	if slices.ContainsFunc(j.steps[engine], func(s api.Step) bool { return s.Stage == stage }) {
 		return true
 	}
-	return order.Behind(*target, j.steps[engine], stage, seen)
+	return order.IsBehind(*target, j.steps[engine], stage, seen)
 }
 
 // stage gives the stage to work on: the first that not every shard with steps has recorded as done.
@@ -88,8 +88,8 @@
 type loadedOf func(u *fleet.Upstream) map[string]string
 
 // services tells for each model how it is served now, and which is the first engine that deviates in it.
-func (j *job) services(v *fleet.View, loaded loadedOf, stage int) (map[string]order.Service, map[string]string) {
-	models, first := map[string]order.Service{}, map[string]string{}
+func (j *job) services(v *fleet.View, loaded loadedOf, stage int) (map[string]order.ModelService, map[string]string) {
+	models, first := map[string]order.ModelService{}, map[string]string{}
 	for _, u := range v.Upstreams {
 		if u.Kind != fleet.Engine || !u.Takes() {
 			continue
--- a/internal/execute/round.go
+++ b/internal/execute/round.go
@@ -29,7 +29,7 @@
 type round struct {
 	view   *fleet.View
 	stage  int
-	models map[string]order.Service
+	models map[string]order.ModelService
 	first  map[string]string // by model: the first engine that has to be changed
 
 	byShard map[int][]*fleet.Upstream // engines that take new work
--- a/internal/execute/shard.go
+++ b/internal/execute/shard.go
@@ -27,7 +27,7 @@
 
 // engine is what the holder keeps of one engine of its shard.
 type engine struct {
-	issued  order.Issued
+	issued  order.LastOrder
 	granted string        // weights for this load were granted: "model@version" of an order not yet sent
 	reason  decide.Reason // last one logged
 }
@@ -134,11 +134,11 @@
 	models := maps.Clone(r.models)
 	for model, first := range r.first {
 		m := models[model]
-		m.First = first == id
+		m.FirstDeviating = first == id
 		models[model] = m
 	}
 	return order.Input{
-		Plan: x.job.plan.ID, Fencing: l.upstream.Fencing, State: l.state, Issued: l.engine.issued, Now: now,
+		PlanID: x.job.plan.ID, Fencing: l.upstream.Fencing, State: l.state, LastOrder: l.engine.issued, Now: now,
 		Steps: x.job.steps[id], Stage: r.stage, Verify: r.stage >= x.job.verify(), Target: *x.job.target[id],
 		Lease:  order.Lease{Valid: s.lease.Valid(now), Fence: s.lease.Fence(), Settled: s.lease.Settled(now)},
 		Floors: x.job.plan.Floors, Models: models, Forced: x.job.plan.Forced,
@@ -148,14 +148,14 @@
 // order gives an order. The lease is asked for right before, by the monotonic clock: whatever took long
 // since the decision, a grant of weights or a pause of the process, may have outlasted it.
 func (x *Executor) order(ctx context.Context, s *shard, l *look, d order.Decision) {
-	if d.Reason != order.Repeats && !x.granted(ctx, l, d.Order) {
+	if d.Reason != order.RepeatOrder && !x.granted(ctx, l, d.Order) {
 		return
 	}
 	if !s.lease.Valid(x.Now()) {
 		x.note(s, l, order.NoLease, "model", d.Model)
 		return
 	}
-	l.engine.issued = d.Issued
+	l.engine.issued = d.LastOrder
 	_, err := x.Engines.Order(ctx, l.upstream.Addr, *d.Order)
 	l.engine.granted = ""
 	if err != nil {
--- a/internal/execute/world_test.go
+++ b/internal/execute/world_test.go
@@ -152,7 +152,7 @@
 func (w *world) confirm(id string, before, intent api.Intent) api.Plan {
 	in := plan.Input{Before: before, After: intent, Force: true}
 	for _, e := range w.engines {
-		pe := plan.Engine{ID: e.id, Domain: e.domain, Memory: 100, Served: true, Usable: true}
+		pe := plan.Engine{ID: e.id, Domain: e.domain, Memory: 100, AvailableBefore: true, AvailableAfter: true}
 		for m, v := range e.loaded {
 			pe.Loaded = append(pe.Loaded, api.Loaded{Model: m, Version: v})
 		}
@@ -161,7 +161,7 @@
 	r := plan.Make(in)
 	p := api.Plan{
 		ID: id, State: api.PlanProposed, After: api.Config{Intent: intent, Plan: id},
-		Steps: r.Steps, Target: r.Target, Floors: r.Floors, Forced: r.Reason == plan.ForcedFloor,
+		Steps: r.Steps, Target: r.Target, Floors: r.Floors, Forced: r.Reason == plan.ForcedBelowFloor,
 	}
 	data, err := json.Marshal(p)
 	if err != nil {
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -19,7 +19,7 @@
 )
 
 // sweepEvery is the pause between two sweeps of dead claim shards.
-const sweepEvery = decideclaim.Bucket
+const sweepEvery = decideclaim.BucketSpan
 
 func newClaims(s api.Settings, p objects.Store, log hclog.Logger) *claim.Keeper {
 	now, wall := claim.Clocks()
--- a/internal/operate/command/propose.go
+++ b/internal/operate/command/propose.go
@@ -57,7 +57,7 @@
 func (s *Service) assess(p *api.Plan, probes []probe) error {
 	change := p.Change
 	r := drain.Assess(drain.Input{
-		Domain: change.Drain + change.Restore, Back: change.Restore != "",
+		Domain: change.Drain + change.Restore, Restore: change.Restore != "",
 		Groups: groups(probes, p.After), Force: change.Force,
 	})
 	s.Log.Info("failure domain judged", "plan", p.ID, "failure_domain", change.Drain+change.Restore, "reason", string(r.Reason))
@@ -65,8 +65,8 @@
 		return fault.New(fault.PlanRejected, "%s; force it to accept that", r.Rejected)
 	}
 	p.Summary = r.Summary
-	p.Hurt = r.Hurt
-	p.Forced = r.Reason == drain.Forced
+	p.Hurt = r.Impact
+	p.Forced = r.Reason == drain.ForcedNothingLeft
 	return nil
 }
 
@@ -74,7 +74,7 @@
 func (s *Service) place(p *api.Plan, current api.Config, probes []probe) error {
 	r := plan.Make(plan.Input{
 		Before: current.Intent, After: p.After.Intent, Engines: engines(probes, p.After),
-		Rate: s.WeightRate, Force: p.Change.Force,
+		WeightRate: s.WeightRate, Force: p.Change.Force,
 	})
 	s.Log.Info("placement planned", "plan", p.ID, "reason", string(r.Reason), "steps", len(r.Steps))
 	if r.Rejected != "" {
@@ -82,8 +82,8 @@
 	}
 	p.Steps, p.Target, p.Floors, p.Cost = r.Steps, r.Target, r.Floors, r.Cost
 	p.Summary = append(p.Summary, r.Summary...)
-	p.Hurt = append(p.Hurt, r.Hurt...)
-	p.Forced = p.Forced || r.Reason == plan.ForcedFloor
+	p.Hurt = append(p.Hurt, r.Impact...)
+	p.Forced = p.Forced || r.Reason == plan.ForcedBelowFloor
 	return nil
 }
 
--- a/internal/operate/command/survey.go
+++ b/internal/operate/command/survey.go
@@ -103,7 +103,7 @@
 		}
 		all = append(all, plan.Engine{
 			ID: string(u.ID), Domain: string(u.Domain), Memory: u.Memory, Loaded: p.loaded,
-			Served: u.Takes(), Usable: usable(u, after),
+			AvailableBefore: u.Takes(), AvailableAfter: usable(u, after),
 		})
 	}
 	return all
@@ -122,7 +122,7 @@
 	at := func(kind, name string) int {
 		i := slices.IndexFunc(all, func(g drain.Group) bool { return g.Kind == kind && g.Name == name })
 		if i < 0 {
-			all = append(all, drain.Group{Kind: kind, Name: name, Busy: -1})
+			all = append(all, drain.Group{Kind: kind, Name: name, Utilization: -1})
 			i = len(all) - 1
 		}
 		return i
@@ -142,7 +142,7 @@
 	}
 	for i := range all {
 		if g := &all[i]; g.Kind == "model" && known[g.Name] > 0 {
-			g.Busy = sum[g.Name] / float64(known[g.Name])
+			g.Utilization = sum[g.Name] / float64(known[g.Name])
 		}
 	}
 	return all
@@ -150,11 +150,11 @@
 
 func count(g *drain.Group, u *fleet.Upstream, after api.Config) {
 	if u.Takes() {
-		g.Before++
+		g.UpstreamsBefore++
 		g.MemoryBefore += u.Memory
 	}
 	if usable(u, after) {
-		g.After++
+		g.UpstreamsAfter++
 		g.MemoryAfter += u.Memory
 	}
 }
