--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -1,10 +1,12 @@
 // Package claim decides whether a request that carries an idempotency key may be dispatched. It is pure:
 // package internal/claim drives it against the object API.
 //
-// A key is claimed in its shard object before the request is dispatched, and the outcome is recorded
-// beside the claim. The promise "no key runs twice" is carried by the conditional update of the shard
-// object alone: a claim is granted only after a write of it is known to have taken effect, and a claim
-// that stands is never granted to anybody else, whatever became of its holder.
+// A key is claimed in its shard object before the request is dispatched, and the outcome is recorded in the
+// same entry.
+//
+// Guarantee: the request of a key runs at most once. It rests on the conditional update of the shard object alone. A claim is
+// granted only after its write is known to have taken effect. While the claim is in the store, no other
+// attempt is granted the key, even if the holder of the claim has died.
 package claim
 
 import (
@@ -16,42 +18,42 @@
 	"github.com/damaskshelf/damaskshelf/internal/fault"
 )
 
-// Wall is a wall-clock time in milliseconds since the Unix epoch. Claims outlive instances, so their
-// ages can't be measured by one instance's monotonic clock; wall clocks are assumed to agree within
-// Limits.MaxSkew.
+// WallTime is a wall-clock time in milliseconds since the Unix epoch. Claims outlive instances, so a monotonic
+// clock of one instance can't measure their age. The wall clocks of all instances are assumed to agree
+// within Limits.MaxSkew.
 type WallTime int64
 
-// Add gives the time d later.
+// Add returns the time d after w.
 func (w WallTime) Add(d time.Duration) WallTime { return w + WallTime(d.Milliseconds()) }
 
-// Token names one attempt to claim a key: no two attempts share one, so a claim found in the store is
-// known to be one's own when its token is.
+// Token identifies one attempt to claim a key. No two attempts share a token, so an attempt recognizes its
+// own claim in the store by the token.
 type Token string
 
-// Outcome is what a request's run gave; it is replayed unchanged.
+// Outcome is the result of running a request. A repeat of the request gets it unchanged.
 type Outcome struct {
 	Run         fault.Run `json:"run"`
 	Status      int       `json:"status"`
-	Fault       string    `json:"fault,omitempty"` // kind of the failure that the caller got; Body is its detail
+	Fault       string    `json:"fault,omitempty"` // kind of the fault returned to the caller; Body holds its detail
 	ContentType string    `json:"content_type,omitempty"`
 	Body        []byte    `json:"body,omitempty"`
-	BodyDropped bool      `json:"dropped,omitempty"` // the body was too large to keep
+	BodyDropped bool      `json:"dropped,omitempty"` // the body was too large to store
 }
 
-// Entry is one claimed key. Without an Outcome the request may be running, or its holder has died; it is
-// never run again in either case.
+// Entry is one claimed key. Without an Outcome the request may be running, or the holder of the claim may have
+// died. The request is never run again in either case.
 type Entry struct {
 	Key         string   `json:"key"` // workspace/idempotency key
 	Fingerprint string   `json:"fingerprint"`
 	Token       Token    `json:"token"`
-	UpdatedAt   WallTime `json:"at"`    // claimed, or outcome recorded
+	UpdatedAt   WallTime `json:"at"`    // when the key was claimed or the outcome recorded
 	Deadline    WallTime `json:"until"` // the request's deadline
 	Outcome     *Outcome `json:"outcome,omitempty"`
 }
 
-// Tombstone is what stays of a pruned entry whose key carries no time: enough to refuse a late repeat.
+// Tombstone replaces a pruned entry whose key carries no issue time, so that a late repeat is still refused.
 type Tombstone struct {
-	Hash     uint64    `json:"h"`
+	Hash     uint64    `json:"h"` // xxhash of the entry's key
 	PrunedAt WallTime  `json:"t"` // when the entry was pruned
 	Run      fault.Run `json:"r"`
 }
@@ -62,21 +64,21 @@
 	Tombstones []Tombstone `json:"tombstones,omitempty"` // sorted by hash
 }
 
-// Limits bound a shard and the times of its entries.
+// Limits holds the bounds of a shard and the retention times and delays of its entries.
 type Limits struct {
-	Retention          time.Duration // how long an outcome is kept, and how old a key with a time may be
-	TombstoneRetention time.Duration // how long a pruned key without a time is still refused
-	MaxSkew            time.Duration // assumed bound of wall-clock differences between instances
-	Grace              time.Duration // after an entry's deadline, until its holder counts as dead
-	MaxBody            int           // bytes of an answer that are kept
-	MaxShard           int           // estimated bytes of a shard's value; below the store's megabyte
-	WriteInterval      time.Duration // least time between two writes of a shard by one instance
-	Linger             time.Duration // how long an outcome waits for other changes to share its write
-	RetryDelay         time.Duration // pause before outcomes are written again while the store is down
-	MaxQueue           int           // operations waiting for one shard on one instance
+	Retention          time.Duration // how long an outcome is kept, and the highest age of a key with an issue time
+	TombstoneRetention time.Duration // how long a pruned key without an issue time is still refused
+	MaxSkew            time.Duration // assumed bound of the difference between wall clocks of two instances
+	Grace              time.Duration // time after an entry's deadline, besides MaxSkew, before its holder counts as dead
+	MaxBody            int           // largest body of an outcome that is stored, in bytes
+	MaxShard           int           // bound of a shard's estimated size in bytes; below the store's limit of one megabyte
+	WriteInterval      time.Duration // minimum time between two writes of a shard by one instance
+	Linger             time.Duration // how long an outcome waits for other operations to share its write
+	RetryDelay         time.Duration // delay before a retry while the store is unavailable
+	MaxQueue           int           // bound of the queued operations on one shard in one instance
 }
 
-// DefaultLimits are those of the daemon.
+// DefaultLimits returns the limits that the daemon uses.
 func DefaultLimits() Limits {
 	return Limits{
 		Retention:          24 * time.Hour,
@@ -92,60 +94,61 @@
 	}
 }
 
-// OpKind is what an operation asks of a shard.
+// OpKind is the kind of an operation on a shard.
 type OpKind uint8
 
 // The operations.
 const (
-	Claim    OpKind = iota // before dispatch
-	Record                 // keep the outcome of a granted claim
-	Withdraw               // drop a claim whose request certainly did not run
+	Claim    OpKind = iota // claim a key before the request is dispatched
+	Record                 // record the outcome of a granted claim
+	Withdraw               // delete a claim whose request is known not to have run
 )
 
-// Op is one operation on a shard. Applying it twice has the effect of applying it once.
+// Op is one operation on a shard. It is idempotent: applying it twice has the same effect as applying it once.
 type Op struct {
 	Kind        OpKind
 	Key         string
 	Fingerprint string
 	Token       Token
 	Deadline    WallTime
-	Outcome     Outcome // of Record
+	Outcome     Outcome // for Record only
 }
 
-// Verdict is the answer to an operation.
+// Verdict is the result code of an operation.
 type Verdict uint8
 
-// The verdicts. Only Granted allows a dispatch.
+// The verdicts. Only Granted allows the request to be dispatched.
 const (
 	Granted     Verdict = iota
-	Replay              // the key ran: its outcome is returned unchanged
-	InProgress          // another attempt holds the claim and its time is not over
-	Orphaned            // the holder's time is over without an outcome: unknown, never run again
-	KeyReused           // the key stands for another request
-	KeyExpired          // the key is too old: its outcome is no longer kept
-	ShardFull           // the shard has no room: nothing was claimed
-	Unavailable         // the store could not be reached: nothing will be dispatched
-	Done                // Record or Withdraw took effect
+	Replay              // the request has an outcome, which is returned unchanged
+	InProgress          // another attempt holds the claim and may still be running
+	Orphaned            // the holder recorded no outcome in its time: the run is unknown, the request is never run again
+	KeyReused           // the key belongs to a request with another fingerprint
+	KeyExpired          // the key's outcome is no longer kept, or its issue time is outside the accepted range
+	ShardFull           // the shard has no room; the key was not claimed
+	Unavailable         // the claim was not committed, as the store is unavailable, the queue is full or it was canceled
+	Done                // Record or Withdraw needs no further write
 )
 
-// Reasons of this package's decisions, one for each verdict, in the verdicts' order.
+// Reasons lists the reasons of this package's decisions, one for each verdict and indexed by it.
 var Reasons = []decide.Reason{
 	"claim_granted", "claim_replay", "claim_in_progress", "claim_orphaned", "claim_key_reused",
 	"claim_key_expired", "claim_shard_full", "claim_store_unavailable", "claim_done",
 }
 
-// Reason gives the verdict's reason.
+// Reason returns the reason to log for the verdict.
 func (v Verdict) Reason() decide.Reason { return Reasons[v] }
 
-// Result is a verdict with what it needs.
+// Result is the verdict of an operation with the data that belongs to it.
 type Result struct {
 	Verdict    Verdict
-	Outcome    Outcome       // of Replay
-	Run        fault.Run     // what is known of earlier runs of the key
-	RetryAfter time.Duration // when to come back; 0: the kind's default
+	Outcome    Outcome       // for Replay only
+	Run        fault.Run     // whether the request ran in an earlier attempt
+	RetryAfter time.Duration // delay before a retry; 0: the default of the fault's kind
 }
 
-// Fault gives the refusal for a claim that was neither granted nor replayed, else nil.
+// Fault returns the error for a claim that was refused, or whose outcome has no body to replay. It returns nil
+// for other results.
 func (r Result) Fault() *fault.Error {
 	switch r.Verdict {
 	case Granted, Done:
@@ -174,10 +177,11 @@
 	}
 }
 
-// uuidV7 is the UUID version whose first 48 bits are a time.
+// uuidV7 is the UUID version whose first 48 bits are a timestamp.
 const uuidV7 = 7
 
-// Issued gives the time that a key carries in itself, if it does: version 7 UUIDs do.
+// IssueTime returns the time at which an idempotency key was issued. It reports false unless the key is a
+// version 7 UUID, the only form of key that carries its issue time.
 func IssueTime(idempotencyKey string) (WallTime, bool) {
 	id, err := uuid.Parse(idempotencyKey)
 	if err != nil || id.Version() != uuidV7 {
--- a/internal/decide/claim/commit.go
+++ b/internal/decide/claim/commit.go
@@ -6,252 +6,261 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide"
 )
 
-// OpID names an operation towards the shell, unique in its Committer.
+// OpID identifies an operation. It is unique within its Committer.
 type OpID uint64
 
-// Put asks the shell for one conditional write of the shard.
+// Put is a conditional write of the shard that the shell has to send.
 type Put struct {
-	IfVersion uint64
+	IfVersion uint64 // version that the stored shard must have; 0: absent
 	Shard     Shard
 }
 
-// Answer resolves an operation.
+// Response is the final result of an operation.
 type Response struct {
 	ID     OpID
 	Result Result
 }
 
-// Effects are what the shell has to do, in the fields' order. At most one of Read and Put is asked for,
-// and none while an earlier one is not answered.
+// Effects lists what the shell has to do, in the order of the fields. At most one of Read and Put is set, and
+// neither is set while an earlier one is in flight.
 type Effects struct {
 	Responses []Response
 	Read      bool
 	Put       *Put
-	Wake      decide.Instant // call Tick then; 0: no need
+	Wake      decide.Instant // when to call Tick; 0: not needed
 }
 
-// Written is the outcome of a Put.
+// WriteOutcome is the outcome of a Put.
 type WriteOutcome uint8
 
 // The outcomes of a Put.
 const (
 	WriteApplied  WriteOutcome = iota
-	WriteConflict              // conflict: no effect
-	WriteNotSent               // the store is down: no effect
-	WriteUnknown               // the answer was lost: it took effect, or it may yet
+	WriteConflict              // the stored version differed; the write has no effect
+	WriteNotSent               // the store is unavailable; the write has no effect
+	WriteUnknown               // the response was lost; the write took effect or may still do so
 )
 
-// Committer commits operations on one shard together: those that come while a write is under way share
-// the next one. One instance has one Committer a shard; Committers of several instances on the same
-// shard are kept apart by the conditional update alone, so owning a shard is only an optimisation.
+// Committer commits operations on one shard in batches: operations submitted while a write is in flight share
+// the next write. An instance has one Committer per shard. The conditional update alone makes Committers of
+// several instances safe on the same shard, so assigning shards to instances is only an optimization.
 //
-// A write whose answer was lost is settled by reading the shard back and applying the operations anew:
-// they carry tokens, so one that took effect is seen to have done so.
+// After a write whose response was lost, the Committer reads the shard again and applies the operations to it
+// again. The operations carry tokens, which show whether the write took effect.
 type Committer struct {
-	limits  Limits
-	shard   Shard
-	version uint64
-	loaded  bool           // shard and version are what the store held at readAt
-	readAt  decide.Instant // when the read that gave them began
-	reading bool
-	queue   []pending
-	flight  []pending // in the write that is under way
-	lastPut decide.Instant
-	retryAt decide.Instant // outcomes wait until then while the store is down
-	nextID  OpID
+	limits      Limits
+	shard       Shard          // local copy; while a write is in flight, the value being written
+	version     uint64         // of the stored shard that the copy is based on
+	loaded      bool           // shard and version are those in the store at readAt
+	readAt      decide.Instant // when the read, or the write, that returned version was sent
+	reading     bool           // a read is in flight
+	queue       []pendingOp
+	inFlight    []pendingOp // operations of the write in flight
+	lastWriteAt decide.Instant
+	retryAt     decide.Instant // while the store is unavailable: the next attempt to reach it; 0: available
+	nextID      OpID
 }
 
-type pending struct {
-	id  OpID
-	op  Op
-	at  decide.Instant // submitted
-	own bool           // made by the Committer itself: nobody waits for it
+// pendingOp is an operation that is not committed.
+type pendingOp struct {
+	id          OpID
+	op          Op
+	submittedAt decide.Instant
+	internal    bool // created by the Committer, or canceled: has no response
 }
 
-// NewCommitter gives a Committer that has not read its shard yet.
+// NewCommitter returns a Committer that has not read its shard yet.
 func NewCommitter(l Limits) *Committer {
-	return &Committer{limits: l, lastPut: decide.Instant(-l.WriteInterval)}
+	return &Committer{limits: l, lastWriteAt: decide.Instant(-l.WriteInterval)}
 }
 
-// Submit queues an operation. Its answer comes in these or later Effects, under the returned id.
+// Submit queues an operation and returns its id. The response follows in the returned or in later Effects.
 func (c *Committer) Submit(op Op, now decide.Instant, wall WallTime) (OpID, Effects) {
 	c.nextID++
 	id := c.nextID
-	// While the store is known to be down, claims are refused without waiting for it to fail again; the
-	// first one after retryAt tries it.
-	down := op.Kind == Claim && now < c.retryAt
-	if down || len(c.queue) >= c.limits.MaxQueue {
+	// While the store is known to be unavailable, claims are refused at once. The first claim after retryAt
+	// tries the store again.
+	unavailable := op.Kind == Claim && now < c.retryAt
+	if unavailable || len(c.queue) >= c.limits.MaxQueue {
 		return id, Effects{Responses: []Response{{ID: id, Result: Result{Verdict: Unavailable}}}}
 	}
-	c.queue = append(c.queue, pending{id: id, op: op, at: now})
+	c.queue = append(c.queue, pendingOp{id: id, op: op, submittedAt: now})
 	return id, c.step(Effects{}, now, wall)
 }
 
-// Tick lets time pass.
+// Tick starts a read or write that has become due. The shell calls it at Effects.Wake.
 func (c *Committer) Tick(now decide.Instant, wall WallTime) Effects {
 	return c.step(Effects{}, now, wall)
 }
 
-// GiveUp ends the wait for a claim whose request has no time left. Its request is not dispatched, and the
-// claim is withdrawn in case that its write takes effect after all.
+// Cancel ends a claim whose request has no time left with the verdict Unavailable, so that the request is not
+// dispatched. The claim is withdrawn as well, since its write may still take effect.
 func (c *Committer) Cancel(id OpID, now decide.Instant, wall WallTime) Effects {
 	var e Effects
-	c.abandon(&e, now, func(p pending) bool { return p.id == id })
-	for i, p := range c.flight {
-		if p.id == id && !p.own && p.op.Kind == Claim {
+	c.cancelClaims(&e, now, func(p pendingOp) bool { return p.id == id })
+	for i, p := range c.inFlight {
+		if p.id == id && !p.internal && p.op.Kind == Claim {
 			e.Responses = append(e.Responses, Response{ID: id, Result: Result{Verdict: Unavailable}})
-			c.flight[i].own = true
-			c.withdraw(p.op, now)
+			c.inFlight[i].internal = true
+			c.queueWithdrawal(p.op, now)
 		}
 	}
 	return c.step(e, now, wall)
 }
 
-// OnRead takes the answer to a Read: the shard and its version (0: absent), or ok false.
+// OnRead handles the response to a Read: the shard and its version (0: absent). ok is false if the read failed.
 func (c *Committer) OnRead(s Shard, version uint64, ok bool, now decide.Instant, wall WallTime) Effects {
 	c.reading = false
 	var e Effects
 	if !ok {
-		c.storeDown(&e, now)
+		c.onStoreUnavailable(&e, now)
 		return c.step(e, now, wall)
 	}
 	c.shard, c.version, c.loaded, c.retryAt = s, version, true, 0
 	return c.step(e, now, wall)
 }
 
-// OnWrite takes the outcome of the Put; version is the new one after WriteDone.
+// OnWrite handles the outcome of a Put. After WriteApplied, version is the new version of the shard.
 func (c *Committer) OnWrite(w WriteOutcome, version uint64, now decide.Instant, wall WallTime) Effects {
 	var e Effects
-	flight := c.flight
-	c.flight = nil
+	batch := c.inFlight
+	c.inFlight = nil
 	if w == WriteApplied {
-		// Its condition held, so the copy that it was made from was the store's when it was sent.
-		c.version, c.readAt, c.retryAt = version, c.lastPut, 0
-		for _, p := range flight {
-			c.answer(&e, p, grantedOrDone(p.op))
+		// The condition held, so the local copy equalled the stored shard when the write was sent.
+		c.version, c.readAt, c.retryAt = version, c.lastWriteAt, 0
+		for _, p := range batch {
+			c.respond(&e, p, committedResult(p.op))
 		}
 		return c.step(e, now, wall)
 	}
 	c.loaded = false
-	// The operations go back to the head of the queue, as they were: their tokens tell on the next read
-	// whether the write took effect. Claims that were given up are left to their withdrawal.
-	flight = slices.DeleteFunc(flight, func(p pending) bool { return p.own && p.op.Kind == Claim })
-	c.queue = append(flight, c.queue...)
+	// The operations return to the head of the queue unchanged. After the next read, their tokens show whether
+	// the write took effect. Canceled claims are dropped, as their withdrawals are queued.
+	batch = slices.DeleteFunc(batch, func(p pendingOp) bool { return p.internal && p.op.Kind == Claim })
+	c.queue = append(batch, c.queue...)
 	if w == WriteNotSent {
-		c.storeDown(&e, now)
+		c.onStoreUnavailable(&e, now)
 	}
 	return c.step(e, now, wall)
 }
 
-func grantedOrDone(op Op) Result {
+// committedResult returns the result of an operation whose write took effect.
+func committedResult(op Op) Result {
 	if op.Kind == Claim {
 		return Result{Verdict: Granted}
 	}
 	return Result{Verdict: Done}
 }
 
-// storeDown refuses every waiting claim at once: nothing of their requests was dispatched. Outcomes and
-// withdrawals wait for the store.
-func (c *Committer) storeDown(e *Effects, now decide.Instant) {
+// onStoreUnavailable refuses all queued claims at once; none of their requests was dispatched. Outcomes and
+// withdrawals stay queued until the store is available again.
+func (c *Committer) onStoreUnavailable(e *Effects, now decide.Instant) {
 	c.loaded = false
 	c.retryAt = now.Add(c.limits.RetryDelay)
-	c.abandon(e, now, func(pending) bool { return true })
+	c.cancelClaims(e, now, func(pendingOp) bool { return true })
 }
 
-// abandon takes the claims that match out of the queue and answers them as not claimed. A claim that
-// was in a write may stand in the store all the same; its withdrawal follows.
-func (c *Committer) abandon(e *Effects, now decide.Instant, match func(pending) bool) {
-	var rest, given []pending
+// cancelClaims removes the queued claims that match and responds Unavailable to them. As an earlier write of
+// such a claim may have taken effect, it queues a withdrawal for each.
+func (c *Committer) cancelClaims(e *Effects, now decide.Instant, match func(pendingOp) bool) {
+	var remaining, canceled []pendingOp
 	for _, p := range c.queue {
 		if p.op.Kind == Claim && match(p) {
-			given = append(given, p)
+			canceled = append(canceled, p)
 		} else {
-			rest = append(rest, p)
+			remaining = append(remaining, p)
 		}
 	}
-	c.queue = rest
-	for _, p := range given {
-		c.answer(e, p, Result{Verdict: Unavailable})
-		c.withdraw(p.op, now)
+	c.queue = remaining
+	for _, p := range canceled {
+		c.respond(e, p, Result{Verdict: Unavailable})
+		c.queueWithdrawal(p.op, now)
 	}
 }
 
-func (c *Committer) withdraw(claim Op, now decide.Instant) {
+// queueWithdrawal queues an internal Withdraw of a claim.
+func (c *Committer) queueWithdrawal(claim Op, now decide.Instant) {
 	claim.Kind = Withdraw
-	c.queue = append(c.queue, pending{op: claim, at: now, own: true})
+	c.queue = append(c.queue, pendingOp{op: claim, submittedAt: now, internal: true})
 }
 
-func (c *Committer) answer(e *Effects, p pending, r Result) {
-	if !p.own {
+// respond adds the response of an operation to the effects, unless the operation is internal.
+func (c *Committer) respond(e *Effects, p pendingOp, r Result) {
+	if !p.internal {
 		e.Responses = append(e.Responses, Response{ID: p.id, Result: r})
 	}
 }
 
-// step starts the next read or write when one is due.
+// step starts the next read or write if one is due, else sets the time at which it will be.
 func (c *Committer) step(e Effects, now decide.Instant, wall WallTime) Effects {
-	if c.reading || len(c.flight) > 0 || len(c.queue) == 0 {
+	if c.reading || len(c.inFlight) > 0 || len(c.queue) == 0 {
 		return e
 	}
-	if at := c.due(); now < at {
+	if at := c.nextStepAt(); now < at {
 		e.Wake = at
 		return e
 	}
 	if !c.loaded {
-		return c.read(e, now)
+		return c.startRead(e, now)
 	}
-	return c.apply(e, now, wall)
+	return c.applyQueue(e, now, wall)
 }
 
-// due is when the next read or write may go: with a claim at once, else after a linger in which a claim
-// may come to share the write.
-func (c *Committer) due() decide.Instant {
-	soonest := c.lastPut.Add(c.limits.WriteInterval)
-	if slices.ContainsFunc(c.queue, func(p pending) bool { return p.op.Kind == Claim }) {
-		return soonest
+// nextStepAt returns when the next read or write may start, WriteInterval after the last write at the earliest.
+// If no claim is queued, it also waits until retryAt and until Linger after the submission of the first queued
+// operation, so that a claim can share the write.
+func (c *Committer) nextStepAt() decide.Instant {
+	earliest := c.lastWriteAt.Add(c.limits.WriteInterval)
+	if slices.ContainsFunc(c.queue, func(p pendingOp) bool { return p.op.Kind == Claim }) {
+		return earliest
 	}
-	return max(soonest, c.queue[0].at.Add(c.limits.Linger), c.retryAt)
+	return max(earliest, c.queue[0].submittedAt.Add(c.limits.Linger), c.retryAt)
 }
 
-func (c *Committer) read(e Effects, now decide.Instant) Effects {
+// startRead adds a read of the shard to the effects.
+func (c *Committer) startRead(e Effects, now decide.Instant) Effects {
 	c.reading, c.readAt = true, now
 	e.Read = true
 	return e
 }
 
-// apply works the queue on the known shard. What needs no write is answered if the shard was read since
-// it was submitted; from an older copy only a recorded outcome is, since that never changes.
-func (c *Committer) apply(e Effects, now decide.Instant, wall WallTime) Effects {
+// applyQueue applies the queued operations to the local copy of the shard and starts their write. An operation
+// that needs no write gets its response if the copy was read after the operation was submitted. From an older
+// copy only a Replay is returned, since a recorded outcome never changes. Other operations stay queued for a new
+// read, which starts at once if there is nothing to write.
+func (c *Committer) applyQueue(e Effects, now decide.Instant, wall WallTime) Effects {
 	next := c.limits.Prune(c.shard, wall)
-	var writes, stale []pending
+	var writes, stale []pendingOp
 	for _, p := range c.queue {
 		s, changed, r := c.limits.Apply(next, p.op, wall)
 		switch {
 		case changed:
 			next = s
 			writes = append(writes, p)
-		case c.readAt < p.at && r.Verdict != Replay:
+		case c.readAt < p.submittedAt && r.Verdict != Replay:
 			stale = append(stale, p)
 		default:
-			c.answer(&e, p, r)
+			c.respond(&e, p, r)
 		}
 	}
 	c.queue = stale
 	if len(writes) > 0 {
-		c.flight, c.lastPut = writes, now
+		c.inFlight, c.lastWriteAt = writes, now
 		e.Put = &Put{IfVersion: c.version, Shard: next}
 		c.shard = next
 		return e
 	}
 	if len(stale) > 0 {
-		return c.read(e, now)
+		return c.startRead(e, now)
 	}
 	return e
 }
 
-// Idle tells whether nothing waits: the shell may forget an idle Committer.
+// Idle reports whether no operation is queued and no read or write is in flight. The shell may discard an idle
+// Committer.
 func (c *Committer) Idle() bool {
-	return !c.reading && len(c.flight) == 0 && len(c.queue) == 0
+	return !c.reading && len(c.inFlight) == 0 && len(c.queue) == 0
 }
 
-// Waiting is the number of operations that are not committed.
-func (c *Committer) Pending() int { return len(c.queue) + len(c.flight) }
+// Pending returns the number of operations that are queued or in flight.
+func (c *Committer) Pending() int { return len(c.queue) + len(c.inFlight) }
--- a/internal/decide/claim/interleave_test.go
+++ b/internal/decide/claim/interleave_test.go
@@ -15,6 +15,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/fault"
 )
 
+// encode returns the stored form of a shard.
 func encode(s claim.Shard) []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -23,248 +24,265 @@
 	return b
 }
 
-// world is two entries, one store and one service in virtual time. Every message is delivered, delayed or
-// lost as rapid draws it.
-type world struct {
-	t       *rapid.T
-	now     decide.Instant
-	limits  claim.Limits
-	entries []*entry
-	stored  claim.Shard
-	version uint64
-	late    []claim.Put // writes that are still on their way although their sender gave up on them
-	runs    map[string]int
-	ran     map[claim.Token]bool
-	first   map[string]claim.Outcome // what the one run of a key gave
-	tokens  int
-	unsafe  bool // the guard is switched off
+// simulation runs two instances, one store and one upstream service in virtual time. Rapid draws whether a
+// message is delivered, delayed or lost.
+type simulation struct {
+	t             *rapid.T
+	now           decide.Instant
+	limits        claim.Limits
+	instances     []*instance
+	stored        claim.Shard
+	version       uint64
+	delayedWrites []claim.Put // writes in flight whose sender no longer waits for a response
+	runsByKey     map[string]int
+	ranTokens     map[claim.Token]bool
+	outcomes      map[string]claim.Outcome // by key: the outcome of its run
+	tokens        int
+	unconditional bool // the store ignores the writes' conditions
 }
 
-type entry struct {
-	c       *claim.Committer
-	effects claim.Effects
-	asked   map[claim.OpID]claim.Op
+// instance is one instance's Committer with the operations submitted to it.
+type instance struct {
+	committer *claim.Committer
+	effects   claim.Effects // the read or write in flight
+	submitted map[claim.OpID]claim.Op
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
+// newSimulation returns a simulation with an empty store.
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{
 		t: t, limits: claim.DefaultLimits(), version: 1,
-		runs: map[string]int{}, ran: map[claim.Token]bool{}, first: map[string]claim.Outcome{},
+		runsByKey: map[string]int{}, ranTokens: map[claim.Token]bool{}, outcomes: map[string]claim.Outcome{},
 	}
-	w.entries = []*entry{w.boot(), w.boot()}
-	return w
+	s.instances = []*instance{s.newInstance(), s.newInstance()}
+	return s
 }
 
-func (w *world) boot() *entry {
-	return &entry{c: claim.NewCommitter(w.limits), asked: map[claim.OpID]claim.Op{}}
+// newInstance returns an instance that has just started.
+func (s *simulation) newInstance() *instance {
+	return &instance{committer: claim.NewCommitter(s.limits), submitted: map[claim.OpID]claim.Op{}}
 }
 
-func (w *world) wall() claim.WallTime { return now + claim.WallTime(w.now/1e6) }
+// wall returns the virtual wall-clock time.
+func (s *simulation) wall() claim.WallTime { return now + claim.WallTime(s.now/1e6) }
 
-func (w *world) pick() *entry {
-	return w.entries[rapid.IntRange(0, len(w.entries)-1).Draw(w.t, "entry")]
+// pickInstance draws an instance.
+func (s *simulation) pickInstance() *instance {
+	return s.instances[rapid.IntRange(0, len(s.instances)-1).Draw(s.t, "entry")]
 }
 
-// take keeps the effects for later and works the answers off.
-func (w *world) take(e *entry, effects claim.Effects) {
+// handleEffects keeps a read or write for a later storeCall and handles the responses.
+func (s *simulation) handleEffects(inst *instance, effects claim.Effects) {
 	if effects.Read || effects.Put != nil {
-		e.effects = effects
+		inst.effects = effects
 	}
-	life := e.c
-	for _, a := range effects.Responses {
-		if e.c == life { // a dead entry takes no answers
-			w.answered(e, e.asked[a.ID], a.Result)
+	committer := inst.committer
+	for _, r := range effects.Responses {
+		if inst.committer == committer { // an instance that crashed meanwhile handles no more responses
+			s.handleResponse(inst, inst.submitted[r.ID], r.Result)
 		}
 	}
 }
 
-func (w *world) submit(e *entry, op claim.Op) {
-	id, effects := e.c.Submit(op, w.now, w.wall())
-	e.asked[id] = op
-	w.take(e, effects)
+// submit submits an operation to an instance's Committer and handles the effects.
+func (s *simulation) submit(inst *instance, op claim.Op) {
+	id, effects := inst.committer.Submit(op, s.now, s.wall())
+	inst.submitted[id] = op
+	s.handleEffects(inst, effects)
 }
 
-func (w *world) answered(e *entry, op claim.Op, r claim.Result) {
+// handleResponse dispatches the request of a granted claim. It fails the test if a replayed outcome differs from the
+// recorded one, or if a request that ran is reported as not run.
+func (s *simulation) handleResponse(inst *instance, op claim.Op, r claim.Result) {
 	if op.Kind != claim.Claim {
 		return
 	}
 	switch {
 	case r.Verdict == claim.Granted:
-		w.dispatch(e, op)
+		s.dispatch(inst, op)
 	case r.Verdict == claim.Replay:
-		if string(r.Outcome.Body) != string(w.first[op.Key].Body) {
-			w.t.Fatalf("replayed %s, ran as %s", r.Outcome.Body, w.first[op.Key].Body)
+		if string(r.Outcome.Body) != string(s.outcomes[op.Key].Body) {
+			s.t.Fatalf("replayed %s, ran as %s", r.Outcome.Body, s.outcomes[op.Key].Body)
 		}
-	case r.Fault().Run == fault.RunNo && w.ran[op.Token]:
-		w.t.Fatalf("said not run of %s, which ran", op.Token)
+	case r.Fault().Run == fault.RunNo && s.ranTokens[op.Token]:
+		s.t.Fatalf("request %s was reported as not run, but it ran", op.Token)
 	}
 }
 
-// dispatch sends the request to the service, which runs it or refuses it; its answer may be lost.
-func (w *world) dispatch(e *entry, op claim.Op) {
-	switch rapid.SampledFrom([]string{"runs", "answer lost", "not started", "entry dies"}).Draw(w.t, "service") {
+// dispatch sends the request of a granted claim to the service. The service runs or refuses it, its response is
+// lost, or the instance crashes before the response.
+func (s *simulation) dispatch(inst *instance, op claim.Op) {
+	switch rapid.SampledFrom([]string{"runs", "answer lost", "not started", "entry dies"}).Draw(s.t, "service") {
 	case "runs":
-		w.run(op)
-		op.Kind, op.Outcome = claim.Record, w.first[op.Key]
+		s.run(op)
+		op.Kind, op.Outcome = claim.Record, s.outcomes[op.Key]
 	case "answer lost":
-		w.run(op)
+		s.run(op)
 		body := []byte("unknown " + string(op.Token))
-		w.first[op.Key] = claim.Outcome{Run: fault.RunUnknown, Status: 502, Body: body}
-		op.Kind, op.Outcome = claim.Record, w.first[op.Key]
+		s.outcomes[op.Key] = claim.Outcome{Run: fault.RunUnknown, Status: 502, Body: body}
+		op.Kind, op.Outcome = claim.Record, s.outcomes[op.Key]
 	case "not started":
 		op.Kind = claim.Withdraw
 	default:
-		w.run(op)
-		w.crash(e)
+		s.run(op)
+		s.crash(inst)
 		return
 	}
-	w.submit(e, op)
+	s.submit(inst, op)
 }
 
-func (w *world) run(op claim.Op) {
-	w.runs[op.Key]++
-	w.ran[op.Token] = true
-	w.first[op.Key] = claim.Outcome{Run: fault.RunYes, Status: 200, Body: []byte("ran " + string(op.Token))}
-	if w.runs[op.Key] > 1 {
-		w.t.Fatalf("%s ran %d times", op.Key, w.runs[op.Key])
+// run runs a request on the service. It fails the test if the key has run before.
+func (s *simulation) run(op claim.Op) {
+	s.runsByKey[op.Key]++
+	s.ranTokens[op.Token] = true
+	s.outcomes[op.Key] = claim.Outcome{Run: fault.RunYes, Status: 200, Body: []byte("ran " + string(op.Token))}
+	if s.runsByKey[op.Key] > 1 {
+		s.t.Fatalf("%s ran %d times", op.Key, s.runsByKey[op.Key])
 	}
 }
 
-// crash replaces an entry; a write that it had sent may land later.
-func (w *world) crash(e *entry) {
-	if e.effects.Put != nil {
-		w.late = append(w.late, *e.effects.Put)
+// crash restarts an instance. A write that it had in flight may still take effect.
+func (s *simulation) crash(inst *instance) {
+	if inst.effects.Put != nil {
+		s.delayedWrites = append(s.delayedWrites, *inst.effects.Put)
 	}
-	*e = *w.boot()
+	*inst = *s.newInstance()
 }
 
-func (w *world) land(p claim.Put) bool {
-	if p.IfVersion != w.version && !w.unsafe {
+// applyWrite applies a write to the store and reports whether its condition held.
+func (s *simulation) applyWrite(p claim.Put) bool {
+	if p.IfVersion != s.version && !s.unconditional {
 		return false
 	}
-	w.stored, w.version = p.Shard, w.version+1
+	s.stored, s.version = p.Shard, s.version+1
 	return true
 }
 
-func (w *world) request(*rapid.T) {
-	w.tokens++
-	key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(w.t, "key")
-	w.submit(w.pick(), claim.Op{
+// request submits a claim for one of three keys to an instance.
+func (s *simulation) request(*rapid.T) {
+	s.tokens++
+	key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(s.t, "key")
+	s.submit(s.pickInstance(), claim.Op{
 		Kind: claim.Claim, Key: claim.FullKey("ws", key), Fingerprint: key,
-		Token: claim.Token(fmt.Sprint("t", w.tokens)), Deadline: w.wall().Add(5 * time.Second),
+		Token: claim.Token(fmt.Sprint("t", s.tokens)), Deadline: s.wall().Add(5 * time.Second),
 	})
 }
 
-// store answers the entry's read or write, or loses it in one of the ways it can be lost.
-func (w *world) store(*rapid.T) {
-	e := w.pick()
-	effects := e.effects
-	e.effects = claim.Effects{}
-	lost := rapid.SampledFrom([]string{"", "", "", "answer", "request", "late", "down"}).Draw(w.t, "lost")
+// storeCall completes the read or write that an instance has in flight, or loses its request or response.
+func (s *simulation) storeCall(*rapid.T) {
+	inst := s.pickInstance()
+	effects := inst.effects
+	inst.effects = claim.Effects{}
+	lost := rapid.SampledFrom([]string{"", "", "", "answer", "request", "late", "down"}).Draw(s.t, "lost")
 	switch {
 	case effects.Read:
-		w.take(e, e.c.OnRead(w.stored, w.version, lost == "", w.now, w.wall()))
+		s.handleEffects(inst, inst.committer.OnRead(s.stored, s.version, lost == "", s.now, s.wall()))
 	case effects.Put != nil:
-		w.take(e, e.c.OnWrite(w.write(*effects.Put, lost), w.version, w.now, w.wall()))
+		s.handleEffects(inst, inst.committer.OnWrite(s.deliverWrite(*effects.Put, lost), s.version, s.now, s.wall()))
 	}
 }
 
-func (w *world) write(p claim.Put, lost string) claim.WriteOutcome {
+// deliverWrite delivers a write unless it is lost, and returns the outcome that the instance sees.
+func (s *simulation) deliverWrite(p claim.Put, lost string) claim.WriteOutcome {
 	switch lost {
 	case "down":
 		return claim.WriteNotSent
 	case "request":
 		return claim.WriteUnknown
 	case "late":
-		w.late = append(w.late, p)
+		s.delayedWrites = append(s.delayedWrites, p)
 		return claim.WriteUnknown
 	}
-	done := w.land(p)
+	applied := s.applyWrite(p)
 	switch {
 	case lost == "answer":
 		return claim.WriteUnknown
-	case done:
+	case applied:
 		return claim.WriteApplied
 	default:
 		return claim.WriteConflict
 	}
 }
 
-func (w *world) deliverLate(*rapid.T) {
-	if len(w.late) == 0 {
+// delayedWrite delivers a write whose sender no longer waits for a response.
+func (s *simulation) delayedWrite(*rapid.T) {
+	if len(s.delayedWrites) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.late)-1).Draw(w.t, "late")
-	p := w.late[i]
-	w.late = slices.Delete(w.late, i, i+1)
-	w.land(p)
+	i := rapid.IntRange(0, len(s.delayedWrites)-1).Draw(s.t, "late")
+	p := s.delayedWrites[i]
+	s.delayedWrites = slices.Delete(s.delayedWrites, i, i+1)
+	s.applyWrite(p)
 }
 
-func (w *world) giveUp(*rapid.T) {
-	e := w.pick()
-	for id := claim.OpID(1); int(id) <= len(e.asked); id++ {
-		if e.asked[id].Kind == claim.Claim && rapid.Bool().Draw(w.t, "give up") {
-			w.take(e, e.c.Cancel(id, w.now, w.wall()))
+// cancelOne cancels a claim of an instance.
+func (s *simulation) cancelOne(*rapid.T) {
+	inst := s.pickInstance()
+	for id := claim.OpID(1); int(id) <= len(inst.submitted); id++ {
+		if inst.submitted[id].Kind == claim.Claim && rapid.Bool().Draw(s.t, "give up") {
+			s.handleEffects(inst, inst.committer.Cancel(id, s.now, s.wall()))
 			return
 		}
 	}
 }
 
-func (w *world) tick(*rapid.T) {
+// tick advances the virtual time and calls an instance's Tick.
+func (s *simulation) tick(*rapid.T) {
 	steps := []time.Duration{time.Millisecond, 50 * time.Millisecond, time.Second, time.Minute, 25 * time.Hour}
-	w.now = w.now.Add(rapid.SampledFrom(steps).Draw(w.t, "time"))
-	e := w.pick()
-	w.take(e, e.c.Tick(w.now, w.wall()))
+	s.now = s.now.Add(rapid.SampledFrom(steps).Draw(s.t, "time"))
+	inst := s.pickInstance()
+	s.handleEffects(inst, inst.committer.Tick(s.now, s.wall()))
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+// actions returns the actions among which rapid draws each step.
+func (s *simulation) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"request": w.request, "store": w.store, "store 2": w.store, "store 3": w.store, "late write": w.deliverLate,
-		"give up": w.giveUp, "tick": w.tick,
-		"crash": func(*rapid.T) { w.crash(w.pick()) },
+		"request": s.request, "store": s.storeCall, "store 2": s.storeCall, "store 3": s.storeCall, "late write": s.delayedWrite,
+		"give up": s.cancelOne, "tick": s.tick,
+		"crash": func(*rapid.T) { s.crash(s.pickInstance()) },
 	}
 }
 
-// A guest books a hut; the answer is lost, the client repeats through another entry, and the family pays
-// twice. Somewhere between claim, write, dispatch, answer and record a message was lost or an entry died.
-// Over drawn interleavings: no key runs twice, "not run" is never said of what ran, and a recorded
-// outcome comes back unchanged.
+// Guards against running a request twice when a message is lost or an instance crashes between claim, write,
+// dispatch, response and record, and the client repeats the request through another instance. Checks over drawn
+// interleavings that no key runs twice, that no request that ran is reported as not run, and that a recorded
+// outcome is replayed unchanged.
 func TestAtMostOnceOverInterleavings(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "5", "rapid.checks": "4000", "rapid.steps": "80"} {
 		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
 		}
 	}
-	rapid.Check(t, func(t *rapid.T) { t.Repeat(newWorld(t).actions()) })
+	rapid.Check(t, func(t *rapid.T) { t.Repeat(newSimulation(t).actions()) })
 }
 
-// The same two entries with and without the store's condition: without it both claims are granted, so
-// the condition is what carries the promise.
+// Checks that one of two concurrent claims is granted if the store checks the writes' conditions, and both if it
+// doesn't. The guarantee rests on the conditional update.
 func TestConditionalUpdateCarriesThePromise(t *testing.T) {
-	for _, guard := range []bool{false, true} {
+	for _, conditional := range []bool{false, true} {
 		granted := 0
 		stored, version := claim.Shard{}, uint64(1)
-		var entries []*claim.Committer
+		var committers []*claim.Committer
 		var puts []*claim.Put
 		for i := range 2 {
 			c := claim.NewCommitter(claim.DefaultLimits())
 			c.Submit(op(claim.Claim, claim.Token(fmt.Sprint("t", i))), 0, now)
-			entries, puts = append(entries, c), append(puts, c.OnRead(stored, version, true, 1, now).Put)
+			committers, puts = append(committers, c), append(puts, c.OnRead(stored, version, true, 1, now).Put)
 		}
-		for i, c := range entries {
-			written := claim.WriteConflict
-			if puts[i].IfVersion == version || !guard {
-				version, written = version+1, claim.WriteApplied
+		for i, c := range committers {
+			outcome := claim.WriteConflict
+			if puts[i].IfVersion == version || !conditional {
+				version, outcome = version+1, claim.WriteApplied
 			}
-			for _, a := range c.OnWrite(written, version, 2, now).Responses {
-				if a.Result.Verdict == claim.Granted {
+			for _, r := range c.OnWrite(outcome, version, 2, now).Responses {
+				if r.Result.Verdict == claim.Granted {
 					granted++
 				}
 			}
 		}
-		want := map[bool]int{false: 2, true: 1}[guard]
+		want := map[bool]int{false: 2, true: 1}[conditional]
 		if granted != want {
-			t.Fatalf("guard %v: %d grants, want %d", guard, granted, want)
+			t.Fatalf("conditional updates %v: %d grants, want %d", conditional, granted, want)
 		}
 	}
 }
