--- a/internal/decide/plan/cases_test.go
+++ b/internal/decide/plan/cases_test.go
@@ -10,6 +10,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/plan"
 )
 
+// engines returns n engines in three failure domains, all with the same memory and loaded models.
 func engines(n int, memory int64, loaded ...api.Loaded) []plan.Engine {
 	var all []plan.Engine
 	for i := range n {
@@ -21,12 +22,13 @@
 	return all
 }
 
+// model returns the intent for model m.
 func model(version string, replicas, floor int) api.Model {
 	return api.Model{Name: "m", Version: version, Replicas: replicas, Floor: floor, Memory: 10, Gigabyte: 40}
 }
 
-// A version is replaced in place with one load, an engine at a time where the floor needs the rest, and
-// the cost is shown.
+// Checks that a version is replaced in place with one load per engine, one engine at a time if the floor needs the
+// others, and that the plan contains the cost.
 func TestVersionChangeInPlace(t *testing.T) {
 	is := is.New(t)
 	in := plan.Input{
@@ -36,11 +38,11 @@
 	r := plan.Make(in)
 	is.Equal(r.Reason, plan.Planned)
 	is.Equal(r.Cost, api.Cost{Loads: 3, Gigabytes: 120, MinSeconds: 120})
-	is.Equal(len(stages(r.Steps)), 3)
+	is.Equal(len(groupByStage(r.Steps)), 3)
 }
 
-// Where all replicas are needed, a spare engine takes the new version first and the others follow one by
-// one; a fleet without a spare is rejected in words, and forced only on demand.
+// Checks that, if the floor needs all replicas, a spare engine loads the new version first. Without a spare engine
+// the plan is rejected, unless it is forced.
 func TestVersionChangeWithAllReplicasNeeded(t *testing.T) {
 	is := is.New(t)
 	in := plan.Input{
@@ -59,11 +61,11 @@
 	in.Force = true
 	r = plan.Make(in)
 	is.Equal(r.Reason, plan.ForcedBelowFloor)
-	is.Equal(len(stages(r.Steps)), 3) // one engine at a time
+	is.Equal(len(groupByStage(r.Steps)), 3) // one engine at a time
 }
 
-// A floor of one does not let a version change take a whole model but one engine out at once.
-func TestSwapsAreBoundedPerStage(t *testing.T) {
+// Checks that a version change with a floor of one doesn't take all engines but one out of service at once.
+func TestSwapsPerStageAreLimited(t *testing.T) {
 	is := is.New(t)
 	in := plan.Input{
 		Before: api.Intent{Models: []api.Model{model("1", 12, 1)}}, After: api.Intent{Models: []api.Model{model("2", 12, 1)}},
@@ -71,26 +73,28 @@
 	}
 	r := plan.Make(in)
 	is.Equal(r.Reason, plan.Planned)
-	is.Equal(len(stages(r.Steps)), 4) // a quarter each
+	is.Equal(len(groupByStage(r.Steps)), 4) // a quarter of the replicas in each
 	is.Equal(r.Impact, []string{"model m: down to 9 of 12 engines on the way, its floor is 1; cached prefixes of the others are lost"})
 }
 
-// Replicas stand in distinct failure domains, and one that stood alone is moved.
+// Checks that replicas are placed in different failure domains, and that one of two replicas in the same failure
+// domain is moved to another.
 func TestReplicasSpreadOverFailureDomains(t *testing.T) {
 	is := is.New(t)
 	in := plan.Input{After: api.Intent{Models: []api.Model{model("1", 3, 2)}}, Engines: engines(9, 10)}
 	r := plan.Make(in)
-	is.Equal(domains(in, r), 3)
+	is.Equal(countTargetDomains(in, r), 3)
 	in.After.Models[0].Replicas = 2
 	for _, i := range []int{0, 3} { // both in d0
 		in.Engines[i].Loaded = []api.Loaded{{Model: "m", Version: "1"}}
 	}
 	r = plan.Make(in)
-	is.Equal(domains(in, r), 2)
+	is.Equal(countTargetDomains(in, r), 2)
 	is.Equal(len(r.Steps), 2) // one load, one unload
 }
 
-func domains(in plan.Input, r plan.Result) int {
+// countTargetDomains returns the number of failure domains in which the target places models.
+func countTargetDomains(in plan.Input, r plan.Result) int {
 	seen := map[string]bool{}
 	for i, p := range r.Target {
 		if len(p.Loaded) > 0 {
@@ -100,7 +104,8 @@
 	return len(seen)
 }
 
-func TestAdaptersFollowTheirModel(t *testing.T) {
+// Checks that the adapters of a loaded model are changed to those of the intent.
+func TestAdaptersAreLoadedAndUnloaded(t *testing.T) {
 	is := is.New(t)
 	m := model("1", 1, 1)
 	m.Adapters = []string{"b", "a"}
--- a/internal/decide/plan/plan.go
+++ b/internal/decide/plan/plan.go
@@ -1,10 +1,11 @@
-// Package plan works out how a fleet of engines gets from what it has loaded to what an intent wants: a
-// target placement with the least movement, and ordered stages of steps that keep every served model at
-// its floor on the way.
+// Package plan computes how a fleet of engines gets from what it has loaded to what an intent asks for: a target
+// placement with few changes, and the loads and unloads that lead to it, ordered in stages.
 //
-// Promise: no step of a plan takes a served model below its floor, or out of its second failure domain.
-// Carried by a rule that holds locally in the plan: the steps of a stage may run in any order, and each
-// stage is checked as if all its unloads had happened and none of its loads.
+// A model's floor is the minimum number of engines that serve it at any time.
+//
+// Guarantee: no step of a plan takes a served model below its floor or out of its second failure domain. The
+// steps of a stage may run in any order on different engines. Each stage is therefore checked as if all of its
+// unloads had happened and none of its loads.
 package plan
 
 import (
@@ -16,70 +17,70 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide"
 )
 
-// Reasons of a plan.
+// The reasons of a plan.
 const (
 	NothingToDo      decide.Reason = "nothing_to_do"
 	Planned          decide.Reason = "planned"
-	ReplicasDoNotFit decide.Reason = "replicas_do_not_fit"  // fewer replicas than wanted, floors kept
-	BelowFloor       decide.Reason = "below_floor"          // the target or the change itself breaks a floor
-	NoSafeOrder      decide.Reason = "no_order_keeps_floor" // every order of steps breaks a floor
-	ForcedBelowFloor decide.Reason = "forced_below_floor"   // one of the last two, accepted by the operator
+	ReplicasDoNotFit decide.Reason = "replicas_do_not_fit"  // fewer replicas than wanted, but all floors are kept
+	BelowFloor       decide.Reason = "below_floor"          // the target, or the change itself before any step, breaks a floor
+	NoSafeOrder      decide.Reason = "no_order_keeps_floor" // no order of steps that the planner found keeps all floors
+	ForcedBelowFloor decide.Reason = "forced_below_floor"   // BelowFloor or NoSafeOrder, but forced by the operator
 )
 
 // Reasons lists every reason that Make returns.
 var Reasons = []decide.Reason{NothingToDo, Planned, ReplicasDoNotFit, BelowFloor, NoSafeOrder, ForcedBelowFloor}
 
-// Engine is one engine as the planner sees it.
+// Engine is the planner's input about one engine.
 type Engine struct {
 	ID              string
 	Domain          string
-	Memory          int64 // tokens; 0: not known, taken as enough
+	Memory          int64 // tokens; 0: not known, assumed to be enough
 	Loaded          []api.Loaded
 	AvailableBefore bool // takes new work before the change
-	AvailableAfter  bool // takes new work after the change; others get no steps
+	AvailableAfter  bool // takes new work after the change; otherwise it gets no steps
 }
 
-// Input is what a plan is made from.
+// Input is the input of Make.
 type Input struct {
-	Before     api.Intent // in force; sizes of versions that go
+	Before     api.Intent // the intent in force; gives the sizes of versions that are replaced
 	After      api.Intent
-	Engines    []Engine // any order
-	WeightRate int64    // weight store's, in gigabytes an hour; 0: not known
-	Force      bool     // give steps even where they break a floor
+	Engines    []Engine // in any order
+	WeightRate int64    // rate of the weight store in gigabytes per hour; 0: not known
+	Force      bool     // return steps even if they break a floor
 }
 
-// Result is a plan's part that concerns engines. A rejected one has a Rejected line and no steps.
+// Result is the part of a plan that concerns engines. A rejected plan has no steps.
 type Result struct {
 	Reason   decide.Reason
-	Rejected string // why, in words
+	Rejected string // why the plan is rejected; empty if it isn't
 	Steps    []api.Step
 	Target   []api.Placement
-	Floors   map[string]int // by model: engines that serve at every step
+	Floors   map[string]int // by model: minimum number of engines that serve it at every step
 	Cost     api.Cost
 	Summary  []string
-	Impact   []string
+	Impact   []string // what callers lose, one sentence an item
 }
 
-// Make plans. It gives the same result for the same engines and models in any order.
+// Make computes a plan. The result doesn't depend on the order of engines and models in the input.
 func Make(in Input) Result {
 	p := newPlanner(in)
-	target := p.settleTarget()
-	r := Result{Target: p.placements(target), Floors: p.floors}
-	short := p.shortages(target)
-	broken := p.brokenFloors(target)
-	staged := p.stage(target)
-	r.Steps, r.Cost = staged.steps, cost(staged.steps, in.WeightRate)
-	r.Summary = p.summary(staged.steps)
-	r.Impact = append(append(slices.Clone(broken), staged.broken...), short...)
-	r.Impact = append(r.Impact, p.losses(staged.lowest)...)
+	target := p.stableTarget()
+	r := Result{Target: p.apiPlacements(target), Floors: p.floors}
+	shortages := p.describeShortages(target)
+	broken := p.describeBrokenFloors(target)
+	scheduled := p.schedule(target)
+	r.Steps, r.Cost = scheduled.steps, cost(scheduled.steps, in.WeightRate)
+	r.Summary = p.summarize(scheduled.steps)
+	r.Impact = append(append(slices.Clone(broken), scheduled.brokenFloors...), shortages...)
+	r.Impact = append(r.Impact, p.describeLosses(scheduled.minServing)...)
 	switch {
-	case (len(broken) > 0 || len(staged.broken) > 0) && in.Force:
+	case (len(broken) > 0 || len(scheduled.brokenFloors) > 0) && in.Force:
 		r.Reason = ForcedBelowFloor
 	case len(broken) > 0:
 		return reject(BelowFloor, broken)
-	case len(staged.broken) > 0:
-		return reject(NoSafeOrder, staged.broken)
-	case len(short) > 0:
+	case len(scheduled.brokenFloors) > 0:
+		return reject(NoSafeOrder, scheduled.brokenFloors)
+	case len(shortages) > 0:
 		r.Reason = ReplicasDoNotFit
 	case len(r.Steps) == 0:
 		r.Reason = NothingToDo
@@ -89,12 +90,15 @@
 	return r
 }
 
+// reject returns the result of a plan that breaks floors.
 func reject(reason decide.Reason, lines []string) Result {
 	return Result{Reason: reason, Rejected: strings.Join(lines, "; ")}
 }
 
 const secondsPerHour = 3600
 
+// cost sums up the steps. MinSeconds is the time that the weight store needs for the loads at rate, in gigabytes per
+// hour, rounded up.
 func cost(steps []api.Step, rate int64) api.Cost {
 	var c api.Cost
 	for _, s := range steps {
@@ -111,37 +115,38 @@
 	return c
 }
 
-// ref names one model version.
-type ref struct{ model, version string }
+// modelVersion identifies one version of a model.
+type modelVersion struct{ model, version string }
 
-// loads is what one engine has loaded: the version of each model. An engine has one version of a model;
-// loading another replaces it (docs/UPSTREAMS.md).
-type loads map[string]string
+// loadedModels is what one engine has loaded: the version by model. An engine holds at most one version of a
+// model; loading another one replaces it (docs/UPSTREAMS.md).
+type loadedModels map[string]string
 
-// size is what one model version takes.
+// size is the size of one model version.
 type size struct {
-	memory   int64
-	gigabyte int64
+	memory    int64 // that it takes on an engine, in tokens
+	gigabytes int64 // of weights to load
 }
 
-// planner holds the sorted input and what is derived from it.
+// planner holds the sorted input and the data derived from it.
 type planner struct {
-	engines []Engine    // sorted by id
-	models  []api.Model // largest first, then by name
-	wanted  map[string]*api.Model
-	sizes   map[ref]size
-	floors  map[string]int // by model: replicas that every step keeps
-	spread  map[string]int // by model: failure domains that every step keeps
+	engines    []Engine              // sorted by id
+	models     []api.Model           // largest first, then by name
+	wanted     map[string]*api.Model // by name
+	sizes      map[modelVersion]size
+	floors     map[string]int // by model: engines that every step keeps serving
+	minDomains map[string]int // by model: failure domains that every step keeps served
 }
 
-// placement is what every engine has loaded, by its index in planner.engines.
-type placement []loads
+// placement is what each engine has loaded, indexed like planner.engines.
+type placement []loadedModels
 
+// newPlanner returns a planner for the input.
 func newPlanner(in Input) *planner {
 	p := &planner{
 		engines: slices.Clone(in.Engines), models: slices.Clone(in.After.Models),
-		wanted: map[string]*api.Model{}, sizes: map[ref]size{},
-		floors: map[string]int{}, spread: map[string]int{},
+		wanted: map[string]*api.Model{}, sizes: map[modelVersion]size{},
+		floors: map[string]int{}, minDomains: map[string]int{},
 	}
 	slices.SortFunc(p.engines, func(a, b Engine) int { return strings.Compare(a.ID, b.ID) })
 	slices.SortFunc(p.models, func(a, b api.Model) int {
@@ -151,24 +156,24 @@
 		return strings.Compare(a.Name, b.Name)
 	})
 	for _, m := range append(slices.Clone(in.Before.Models), in.After.Models...) {
-		p.sizes[ref{m.Name, m.Version}] = size{memory: m.Memory, gigabyte: m.Gigabyte}
+		p.sizes[modelVersion{m.Name, m.Version}] = size{memory: m.Memory, gigabytes: m.Gigabyte}
 	}
 	for i := range p.models {
 		m := &p.models[i]
 		p.wanted[m.Name] = m
-		before, domains := p.servedBefore(m.Name)
+		before, domains := p.countBefore(m.Name)
 		p.floors[m.Name] = min(m.MinServing(), before)
-		p.spread[m.Name] = min(wantedDomains, m.MinServing(), domains)
+		p.minDomains[m.Name] = min(targetDomains, m.MinServing(), domains)
 	}
 	return p
 }
 
-// wantedDomains is in how many failure domains a model with enough replicas is kept.
-const wantedDomains = 2
+// targetDomains is the number of failure domains over which a model with enough replicas is spread.
+const targetDomains = 2
 
-// servedBefore counts the engines, and their failure domains, that serve a model before the change. A
-// floor that is broken already is kept at what is left, so that a plan can mend it.
-func (p *planner) servedBefore(model string) (engines, domains int) {
+// countBefore returns the number of engines that serve a model before the change, and of their failure domains.
+// If a floor is broken before the change, the plan keeps only what is left, so that it can repair the floor.
+func (p *planner) countBefore(model string) (engines, domains int) {
 	seen := map[string]bool{}
 	for i := range p.engines {
 		e := &p.engines[i]
@@ -180,48 +185,51 @@
 	return engines, len(seen)
 }
 
+// hasModel reports whether a version of model is loaded.
 func hasModel(loaded []api.Loaded, model string) bool {
 	return slices.ContainsFunc(loaded, func(l api.Loaded) bool { return l.Model == model })
 }
 
-// current is what the engines have loaded now.
-func (p *planner) current() placement {
-	at := make(placement, len(p.engines))
+// currentPlacement returns what the engines have loaded before the change.
+func (p *planner) currentPlacement() placement {
+	current := make(placement, len(p.engines))
 	for i := range p.engines {
-		at[i] = loads{}
+		current[i] = loadedModels{}
 		for _, l := range p.engines[i].Loaded {
-			at[i][l.Model] = l.Version
+			current[i][l.Model] = l.Version
 		}
 	}
-	return at
+	return current
 }
 
-func (l loads) has(model string) bool {
+// has reports whether a version of model is loaded.
+func (l loadedModels) has(model string) bool {
 	_, ok := l[model]
 	return ok
 }
 
-// fits tells whether engine i with loaded has memory for r, in place of any other version of the model.
-func (p *planner) fits(i int, loaded loads, r ref) bool {
+// fits reports whether engine i, with the given models loaded, has memory for v in place of any other version of
+// its model.
+func (p *planner) fits(i int, loaded loadedModels, v modelVersion) bool {
 	if p.engines[i].Memory == 0 {
 		return true
 	}
-	return p.used(loaded, r.model)+p.sizes[r].memory <= p.engines[i].Memory
+	return p.usedMemory(loaded, v.model)+p.sizes[v].memory <= p.engines[i].Memory
 }
 
-// used is the memory that an engine's models take, but for one.
-func (p *planner) used(loaded loads, but string) int64 {
+// usedMemory returns the memory that the loaded models take, except for one model, in tokens.
+func (p *planner) usedMemory(loaded loadedModels, except string) int64 {
 	total := int64(0)
 	for model, version := range loaded {
-		if model != but {
-			total += p.sizes[ref{model, version}].memory
+		if model != except {
+			total += p.sizes[modelVersion{model, version}].memory
 		}
 	}
 	return total
 }
 
-// placements gives a target in the form that a plan keeps.
-func (p *planner) placements(target placement) []api.Placement {
+// apiPlacements returns the target of the available engines in the form that a plan stores.
+func (p *planner) apiPlacements(target placement) []api.Placement {
 	var all []api.Placement
 	for i := range p.engines {
 		if !p.engines[i].AvailableAfter {
@@ -229,18 +237,18 @@
 		}
 		row := api.Placement{Upstream: p.engines[i].ID}
 		for _, model := range slices.Sorted(maps.Keys(target[i])) {
-			r := ref{model, target[i][model]}
-			row.Loaded = append(row.Loaded, api.Loaded{Model: r.model, Version: r.version, Adapters: p.adapters(r)})
+			v := modelVersion{model, target[i][model]}
+			row.Loaded = append(row.Loaded, api.Loaded{Model: v.model, Version: v.version, Adapters: p.wantedAdapters(v)})
 		}
 		all = append(all, row)
 	}
 	return all
 }
 
-// adapters lists the adapters wanted with a model version, sorted.
-func (p *planner) adapters(r ref) []string {
-	m := p.wanted[r.model]
-	if m == nil || m.Version != r.version {
+// wantedAdapters returns the adapters that the intent wants with a model version, sorted.
+func (p *planner) wantedAdapters(v modelVersion) []string {
+	m := p.wanted[v.model]
+	if m == nil || m.Version != v.version {
 		return nil
 	}
 	return slices.Sorted(slices.Values(m.Adapters))
--- a/internal/decide/plan/plan_test.go
+++ b/internal/decide/plan/plan_test.go
@@ -14,7 +14,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/plan"
 )
 
-// One verdict on every run: the seed is fixed.
+// TestMain fixes the seed, so that every run checks the same inputs.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261203", "rapid.checks": "3000", "rapid.nofailfile": "true"} {
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// drawInput makes a fleet of a few engines with something loaded, and an intent that wants something else.
+// drawInput draws a fleet of a few engines with some models loaded, and an intent that wants other models.
 func drawInput(t *rapid.T) plan.Input {
 	var before, after api.Intent
 	for i := range rapid.IntRange(1, 4).Draw(t, "models") {
@@ -61,26 +61,29 @@
 	return in
 }
 
-// world replays steps on the engines, apart from the planner's own bookkeeping.
-type world map[string]map[string]string // engine -> model -> version
+// fleetState is what each engine has loaded: the version by model, by engine id. The tests apply steps to it, so
+// that they don't depend on the planner's own state.
+type fleetState map[string]map[string]string
 
-func newWorld(in plan.Input) world {
-	w := world{}
+// newFleetState returns the state before the plan of the engines that are available after the change.
+func newFleetState(in plan.Input) fleetState {
+	f := fleetState{}
 	for _, e := range in.Engines {
 		if !e.AvailableAfter {
 			continue
 		}
-		w[e.ID] = map[string]string{}
+		f[e.ID] = map[string]string{}
 		for _, l := range e.Loaded {
-			w[e.ID][l.Model] = l.Version
+			f[e.ID][l.Model] = l.Version
 		}
 	}
-	return w
+	return f
 }
 
-func (w world) serving(model string) int {
+// countServing returns the number of engines that have a model.
+func (f fleetState) countServing(model string) int {
 	n := 0
-	for _, loaded := range w {
+	for _, loaded := range f {
 		if _, ok := loaded[model]; ok {
 			n++
 		}
@@ -88,25 +91,28 @@
 	return n
 }
 
-func (w world) domains(in plan.Input, model string) int {
+// countDomains returns the number of failure domains with an engine that has a model.
+func (f fleetState) countDomains(in plan.Input, model string) int {
 	seen := map[string]bool{}
 	for _, e := range in.Engines {
-		if _, ok := w[e.ID][model]; ok {
+		if _, ok := f[e.ID][model]; ok {
 			seen[e.Domain] = true
 		}
 	}
 	return len(seen)
 }
 
-func (w world) apply(s api.Step) {
+// apply changes the state by a step.
+func (f fleetState) apply(s api.Step) {
 	if s.Kind == api.StepLoad {
-		w[s.Upstream][s.Model] = s.Version
-	} else if w[s.Upstream][s.Model] == s.Version {
-		delete(w[s.Upstream], s.Model)
+		f[s.Upstream][s.Model] = s.Version
+	} else if f[s.Upstream][s.Model] == s.Version {
+		delete(f[s.Upstream], s.Model)
 	}
 }
 
-func served(in plan.Input, model string) int {
+// countServedBefore returns the number of engines that serve a model before the change.
+func countServedBefore(in plan.Input, model string) int {
 	n := 0
 	for _, e := range in.Engines {
 		if e.AvailableBefore && slices.ContainsFunc(e.Loaded, func(l api.Loaded) bool { return l.Model == model }) {
@@ -116,50 +122,52 @@
 	return n
 }
 
-// worst checks every model at the worst moment of a stage: all unloads have happened, no load
-// has, and an engine whose version is being replaced serves neither.
-func worst(t *rapid.T, in plan.Input, w, end world, stage []api.Step) {
-	left := world{}
-	for e, loaded := range w {
-		left[e] = map[string]string{}
+// checkWorstCase checks floors and failure domains of every model at the worst moment of a stage: all unloads have
+// happened, no load has, and an engine whose version is being replaced serves neither version.
+func checkWorstCase(t *rapid.T, in plan.Input, f, end fleetState, stage []api.Step) {
+	remaining := fleetState{}
+	for e, loaded := range f {
+		remaining[e] = map[string]string{}
 		for m, v := range loaded {
-			left[e][m] = v
+			remaining[e][m] = v
 		}
 	}
 	for _, s := range stage {
 		if s.Adapter == "" {
-			delete(left[s.Upstream], s.Model) // unloaded, or perhaps not served while it is replaced
+			delete(remaining[s.Upstream], s.Model) // unloaded, or possibly not served while it is replaced
 		}
 	}
 	for _, m := range in.After.Models {
-		floor := min(m.MinServing(), served(in, m.Name))
-		if n := left.serving(m.Name); n < floor {
+		floor := min(m.MinServing(), countServedBefore(in, m.Name))
+		if n := remaining.countServing(m.Name); n < floor {
 			t.Fatalf("stage %d leaves model %s on %d engines, its floor is %d", stage[0].Stage, m.Name, n, floor)
 		}
-		kept := min(2, floor, w.domains(in, m.Name), end.domains(in, m.Name))
-		if n := left.domains(in, m.Name); n < kept {
+		kept := min(2, floor, f.countDomains(in, m.Name), end.countDomains(in, m.Name))
+		if n := remaining.countDomains(in, m.Name); n < kept {
 			t.Fatalf("stage %d leaves model %s in %d failure domains of %d", stage[0].Stage, m.Name, n, kept)
 		}
 	}
 }
 
-func memoryHolds(t *rapid.T, in plan.Input, w world) {
+// checkMemory fails the test if an engine's models need more memory than it has.
+func checkMemory(t *rapid.T, in plan.Input, f fleetState) {
 	size := map[string]int64{}
 	for _, m := range append(slices.Clone(in.Before.Models), in.After.Models...) {
 		size[m.Name+"@"+m.Version] = m.Memory
 	}
 	for _, e := range in.Engines {
 		used := int64(0)
-		for m, v := range w[e.ID] {
+		for m, v := range f[e.ID] {
 			used += size[m+"@"+v]
 		}
 		if used > e.Memory {
-			t.Fatalf("engine %s holds %d of %d", e.ID, used, e.Memory)
+			t.Fatalf("engine %s uses %d of %d tokens of memory", e.ID, used, e.Memory)
 		}
 	}
 }
 
-func stages(steps []api.Step) [][]api.Step {
+// groupByStage splits steps into their stages.
+func groupByStage(steps []api.Step) [][]api.Step {
 	var all [][]api.Step
 	for _, s := range steps {
 		if len(all) == 0 || all[len(all)-1][0].Stage != s.Stage {
@@ -170,40 +178,40 @@
 	return all
 }
 
-// A caller's model vanishes in the middle of a version change: all its engines unload before one of them
-// has the new version. Each stage is judged at its worst moment, by bookkeeping apart from the planner's.
+// Guards against a model that becomes unavailable during a version change, because all its engines unload it before
+// one of them has loaded the new version. Checks each stage at its worst moment, independently of the planner's state.
 func TestStepsKeepEveryServedModelAtItsFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		r := plan.Make(in)
 		if r.Rejected != "" {
 			if len(r.Steps) > 0 || in.Force {
-				t.Fatalf("a rejected plan has steps, or was forced: %+v", r)
+				t.Fatalf("a rejected plan has steps, or a forced plan was rejected: %+v", r)
 			}
 			return
 		}
-		w, end := newWorld(in), newWorld(in)
+		f, end := newFleetState(in), newFleetState(in)
 		for _, s := range r.Steps {
 			end.apply(s)
 		}
-		for _, stage := range stages(r.Steps) {
+		for _, stage := range groupByStage(r.Steps) {
 			if r.Reason != plan.ForcedBelowFloor {
-				worst(t, in, w, end, stage)
+				checkWorstCase(t, in, f, end, stage)
 			}
 			for _, s := range stage {
-				if _, usable := w[s.Upstream]; !usable {
-					t.Fatalf("step for an engine that is out: %+v", s)
+				if _, available := f[s.Upstream]; !available {
+					t.Fatalf("step for an engine that is not available: %+v", s)
 				}
-				w.apply(s)
-				memoryHolds(t, in, w)
+				f.apply(s)
+				checkMemory(t, in, f)
 			}
 		}
 		for _, p := range r.Target {
-			if len(p.Loaded) != len(w[p.Upstream]) {
-				t.Fatalf("engine %s ends with %v, its target is %v", p.Upstream, w[p.Upstream], p.Loaded)
+			if len(p.Loaded) != len(f[p.Upstream]) {
+				t.Fatalf("engine %s ends with %v, its target is %v", p.Upstream, f[p.Upstream], p.Loaded)
 			}
 			for _, l := range p.Loaded {
-				if w[p.Upstream][l.Model] != l.Version {
+				if f[p.Upstream][l.Model] != l.Version {
 					t.Fatalf("engine %s ends without %v", p.Upstream, l)
 				}
 			}
@@ -211,7 +219,8 @@
 	})
 }
 
-func TestSecondRunPlansNothing(t *testing.T) {
+// Checks that a plan made after a plan was carried out has no steps.
+func TestSecondPlanHasNoSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		r := plan.Make(in)
@@ -227,12 +236,13 @@
 			again.Engines = append(again.Engines, e)
 		}
 		if second := plan.Make(again); len(second.Steps) > 0 {
-			t.Fatalf("a second run plans %+v", second.Steps)
+			t.Fatalf("a second plan has steps %+v", second.Steps)
 		}
 	})
 }
 
-func TestOrderOfInputDoesNotMatter(t *testing.T) {
+// Checks that the order of engines and models in the input doesn't change the plan.
+func TestPlanIsIndependentOfInputOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		shuffled := in
@@ -244,6 +254,7 @@
 	})
 }
 
+// Checks that every returned reason is in Reasons.
 func TestEveryReasonIsListed(t *testing.T) {
 	seen := map[string]bool{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -253,5 +264,5 @@
 		}
 		seen[string(r.Reason)] = true
 	})
-	is.New(t).True(len(seen) >= 4) // the inputs drawn reach most reasons
+	is.New(t).True(len(seen) >= 4) // the drawn inputs lead to most reasons
 }
--- a/internal/decide/plan/stage.go
+++ b/internal/decide/plan/stage.go
@@ -8,317 +8,332 @@
 	"github.com/damaskshelf/damaskshelf/api"
 )
 
-// shareAtOnce is the part of a model's replicas that may be swapped in one stage: a quarter. A floor of
-// one would otherwise let a version change take all replicas but one out of service at a time.
-const shareAtOnce = 4
+// swapDivisor limits the replicas of a model that are swapped in one stage to a quarter. With a floor of one, a
+// version change would otherwise take all replicas but one out of service at the same time.
+const swapDivisor = 4
 
-// staged is the outcome of ordering steps.
-type staged struct {
-	steps  []api.Step
-	lowest map[string]int // by model: least engines serving at any moment
-	broken []string       // floors that no order keeps, in words
+// schedule is the ordered steps of a plan and their effect on the floors.
+type schedule struct {
+	steps        []api.Step
+	minServing   map[string]int // by model: lowest number of engines that serve it during a stage
+	brokenFloors []string       // a sentence for each floor that no order keeps
 }
 
-// stager orders the steps from now to target.
-type stager struct {
+// scheduler orders the steps that lead from the loaded models to the target.
+type scheduler struct {
 	*planner
-	now    placement
-	target placement
-	final  map[string]perDomain // of target
-	number int                  // of the stage being filled
-	out    staged
+	loaded      placement // after the steps so far
+	target      placement
+	finalCounts map[string]domainCounts // of target
+	stage       int                     // number of the current stage
+	result      schedule
 
-	// Of the stage being filled. left is what is surely served while it runs: what is loaded at its start
-	// and not unloaded in it.
-	left   placement
-	counts map[string]perDomain // of left
-	lost   map[string]int       // by model: replicas given up in this stage
+	// State of the current stage. guaranteed is what the engines serve for certain while it runs: what is
+	// loaded at its start and is neither unloaded nor replaced in it.
+	guaranteed       placement
+	guaranteedCounts map[string]domainCounts // of guaranteed
+	lostReplicas     map[string]int          // by model: replicas unloaded or replaced in this stage
 }
 
-// stage orders the steps. Each stage first loads whatever fits without unloading, and unloads models
-// whose replicas are all in place; only when nothing of that is left it swaps on full engines.
-func (p *planner) stage(target placement) staged {
-	s := &stager{planner: p, now: clonePlacement(p.current()), target: target, final: p.countAll(target)}
-	s.out.lowest = map[string]int{}
+// schedule orders the steps in stages. A stage loads what fits without an unload, and unloads models whose replicas
+// are all in place. If there are no such steps, it swaps models on full engines. If the floors allow no swap either,
+// it breaks a floor.
+func (p *planner) schedule(target placement) schedule {
+	s := &scheduler{planner: p, loaded: clonePlacement(p.currentPlacement()), target: target, finalCounts: p.countAllByDomain(target)}
+	s.result.minServing = map[string]int{}
 	for {
-		s.begin()
-		ok := s.easy() || s.swap(true) || s.forced()
+		s.beginStage()
+		ok := s.addUnblockedSteps() || s.addSwaps(true) || s.addForcedStep()
 		if !ok {
 			break
 		}
-		s.end()
+		s.endStage()
 	}
-	s.adapters()
-	return s.out
+	s.addAdapterSteps()
+	return s.result
 }
 
-func clonePlacement(at placement) placement {
-	c := make(placement, len(at))
-	for i := range at {
-		c[i] = maps.Clone(at[i])
+// clonePlacement returns a deep copy.
+func clonePlacement(p placement) placement {
+	c := make(placement, len(p))
+	for i := range p {
+		c[i] = maps.Clone(p[i])
 	}
 	return c
 }
 
-func (s *stager) begin() {
-	s.number++
-	s.left = clonePlacement(s.now)
-	s.counts = s.countAll(s.left)
-	s.lost = map[string]int{}
+// beginStage starts the next stage.
+func (s *scheduler) beginStage() {
+	s.stage++
+	s.guaranteed = clonePlacement(s.loaded)
+	s.guaranteedCounts = s.countAllByDomain(s.guaranteed)
+	s.lostReplicas = map[string]int{}
 }
 
-// end notes how many engines were surely serving while the stage ran.
-func (s *stager) end() {
+// endStage updates minServing with the engines that serve each model for certain during the stage.
+func (s *scheduler) endStage() {
 	for _, m := range s.models {
-		n := s.counts[m.Name].total()
-		if low, seen := s.out.lowest[m.Name]; !seen || n < low {
-			s.out.lowest[m.Name] = n
+		n := s.guaranteedCounts[m.Name].total()
+		if lowest, known := s.result.minServing[m.Name]; !known || n < lowest {
+			s.result.minServing[m.Name] = n
 		}
 	}
 }
 
-// missing lists the model versions that engine i still has to load; extra the models that it has to
-// unload.
-func (s *stager) missing(i int) []ref {
-	var refs []ref
+// missingModels returns the model versions that engine i still has to load, sorted by model.
+func (s *scheduler) missingModels(i int) []modelVersion {
+	var versions []modelVersion
 	for _, model := range slices.Sorted(maps.Keys(s.target[i])) {
-		if version := s.target[i][model]; s.now[i][model] != version {
-			refs = append(refs, ref{model, version})
+		if version := s.target[i][model]; s.loaded[i][model] != version {
+			versions = append(versions, modelVersion{model, version})
 		}
 	}
-	return refs
+	return versions
 }
 
-func (s *stager) extra(i int) []ref {
-	var refs []ref
-	for _, model := range slices.Sorted(maps.Keys(s.now[i])) {
+// extraModels returns the model versions that engine i still has to unload, sorted by model.
+func (s *scheduler) extraModels(i int) []modelVersion {
+	var versions []modelVersion
+	for _, model := range slices.Sorted(maps.Keys(s.loaded[i])) {
 		if !s.target[i].has(model) {
-			refs = append(refs, ref{model, s.now[i][model]})
+			versions = append(versions, modelVersion{model, s.loaded[i][model]})
 		}
 	}
-	return refs
+	return versions
 }
 
-// easy fills the stage with loads that fit beside what is there, and with unloads that nobody waits for.
-func (s *stager) easy() bool {
-	pending := s.pending()
-	any := false
+// addUnblockedSteps adds the loads that fit beside the loaded models, and the unloads of models that have no pending
+// load and stay at their floor. It reports whether it added a step.
+func (s *scheduler) addUnblockedSteps() bool {
+	pending := s.pendingModels()
+	added := false
 	for i := range s.engines {
 		if !s.engines[i].AvailableAfter {
 			continue
 		}
-		for _, r := range s.missing(i) {
-			if !s.now[i].has(r.model) && s.fits(i, s.now[i], r) {
-				s.load(i, r)
-				any = true
+		for _, v := range s.missingModels(i) {
+			if !s.loaded[i].has(v.model) && s.fits(i, s.loaded[i], v) {
+				s.addLoad(i, v)
+				added = true
 			}
 		}
-		for _, r := range s.extra(i) {
-			if !pending[r.model] && s.keeps(i, r.model) {
-				s.unload(i, r)
-				any = true
+		for _, v := range s.extraModels(i) {
+			if !pending[v.model] && s.keepsFloor(i, v.model) {
+				s.addUnload(i, v)
+				added = true
 			}
 		}
 	}
-	return any
+	return added
 }
 
-// pending lists the models with a load still to come, at the start of the stage.
-func (s *stager) pending() map[string]bool {
+// pendingModels returns the models that an available engine still has to load.
+func (s *scheduler) pendingModels() map[string]bool {
 	models := map[string]bool{}
 	for i := range s.engines {
 		if !s.engines[i].AvailableAfter {
 			continue
 		}
-		for _, r := range s.missing(i) {
-			models[r.model] = true
+		for _, v := range s.missingModels(i) {
+			models[v.model] = true
 		}
 	}
 	return models
 }
 
-// swap replaces versions in place, and makes room on engines whose loads don't fit, as far as floors
-// allow. What was made room for is loaded in the same stage; an engine works its steps off in order.
-func (s *stager) swap(floors bool) bool {
-	any := false
+// addSwaps adds replacements of versions in place, and unloads on engines where a missing model doesn't fit. The
+// model that an unload makes room for is loaded in the same stage, as an engine runs its steps in order. With
+// keepFloors, the steps are limited to those that floors allow. It reports whether it added a step.
+func (s *scheduler) addSwaps(keepFloors bool) bool {
+	added := false
 	for i := range s.engines {
-		if !s.engines[i].AvailableAfter || len(s.missing(i)) == 0 {
+		if !s.engines[i].AvailableAfter || len(s.missingModels(i)) == 0 {
 			continue
 		}
-		moved := s.makeRoom(i, floors)
-		moved = s.loadAll(i, floors) || moved
-		any = any || moved
-		if moved && !floors {
-			return true // one engine at a time where floors are broken
+		changed := s.addUnloads(i, keepFloors)
+		changed = s.addLoads(i, keepFloors) || changed
+		added = added || changed
+		if changed && !keepFloors {
+			return true // one engine at a time if floors are broken
 		}
 	}
-	return any
+	return added
 }
 
-// makeRoom unloads what has to go from an engine on which a load does not fit.
-func (s *stager) makeRoom(i int, floors bool) bool {
-	any := false
-	for _, r := range s.extra(i) {
-		if s.fitsAll(i) || !s.mayLose(i, r, floors) {
+// addUnloads adds unloads of extra models from engine i until the missing models fit. It reports whether it added one.
+func (s *scheduler) addUnloads(i int, keepFloors bool) bool {
+	added := false
+	for _, v := range s.extraModels(i) {
+		if s.allMissingFit(i) || !s.mayTakeDown(i, v, keepFloors) {
 			continue
 		}
-		s.unload(i, r)
-		any = true
+		s.addUnload(i, v)
+		added = true
 	}
-	return any
+	return added
 }
 
-func (s *stager) fitsAll(i int) bool {
-	for _, r := range s.missing(i) {
-		if !s.fits(i, s.now[i], r) {
+// allMissingFit reports whether engine i has memory for each of its missing models.
+func (s *scheduler) allMissingFit(i int) bool {
+	for _, v := range s.missingModels(i) {
+		if !s.fits(i, s.loaded[i], v) {
 			return false
 		}
 	}
 	return true
 }
 
-// loadAll loads what is missing on an engine and fits. In place of another version it costs the engine
-// for the time of the stage: what it serves while the version is replaced is not promised.
-func (s *stager) loadAll(i int, floors bool) bool {
-	any := false
-	for _, r := range s.missing(i) {
-		if !s.fits(i, s.now[i], r) || (s.left[i].has(r.model) && !s.mayLose(i, r, floors)) {
+// addLoads adds loads of the missing models that fit engine i, and reports whether it added one. A load that replaces
+// another version takes the model out of service on the engine for the stage, since neither version is guaranteed
+// to be served during the replacement.
+func (s *scheduler) addLoads(i int, keepFloors bool) bool {
+	added := false
+	for _, v := range s.missingModels(i) {
+		if !s.fits(i, s.loaded[i], v) || (s.guaranteed[i].has(v.model) && !s.mayTakeDown(i, v, keepFloors)) {
 			continue
 		}
-		s.load(i, r)
-		any = true
+		s.addLoad(i, v)
+		added = true
 	}
-	return any
+	return added
 }
 
-// mayLose tells whether engine i may go without the model for this stage, and notes a broken floor where
-// floors don't count.
-func (s *stager) mayLose(i int, r ref, floors bool) bool {
-	if floors {
-		return s.keeps(i, r.model) && s.underShare(r.model)
+// mayTakeDown reports whether the model may be out of service on engine i during this stage. Without keepFloors it
+// always may; if that breaks a floor, mayTakeDown records it.
+func (s *scheduler) mayTakeDown(i int, v modelVersion, keepFloors bool) bool {
+	if keepFloors {
+		return s.keepsFloor(i, v.model) && s.withinSwapLimit(v.model)
 	}
-	s.noteBroken(i, r.model)
+	s.recordBrokenFloor(i, v.model)
 	return true
 }
 
-// forced goes on without floors where no order keeps them; the words say which were broken.
-func (s *stager) forced() bool {
-	if s.swap(false) {
+// addForcedStep adds steps of one engine that break floors, and records which. It reports whether any step was left.
+func (s *scheduler) addForcedStep() bool {
+	if s.addSwaps(false) {
 		return true
 	}
 	for i := range s.engines {
 		if !s.engines[i].AvailableAfter {
 			continue
 		}
-		if extra := s.extra(i); len(extra) > 0 {
-			s.noteBroken(i, extra[0].model)
-			s.unload(i, extra[0])
+		if extra := s.extraModels(i); len(extra) > 0 {
+			s.recordBrokenFloor(i, extra[0].model)
+			s.addUnload(i, extra[0])
 			return true
 		}
 	}
 	return false
 }
 
-func (s *stager) noteBroken(i int, model string) {
-	if s.keeps(i, model) {
+// recordBrokenFloor records that the steps of engine i break the model's floor, if they do.
+func (s *scheduler) recordBrokenFloor(i int, model string) {
+	if s.keepsFloor(i, model) {
 		return
 	}
 	line := fmt.Sprintf("no order of steps keeps model %s at its floor of %d while %s changes it; add an engine or lower the floor",
 		model, s.floors[model], s.engines[i].ID)
-	if !slices.Contains(s.out.broken, line) {
-		s.out.broken = append(s.out.broken, line)
+	if !slices.Contains(s.result.brokenFloors, line) {
+		s.result.brokenFloors = append(s.result.brokenFloors, line)
 	}
 }
 
-// keeps tells whether a model stays at its floor and in its failure domains if engine i goes without it
-// in this stage.
-func (s *stager) keeps(i int, model string) bool {
-	counts := s.counts[model]
+// keepsFloor reports whether a model stays at its floor and in its required failure domains if it is out of service
+// on engine i during this stage.
+func (s *scheduler) keepsFloor(i int, model string) bool {
+	counts := s.guaranteedCounts[model]
 	engines, domains := counts.total(), len(counts)
-	if s.left[i].has(model) {
+	if s.guaranteed[i].has(model) {
 		engines--
 		if counts[s.engines[i].Domain] == 1 {
 			domains--
 		}
 	}
-	return engines >= s.floors[model] && domains >= s.keptDomains(model)
+	return engines >= s.floors[model] && domains >= s.requiredDomains(model)
 }
 
-// keptDomains is in how many failure domains a model stays on the way: where it began, but no more than
-// where it ends.
-func (s *stager) keptDomains(model string) int {
-	return min(s.spread[model], len(s.final[model]))
+// requiredDomains returns the number of failure domains in which a model must be served at every step: as many as
+// before the change, but no more than at its end.
+func (s *scheduler) requiredDomains(model string) int {
+	return min(s.minDomains[model], len(s.finalCounts[model]))
 }
 
-func (s *stager) underShare(model string) bool {
+// withinSwapLimit reports whether another replica of a model may be swapped in this stage.
+func (s *scheduler) withinSwapLimit(model string) bool {
 	m := s.wanted[model]
-	return m == nil || s.lost[model] < max(1, m.Replicas/shareAtOnce)
+	return m == nil || s.lostReplicas[model] < max(1, m.Replicas/swapDivisor)
 }
 
-func (s *stager) load(i int, r ref) {
-	if s.left[i].has(r.model) {
-		s.lose(i, r.model)
+// addLoad adds a load of a model version on engine i.
+func (s *scheduler) addLoad(i int, v modelVersion) {
+	if s.guaranteed[i].has(v.model) {
+		s.takeDown(i, v.model)
 	}
-	s.now[i][r.model] = r.version
-	s.step(i, api.StepLoad, r, s.sizes[r].gigabyte)
+	s.loaded[i][v.model] = v.version
+	s.addStep(i, api.StepLoad, v, s.sizes[v].gigabytes)
 }
 
-func (s *stager) unload(i int, r ref) {
-	s.lose(i, r.model)
-	delete(s.now[i], r.model)
-	s.step(i, api.StepUnload, r, 0)
+// addUnload adds an unload of a model version on engine i.
+func (s *scheduler) addUnload(i int, v modelVersion) {
+	s.takeDown(i, v.model)
+	delete(s.loaded[i], v.model)
+	s.addStep(i, api.StepUnload, v, 0)
 }
 
-func (s *stager) lose(i int, model string) {
-	if s.left[i].has(model) {
-		s.counts[model].drop(s.engines[i].Domain)
-		delete(s.left[i], model)
+// takeDown records that a model is out of service on engine i during this stage.
+func (s *scheduler) takeDown(i int, model string) {
+	if s.guaranteed[i].has(model) {
+		s.guaranteedCounts[model].remove(s.engines[i].Domain)
+		delete(s.guaranteed[i], model)
 	}
-	s.lost[model]++
+	s.lostReplicas[model]++
 }
 
-func (s *stager) step(i int, kind string, r ref, gigabyte int64) {
-	s.out.steps = append(s.out.steps, api.Step{
-		Stage: s.number, Upstream: s.engines[i].ID, Kind: kind,
-		Model: r.model, Version: r.version, Gigabyte: gigabyte,
+// addStep appends a step of engine i to the current stage.
+func (s *scheduler) addStep(i int, kind string, v modelVersion, gigabytes int64) {
+	s.result.steps = append(s.result.steps, api.Step{
+		Stage: s.stage, Upstream: s.engines[i].ID, Kind: kind,
+		Model: v.model, Version: v.version, Gigabyte: gigabytes,
 	})
 }
 
-// adapters adds a last stage that brings every engine's adapters to what is wanted. Adapters take a
-// model out of service nowhere.
-func (s *stager) adapters() {
+// addAdapterSteps adds the steps that change the adapters of all available engines, in one last stage. Loading or
+// unloading an adapter takes no model out of service.
+func (s *scheduler) addAdapterSteps() {
 	for i := range s.engines {
 		if !s.engines[i].AvailableAfter {
 			continue
 		}
 		for _, model := range slices.Sorted(maps.Keys(s.target[i])) {
-			s.adapterSteps(i, ref{model, s.target[i][model]})
+			s.addEngineAdapterSteps(i, modelVersion{model, s.target[i][model]})
 		}
 	}
 }
 
-func (s *stager) adapterSteps(i int, r ref) {
-	var has []string
+// addEngineAdapterSteps adds the steps that change the adapters of a model version on engine i.
+func (s *scheduler) addEngineAdapterSteps(i int, v modelVersion) {
+	var loaded []string
 	for _, l := range s.engines[i].Loaded {
-		if l.Model == r.model && l.Version == r.version {
-			has = l.Adapters
+		if l.Model == v.model && l.Version == v.version {
+			loaded = l.Adapters
 		}
 	}
-	wanted := s.planner.adapters(r)
+	wanted := s.planner.wantedAdapters(v)
 	for _, a := range wanted {
-		if !slices.Contains(has, a) {
-			s.adapterStep(i, api.StepLoad, r, a)
+		if !slices.Contains(loaded, a) {
+			s.addAdapterStep(i, api.StepLoad, v, a)
 		}
 	}
-	for _, a := range slices.Sorted(slices.Values(has)) {
+	for _, a := range slices.Sorted(slices.Values(loaded)) {
 		if !slices.Contains(wanted, a) {
-			s.adapterStep(i, api.StepUnload, r, a)
+			s.addAdapterStep(i, api.StepUnload, v, a)
 		}
 	}
 }
 
-func (s *stager) adapterStep(i int, kind string, r ref, adapter string) {
-	s.out.steps = append(s.out.steps, api.Step{
-		Stage: s.number, Upstream: s.engines[i].ID, Kind: kind, Model: r.model, Version: r.version, Adapter: adapter,
+// addAdapterStep appends a step for one adapter of a model version on engine i.
+func (s *scheduler) addAdapterStep(i int, kind string, v modelVersion, adapter string) {
+	s.result.steps = append(s.result.steps, api.Step{
+		Stage: s.stage, Upstream: s.engines[i].ID, Kind: kind, Model: v.model, Version: v.version, Adapter: adapter,
 	})
 }
--- a/internal/decide/plan/target.go
+++ b/internal/decide/plan/target.go
@@ -5,125 +5,127 @@
 	"slices"
 )
 
-// maxRounds bounds the search for a target that planning again would leave alone.
+// maxRounds bounds the search for a target that a further round would not change.
 const maxRounds = 8
 
-// settleTarget gives a target from which planning again plans nothing. One round can free memory that a
-// model placed earlier in the round would have taken, so rounds go on until nothing moves.
-func (p *planner) settleTarget() placement {
-	now := p.current()
+// stableTarget returns a target from which a second plan would have no steps. One round can free memory that a
+// model placed earlier in that round could have used, so rounds are repeated until nothing changes.
+func (p *planner) stableTarget() placement {
+	current := p.currentPlacement()
 	for range maxRounds {
-		next := p.target(now)
-		if slices.EqualFunc(now, next, maps.Equal) {
+		next := p.chooseTarget(current)
+		if slices.EqualFunc(current, next, maps.Equal) {
 			break
 		}
-		now = next
+		current = next
 	}
-	return now
+	return current
 }
 
-// target chooses the engines of every model, starting from what is loaded at now. What is kept is placed
-// before anything is added, so that no addition pushes out what could have stayed.
-func (p *planner) target(now placement) placement {
+// chooseTarget chooses the engines of every model, starting from the current placement. It places the replicas
+// that stay before it adds any, so that an added replica doesn't displace one that could have stayed.
+func (p *planner) chooseTarget(current placement) placement {
 	target := make(placement, len(p.engines))
 	for i := range target {
-		target[i] = loads{}
+		target[i] = loadedModels{}
 	}
 	for i := range p.engines {
 		if !p.engines[i].AvailableAfter {
-			target[i] = now[i]
+			target[i] = current[i]
 		}
 	}
 	for i := range p.models {
-		p.keep(now, target, i)
+		p.keepReplicas(current, target, i)
 	}
 	for i := range p.models {
-		p.add(now, target, i)
+		p.addReplicas(current, target, i)
 	}
 	return target
 }
 
-// candidate is an engine that may serve a model.
+// candidate is an engine on which a model may be placed.
 type candidate struct {
-	engine int
-	exact  bool // has the wanted version
-	fresh  bool // has no version of the model, and memory for it beside what it has now
-	free   int64
+	engine            int   // index in planner.engines
+	hasVersion        bool  // has the wanted version loaded
+	fitsWithoutUnload bool  // has no version of the model, and memory for it beside what is loaded
+	freeMemory        int64 // tokens
 }
 
-// keep places a model on engines that have it, spread over failure domains.
-func (p *planner) keep(now, target placement, model int) {
+// keepReplicas places a model on engines that have it in any version, spread over failure domains. It places no more
+// than the wanted replicas, and limits those that change their version by maxInPlace.
+func (p *planner) keepReplicas(current, target placement, model int) {
 	m := &p.models[model]
-	want := ref{m.Name, m.Version}
+	want := modelVersion{m.Name, m.Version}
 	var holders []candidate
 	for i := range p.engines {
-		if p.allowed(i, m.Domains) && now[i].has(m.Name) && p.fits(i, target[i], want) {
-			holders = append(holders, candidate{engine: i, exact: now[i][m.Name] == m.Version})
+		if p.allowed(i, m.Domains) && current[i].has(m.Name) && p.fits(i, target[i], want) {
+			holders = append(holders, candidate{engine: i, hasVersion: current[i][m.Name] == m.Version})
 		}
 	}
 	inPlace := 0
-	standing := p.byDomain(target, m.Name)
-	for count := standing.total(); count < m.Replicas; count++ {
-		best := p.best(standing, holders, func(c candidate) bool {
-			return c.exact || inPlace < p.inPlaceLimit(m.Replicas, m.MinServing())
+	counts := p.countByDomain(target, m.Name)
+	for count := counts.total(); count < m.Replicas; count++ {
+		best := p.best(counts, holders, func(c candidate) bool {
+			return c.hasVersion || inPlace < p.maxInPlace(m.Replicas, m.MinServing())
 		})
 		if best < 0 {
 			return
 		}
-		if !holders[best].exact {
+		if !holders[best].hasVersion {
 			inPlace++
 		}
 		target[holders[best].engine][m.Name] = m.Version
-		standing[p.engines[holders[best].engine].Domain]++
+		counts[p.engines[holders[best].engine].Domain]++
 		holders = slices.Delete(holders, best, best+1)
 	}
 }
 
-// inPlaceLimit is how many engines may take the new version in place of the old one. Where all replicas are needed at every step, one has to come up elsewhere first.
-func (p *planner) inPlaceLimit(replicas, floor int) int {
+// maxInPlace returns how many engines may replace the old version of a model by the new one. If the floor needs all
+// replicas, one new replica has to be loaded on another engine first.
+func (p *planner) maxInPlace(replicas, floor int) int {
 	if replicas > floor {
 		return replicas
 	}
 	return replicas - 1
 }
 
-// add places the replicas that are still missing, and moves one where all stand in a single failure
-// domain and another has room.
-func (p *planner) add(now, target placement, model int) {
+// addReplicas places the replicas that are still missing. If all replicas are in one failure domain and another one
+// has room, it then moves a replica there.
+func (p *planner) addReplicas(current, target placement, model int) {
 	m := &p.models[model]
-	want := ref{m.Name, m.Version}
+	want := modelVersion{m.Name, m.Version}
 	var free []candidate
 	for i := range p.engines {
 		if p.allowed(i, m.Domains) && !target[i].has(m.Name) && p.fits(i, target[i], want) {
 			free = append(free, candidate{
-				engine: i, exact: now[i][m.Name] == m.Version,
-				fresh: !now[i].has(m.Name) && p.fits(i, now[i], want),
-				free:  p.engines[i].Memory - p.used(target[i], ""),
+				engine: i, hasVersion: current[i][m.Name] == m.Version,
+				fitsWithoutUnload: !current[i].has(m.Name) && p.fits(i, current[i], want),
+				freeMemory:        p.engines[i].Memory - p.usedMemory(target[i], ""),
 			})
 		}
 	}
-	standing := p.byDomain(target, m.Name)
-	for count := standing.total(); count < m.Replicas; count++ {
+	counts := p.countByDomain(target, m.Name)
+	for count := counts.total(); count < m.Replicas; count++ {
 		best := -1
-		if count+1 > p.inPlaceLimit(m.Replicas, m.MinServing()) {
-			best = p.best(standing, free, func(c candidate) bool { return c.exact || c.fresh })
+		if count+1 > p.maxInPlace(m.Replicas, m.MinServing()) {
+			best = p.best(counts, free, func(c candidate) bool { return c.hasVersion || c.fitsWithoutUnload })
 		}
 		if best < 0 {
-			best = p.best(standing, free, nil)
+			best = p.best(counts, free, nil)
 		}
 		if best < 0 {
 			return
 		}
 		target[free[best].engine][m.Name] = m.Version
-		standing[p.engines[free[best].engine].Domain]++
+		counts[p.engines[free[best].engine].Domain]++
 		free = slices.Delete(free, best, best+1)
 	}
-	p.spreadOut(target, want, min(wantedDomains, m.Replicas), free)
+	p.spreadDomains(target, want, min(targetDomains, m.Replicas), free)
 }
 
-// spreadOut moves one replica to another failure domain if all of them stand in fewer than wanted.
-func (p *planner) spreadOut(target placement, want ref, domains int, free []candidate) {
-	byDomain := p.byDomain(target, want.model)
+// spreadDomains moves one replica to another failure domain if the replicas are in fewer domains than wanted.
+func (p *planner) spreadDomains(target placement, want modelVersion, domains int, free []candidate) {
+	byDomain := p.countByDomain(target, want.model)
 	if len(byDomain) >= domains || len(byDomain) == 0 {
 		return
 	}
@@ -140,10 +142,10 @@
 	target[free[best].engine][want.model] = want.version
 }
 
-// best gives the index of the candidate to take next: in the failure domain with the fewest replicas,
-// then with the wanted version, then without having to unload anything first, then with the most free memory, then
-// by id. -1: none is allowed.
-func (p *planner) best(byDomain perDomain, candidates []candidate, allow func(candidate) bool) int {
+// best returns the index of the best candidate that allow accepts (nil: all), or -1 if there is none. It prefers the
+// failure domain with the fewest replicas, then an engine that has the wanted version, then one that needs no
+// unload first, then the most free memory, then the lowest id.
+func (p *planner) best(byDomain domainCounts, candidates []candidate, allow func(candidate) bool) int {
 	best := -1
 	for i, c := range candidates {
 		if allow != nil && !allow(c) {
@@ -156,31 +158,35 @@
 	return best
 }
 
-func (p *planner) better(byDomain perDomain, a, b candidate) bool {
+// better reports whether best prefers candidate a to b.
+func (p *planner) better(byDomain domainCounts, a, b candidate) bool {
 	da, db := byDomain[p.engines[a.engine].Domain], byDomain[p.engines[b.engine].Domain]
 	switch {
 	case da != db:
 		return da < db
-	case a.exact != b.exact:
-		return a.exact
-	case a.fresh != b.fresh:
-		return a.fresh
-	case a.free != b.free:
-		return a.free > b.free
+	case a.hasVersion != b.hasVersion:
+		return a.hasVersion
+	case a.fitsWithoutUnload != b.fitsWithoutUnload:
+		return a.fitsWithoutUnload
+	case a.freeMemory != b.freeMemory:
+		return a.freeMemory > b.freeMemory
 	default:
 		return a.engine < b.engine
 	}
 }
 
+// allowed reports whether engine i is available after the change and in one of the failure domains, if any are given.
 func (p *planner) allowed(i int, domains []string) bool {
 	e := &p.engines[i]
 	return e.AvailableAfter && (len(domains) == 0 || slices.Contains(domains, e.Domain))
 }
 
-// perDomain counts a model's usable engines in each failure domain that has any.
-type perDomain map[string]int
+// domainCounts is the number of available engines that have a model, by failure domain; domains without one are
+// absent. An engine is available if it takes new work after the change.
+type domainCounts map[string]int
 
-func (d perDomain) total() int {
+// total returns the number of engines in all failure domains.
+func (d domainCounts) total() int {
 	n := 0
 	for _, c := range d {
 		n += c
@@ -188,35 +194,35 @@
 	return n
 }
 
-// drop counts one engine less.
-func (d perDomain) drop(domain string) {
+// remove subtracts one engine of a failure domain.
+func (d domainCounts) remove(domain string) {
 	d[domain]--
 	if d[domain] == 0 {
 		delete(d, domain)
 	}
 }
 
-// byDomain counts a model's usable engines.
-func (p *planner) byDomain(at placement, model string) perDomain {
-	counts := perDomain{}
+// countByDomain counts the available engines that have a model, by failure domain.
+func (p *planner) countByDomain(loaded placement, model string) domainCounts {
+	counts := domainCounts{}
 	for i := range p.engines {
-		if p.engines[i].AvailableAfter && at[i].has(model) {
+		if p.engines[i].AvailableAfter && loaded[i].has(model) {
 			counts[p.engines[i].Domain]++
 		}
 	}
 	return counts
 }
 
-// countAll counts every model's usable engines.
-func (p *planner) countAll(at placement) map[string]perDomain {
-	all := map[string]perDomain{}
+// countAllByDomain returns countByDomain for every model.
+func (p *planner) countAllByDomain(loaded placement) map[string]domainCounts {
+	all := map[string]domainCounts{}
 	for i := range p.engines {
 		if !p.engines[i].AvailableAfter {
 			continue
 		}
-		for model := range at[i] {
+		for model := range loaded[i] {
 			if all[model] == nil {
-				all[model] = perDomain{}
+				all[model] = domainCounts{}
 			}
 			all[model][p.engines[i].Domain]++
 		}
@@ -224,5 +230,7 @@
 	return all
 }
 
-// serving counts a model's usable engines.
-func (p *planner) serving(at placement, model string) int { return p.byDomain(at, model).total() }
+// countServing returns the number of available engines that have a model.
+func (p *planner) countServing(loaded placement, model string) int {
+	return p.countByDomain(loaded, model).total()
+}
