--- a/internal/decide/order/difference.go
+++ b/internal/decide/order/difference.go
@@ -7,9 +7,9 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// difference gives the next step that the engine's state does not show, and whether it mends something
-// that was in place before.
-func difference(in Input) (step api.Step, repair, found bool) {
+// nextDifference returns the next step that the engine's state does not show as done, and whether it is a repair, which
+// restores something that was in place before.
+func nextDifference(in Input) (step api.Step, repair, found bool) {
 	if in.Verify {
 		step, found = deviation(in)
 		return step, true, found
@@ -23,43 +23,42 @@
 		}
 		break
 	}
-	step, found = lost(in)
+	step, found = lostModel(in)
 	return step, true, found
 }
 
-// lost gives a model that the engine should serve in some version and does not: it rebooted, or a late
-// order took the model away. Mending that early takes nothing from anybody, and other engines' steps may
-// wait for it at their floors.
-func lost(in Input) (api.Step, bool) {
-	for _, w := range in.Target.Loaded {
-		if loadedAs(in.State, w.Model) == nil && !waitsForRoom(in, w.Model) {
-			return api.Step{Upstream: in.Target.Upstream, Kind: api.StepLoad, Model: w.Model, Version: w.Version}, true
+// lostModel returns the load of a model that the engine should serve in some version and does not, because it rebooted
+// or a late order unloaded the model. The load is not delayed to a later stage: it takes no model out of service, and
+// steps on other engines may be blocked by the model's floor until it is done.
+func lostModel(in Input) (api.Step, bool) {
+	for _, want := range in.Target.Loaded {
+		if findLoaded(in.State, want.Model) == nil && !waitsForUnload(in, want.Model) {
+			return api.Step{Upstream: in.Target.Upstream, Kind: api.StepLoad, Model: want.Model, Version: want.Version}, true
 		}
 	}
 	return api.Step{}, false
 }
 
-// waitsForRoom tells whether a model's load comes after an unload that is still to be done, which makes
-// room for it.
-func waitsForRoom(in Input, model string) bool {
-	room := false
+// waitsForUnload reports whether the model's load follows an unload that makes room for it and is not done yet.
+func waitsForUnload(in Input, model string) bool {
+	unloadPending := false
 	for _, s := range in.Steps {
 		if s.Kind == api.StepLoad && s.Model == model {
-			return room
+			return unloadPending
 		}
-		room = room || (s.Kind == api.StepUnload && s.Adapter == "" && !satisfied(in.State, s))
+		unloadPending = unloadPending || (s.Kind == api.StepUnload && s.Adapter == "" && !satisfied(in.State, s))
 	}
 	return false
 }
 
-// superseded tells whether a later step is about the same model or adapter.
+// superseded reports whether a later step is about the same model and adapter.
 func superseded(later []api.Step, s api.Step) bool {
 	return slices.ContainsFunc(later, func(l api.Step) bool { return l.Model == s.Model && l.Adapter == s.Adapter })
 }
 
-// satisfied tells whether an engine's state shows a step as done.
+// satisfied reports whether an engine's state shows a step as done.
 func satisfied(state wire.EngineState, s api.Step) bool {
-	l := loadedAs(state, s.Model)
+	l := findLoaded(state, s.Model)
 	switch {
 	case s.Kind == api.StepUnload && s.Adapter == "":
 		return l == nil || (s.Version != "" && l.Version != s.Version)
@@ -72,7 +71,8 @@
 	}
 }
 
-func loadedAs(state wire.EngineState, model string) *wire.Loaded {
+// findLoaded returns the loaded version of a model, or nil if the engine has none.
+func findLoaded(state wire.EngineState, model string) *wire.Loaded {
 	i := slices.IndexFunc(state.Loaded, func(l wire.Loaded) bool { return l.Model == model })
 	if i < 0 {
 		return nil
@@ -80,15 +80,15 @@
 	return &state.Loaded[i]
 }
 
-// deviation gives the next thing to mend in a state that is not just the placement. What is too much goes
-// first, since it may hold the memory for what is missing, unless a floor needs it as yet.
+// deviation returns the next step that repairs a state that differs from the target. Unloads come first, since they
+// may free the memory that loads need. Steps that a floor blocks are skipped unless all are blocked.
 func deviation(in Input) (api.Step, bool) {
 	var steps []api.Step
 	for _, l := range in.State.Loaded {
-		steps = append(steps, tooMuch(in.Target, l)...)
+		steps = append(steps, extraSteps(in.Target, l)...)
 	}
-	for _, w := range in.Target.Loaded {
-		steps = append(steps, missing(w, in.State)...)
+	for _, want := range in.Target.Loaded {
+		steps = append(steps, missingSteps(want, in.State)...)
 	}
 	for i := range steps {
 		steps[i].Upstream = in.Target.Upstream
@@ -96,17 +96,18 @@
 	if len(steps) == 0 {
 		return api.Step{}, false
 	}
-	i := slices.IndexFunc(steps, func(s api.Step) bool { return !in.blocked(s) })
+	i := slices.IndexFunc(steps, func(s api.Step) bool { return !in.blockedByFloor(s) })
 	return steps[max(i, 0)], true
 }
 
-func missing(w api.Loaded, state wire.EngineState) []api.Step {
-	s := api.Step{Kind: api.StepLoad, Model: w.Model, Version: w.Version}
+// missingSteps returns the steps that load what the state lacks of a wanted model: the version, or else adapters.
+func missingSteps(want api.Loaded, state wire.EngineState) []api.Step {
+	s := api.Step{Kind: api.StepLoad, Model: want.Model, Version: want.Version}
 	if !satisfied(state, s) {
 		return []api.Step{s}
 	}
 	var steps []api.Step
-	for _, a := range w.Adapters {
+	for _, a := range want.Adapters {
 		s.Adapter = a
 		if !satisfied(state, s) {
 			steps = append(steps, s)
@@ -115,14 +116,16 @@
 	return steps
 }
 
-func tooMuch(want api.Placement, l wire.Loaded) []api.Step {
+// extraSteps returns the unload of a loaded model that the target doesn't contain. For a model that it contains in the
+// loaded version, extraSteps returns the unloads of the extra adapters.
+func extraSteps(want api.Placement, l wire.Loaded) []api.Step {
 	s := api.Step{Kind: api.StepUnload, Model: l.Model, Version: l.Version}
 	i := slices.IndexFunc(want.Loaded, func(w api.Loaded) bool { return w.Model == l.Model })
 	if i < 0 {
 		return []api.Step{s}
 	}
 	if want.Loaded[i].Version != l.Version {
-		return nil // the load of the wanted version replaces it, adapters and all
+		return nil // the load of the wanted version replaces it together with its adapters
 	}
 	var steps []api.Step
 	for _, a := range l.Adapters {
@@ -134,17 +137,17 @@
 	return steps
 }
 
-// Is tells whether what an engine has is just its placement.
+// MatchesPlacement reports whether an engine has loaded exactly what its placement contains.
 func MatchesPlacement(want api.Placement, loaded []wire.Loaded) bool {
 	in := Input{Target: want, State: wire.EngineState{Loaded: loaded}}
 	_, differs := deviation(in)
 	return !differs
 }
 
-// Behind tells whether an engine lacks something that it should have in a stage: a step of an earlier
-// stage that is undone, or a model that it should serve all the time.
+// IsBehind reports whether an engine's loaded models differ from what they should be in a stage: a step of that stage
+// or an earlier one is not done, or the engine lacks a model that it should serve all the time.
 func IsBehind(want api.Placement, steps []api.Step, stage int, loaded []wire.Loaded) bool {
 	in := Input{Target: want, Steps: steps, Stage: stage, State: wire.EngineState{Loaded: loaded}}
-	_, _, differs := difference(in)
+	_, _, differs := nextDifference(in)
 	return differs
 }
--- a/internal/decide/order/order_test.go
+++ b/internal/decide/order/order_test.go
@@ -13,8 +13,9 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// base is an engine with version 1 of m that the plan brings to version 2 in stage 1, and to n in stage 2.
-func base() order.Input {
+// baseInput returns the input for an engine with version 1 of model m. The plan loads version 2 in stage 1 and model n
+// in stage 2.
+func baseInput() order.Input {
 	return order.Input{
 		PlanID: "p", Fencing: true, Stage: 1,
 		State: wire.EngineState{BootID: "b1", Loaded: []wire.Loaded{{Model: "m", Version: "1"}}},
@@ -29,6 +30,7 @@
 	}
 }
 
+// loaded returns models from names of one letter that are followed by the version.
 func loaded(refs ...string) []wire.Loaded {
 	var all []wire.Loaded
 	for _, r := range refs {
@@ -37,12 +39,13 @@
 	return all
 }
 
-func TestWhatIsDueComesFirst(t *testing.T) {
+// Checks that the first step that is due is ordered, and that nothing is ordered for a state that matches the plan.
+func TestFirstDueStepIsOrdered(t *testing.T) {
 	is := is.New(t)
-	d := order.Next(base())
+	d := order.Next(baseInput())
 	is.Equal(d.Reason, order.NextStep)
 	is.Equal(*d.Order, wire.Order{ID: "p.7.b1.1", Fence: 7, Kind: "load", Model: "m", Version: "2"})
-	in := base()
+	in := baseInput()
 	in.State.Loaded = loaded("m2", "n1")
 	is.Equal(order.Next(in).Reason, order.MatchesPlan)
 }
@@ -55,14 +58,14 @@
 	}{
 		{func(in *order.Input) { in.Lease.Valid = false }, order.NoLease, false},
 		{func(in *order.Input) { in.Fencing, in.Lease.Settled = false, false }, order.AwaitOldOrders, false},
-		{func(in *order.Input) { in.Lease.Settled = false }, order.NextStep, true}, // the engine checks the fence
+		{func(in *order.Input) { in.Lease.Settled = false }, order.NextStep, true}, // the engine checks the fencing number
 		{func(in *order.Input) { in.State.Orders = []wire.OrderStatus{{Fence: 7, State: "running"}} }, order.OrderRunning, false},
 		{func(in *order.Input) { in.State.Orders = []wire.OrderStatus{{Fence: 3, State: "accepted"}} }, order.OldOrderRunning, false},
 		{func(in *order.Input) { in.State.Orders = []wire.OrderStatus{{Fence: 3, State: "done"}} }, order.NextStep, true},
-		// The other engine was lost since the plan was made: this one is all that serves the model.
+		// The other engine was lost since the plan was made; only this one serves the model.
 		{func(in *order.Input) { in.Models = map[string]order.ModelService{"m": {Serving: 1}} }, order.BlockedByFloor, false},
 		{func(in *order.Input) { in.Models, in.Forced = nil, true }, order.NextStep, true},
-		// Matching without the certainty that no old order comes.
+		// The state matches, but old orders may still arrive.
 		{func(in *order.Input) {
 			in.Fencing, in.Lease.Settled, in.State.Loaded = false, false, loaded("m2", "n1")
 		}, order.AwaitOldOrders, false},
@@ -70,9 +73,9 @@
 		{func(in *order.Input) {
 			in.Lease.Settled, in.State.Loaded, in.State.HighestFence = false, loaded("m2", "n1"), 7
 		}, order.MatchesPlan, false},
-		// All is done, and an order of an older plan has loaded something since.
+		// All steps are done, and an order of an older plan has loaded another model since.
 		{func(in *order.Input) { in.Stage, in.Verify, in.State.Loaded = 3, true, loaded("m2", "n1", "x1") }, order.Repair, true},
-		// Engines are wrong in such number that mending one breaks the floor: one at a time.
+		// So many engines deviate that any repair breaks the floor; they are repaired one at a time.
 		{func(in *order.Input) {
 			in.Stage, in.Verify, in.State.Loaded = 3, true, loaded("m1", "n1")
 			in.Models = map[string]order.ModelService{"m": {Serving: 1, FirstDeviating: true}}
@@ -84,22 +87,22 @@
 	}
 	for i, c := range cases {
 		is := is.New(t)
-		in := base()
+		in := baseInput()
 		c.change(&in)
 		d := order.Next(in)
 		if d.Reason != c.reason {
-			t.Errorf("case %d: %s, not %s", i, d.Reason, c.reason)
+			t.Errorf("case %d: reason %s, want %s", i, d.Reason, c.reason)
 		}
 		is.Equal(d.Order != nil, c.sent)
 		is.True(slices.Contains(order.Reasons, d.Reason))
 	}
 }
 
-// The answer to an order is lost, and it may still be on its way: the same operation id goes out again,
-// so that the engine carries it out once. After a reboot it would be a new one.
-func TestLostAnswerRepeatsTheSameOperation(t *testing.T) {
+// Checks that an order whose response was lost is sent again with the same operation id, so that the engine carries
+// it out only once even if the first one is still in flight. After a reboot of the engine, the id is a new one.
+func TestOrderIsRepeatedAfterLostResponse(t *testing.T) {
 	is := is.New(t)
-	in := base()
+	in := baseInput()
 	first := order.Next(in)
 	in.LastOrder = first.LastOrder
 	again := order.Next(in)
@@ -109,13 +112,13 @@
 	is.Equal(order.Next(in).Order.ID, "p.7.b2.2")
 	in.State.BootID = "b1"
 	in.State.Orders = []wire.OrderStatus{{ID: first.Order.ID, Fence: 7, State: "done"}}
-	is.Equal(order.Next(in).Order.ID, "p.7.b1.2") // it was done and undone since
+	is.Equal(order.Next(in).Order.ID, "p.7.b1.2") // the order was done, and its effect undone since
 }
 
-// A load fails, for want of memory perhaps: it is tried again after a pause, not in a tight loop.
-func TestFailedOrderWaits(t *testing.T) {
+// Checks that a failed order, such as a load without enough memory, is retried only after a delay.
+func TestFailedOrderIsRetriedAfterDelay(t *testing.T) {
 	is := is.New(t)
-	in := base()
+	in := baseInput()
 	in.LastOrder = order.Next(in).LastOrder
 	in.State.Orders = []wire.OrderStatus{{ID: in.LastOrder.Order.ID, Fence: 7, State: "failed"}}
 	is.Equal(order.Next(in).Reason, order.OrderFailed)
@@ -123,13 +126,13 @@
 	is.Equal(order.Next(in).Reason, order.NextStep)
 }
 
-// An engine reboots in the middle of a plan and lacks a model that others count on: it comes back at
-// once, unless its room is still taken by what an earlier step unloads.
-func TestLostModelComesBackAtOnce(t *testing.T) {
+// Checks that a model that an engine lost by a reboot is loaded again before its stage, unless an earlier step of the
+// plan has yet to unload a model to make room for it.
+func TestLostModelIsReloadedAtOnce(t *testing.T) {
 	is := is.New(t)
-	in := base()
+	in := baseInput()
 	in.State.Loaded = loaded("m2")
-	in.Steps = in.Steps[:1] // n was there before the plan
+	in.Steps = in.Steps[:1] // n was loaded before the plan
 	d := order.Next(in)
 	is.Equal(d.Reason, order.Repair)
 	is.Equal(d.Order.Model, "n")
