--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -10,11 +10,12 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/drain"
 )
 
-func TestWhatIsLostAndWhetherTheRestCarriesIt(t *testing.T) {
+// Checks the reason and the shown impact of a drain, by the load and the memory of the remaining upstreams.
+func TestDrainReasonAndImpact(t *testing.T) {
 	cases := []struct {
 		group  drain.Group
 		reason any
-		hurt   string
+		impact string
 	}{
 		{drain.Group{Kind: "model", Name: "m", UpstreamsBefore: 6, UpstreamsAfter: 4, Utilization: 0.5}, drain.LoadFits, "at 75%"},
 		{drain.Group{Kind: "model", Name: "m", UpstreamsBefore: 6, UpstreamsAfter: 4, Utilization: 0.9}, drain.Overload, "about 26% of it would be refused"},
@@ -26,13 +27,13 @@
 		r := drain.Assess(drain.Input{Domain: "a", Groups: []drain.Group{c.group}})
 		is.Equal(r.Reason, c.reason)
 		is.Equal(r.Rejected, "")
-		is.True(strings.Contains(strings.Join(r.Impact, "\n"), c.hurt))
+		is.True(strings.Contains(strings.Join(r.Impact, "\n"), c.impact))
 		is.True(slices.Contains(drain.Reasons, r.Reason))
 	}
 }
 
-// An operator drains the only failure domain that still has the booking service: every confirmation would
-// be refused. It is rejected in words, and allowed only when forced, which shows.
+// Guards against draining the only failure domain that has upstreams of a service, after which every request for the
+// service would be refused. The drain is rejected unless it is forced, and a forced one shows what is lost.
 func TestDrainOfTheLastUpstreamIsRejectedUnlessForced(t *testing.T) {
 	is := is.New(t)
 	in := drain.Input{Domain: "a", Groups: []drain.Group{
@@ -47,10 +48,11 @@
 	is.Equal(r.Reason, drain.ForcedNothingLeft)
 	is.True(slices.Contains(r.Impact, "service bookdesk: no upstream is left, every request would be refused"))
 	slices.Reverse(in.Groups)
-	is.Equal(drain.Assess(in), r) // the order of groups does not matter
+	is.Equal(drain.Assess(in), r) // the result doesn't depend on the order of groups
 }
 
-func TestReturnSaysThatUpstreamsAreCold(t *testing.T) {
+// Checks that the assessment of a restore shows that the restored upstreams are cold.
+func TestRestoreShowsThatUpstreamsAreCold(t *testing.T) {
 	is := is.New(t)
 	r := drain.Assess(drain.Input{Domain: "a", Restore: true, Groups: []drain.Group{{Kind: "model", Name: "m", UpstreamsBefore: 2, UpstreamsAfter: 3}}})
 	is.Equal(r.Reason, drain.Restored)
