--- a/internal/bench/entry.go
+++ b/internal/bench/entry.go
@@ -29,14 +29,14 @@
 	rng    *rand.Rand
 	views  []*pick.Engine
 	byView map[*pick.Engine]*engine
-	paces  []pace.Pace // of the engines' reports
+	paces  []pace.Schedule // of the engines' reports
 	policy policy
 }
 
 func newEntry(s *sim, number int) *entry {
 	e := &entry{
 		sim: s, number: number, rng: rand.New(rand.NewPCG(s.config.Seed, uint64(1000+number))),
-		byView: map[*pick.Engine]*engine{}, paces: make([]pace.Pace, len(s.engines)),
+		byView: map[*pick.Engine]*engine{}, paces: make([]pace.Schedule, len(s.engines)),
 	}
 	for i, eng := range s.engines {
 		v := pick.NewEngine(eng.id, cost.NewTable(eng.model.Memory))
--- a/internal/bench/passes/baseline.go
+++ b/internal/bench/passes/baseline.go
@@ -28,7 +28,7 @@
 // Alone gives the policy of entries that know their own work only.
 func Alone(w *Workload) func() Policy {
 	return func() Policy {
-		return &alone{engines: w.Engines, memory: w.Model.Memory, work: map[fleet.InstanceID][]int{}, on: map[fleet.RequestID]place{}}
+		return &alone{engines: w.Engines, memory: w.Model.KVCacheTokens, work: map[fleet.InstanceID][]int{}, on: map[fleet.RequestID]place{}}
 	}
 }
 
@@ -42,18 +42,18 @@
 func (a *alone) Step(decide.Instant) []dispatch.Decision {
 	var out []dispatch.Decision
 	for _, j := range a.asked {
-		if j.Prompt+j.Output > a.memory {
+		if j.PromptTokens+j.MaxOutputTokens > a.memory {
 			out = append(out, dispatch.Decision{Job: j, Reason: dispatch.TooLarge})
 			continue
 		}
-		own := a.work[j.Entry]
+		own := a.work[j.Instance]
 		if own == nil {
 			own = make([]int, a.engines)
-			a.work[j.Entry] = own
+			a.work[j.Instance] = own
 		}
 		least := slices.Index(own, slices.Min(own))
 		own[least]++
-		a.on[j.ID] = place{j.Entry, least}
+		a.on[j.ID] = place{j.Instance, least}
 		out = append(out, dispatch.Decision{Job: j, Upstream: engineID(least), Reason: dispatch.LeastWork})
 	}
 	a.asked = nil
@@ -64,7 +64,7 @@
 func (a *alone) Began(decide.Instant, fleet.RequestID) {}
 
 // Done implements Policy.
-func (a *alone) Done(_ decide.Instant, id fleet.RequestID, _ dispatch.End, _ fleet.UpstreamID) {
+func (a *alone) Done(_ decide.Instant, id fleet.RequestID, _ dispatch.Outcome, _ fleet.UpstreamID) {
 	p := a.on[id]
 	a.work[p.entry][p.engine]--
 	delete(a.on, id)
@@ -86,7 +86,7 @@
 				if c := &w.classes[i]; r.Float64() < c.perS*x[i]*p.Load/thousand {
 					j := w.job(r, c, len(all), now)
 					all, queue = append(all, j), append(queue, j)
-					left[j] = reading(&w.Model, j.Prompt)
+					left[j] = reading(&w.Model, j.PromptTokens)
 				}
 			}
 		}
--- a/internal/bench/passes/engine.go
+++ b/internal/bench/passes/engine.go
@@ -36,7 +36,7 @@
 // reading is how long one engine reads a prompt, its steps aside.
 func reading(m *dispatch.Model, tokens int) float64 {
 	n := float64(tokens)
-	return n/m.ReadPerMs + n*n/2/million*m.PairsPerM
+	return n/m.PrefillTokensPerMs + n*n/2/million*m.MsPerMillionPairs
 }
 
 // begin begins a pass.
@@ -44,14 +44,14 @@
 	m := e.model
 	steps, context := 1, 0
 	if len(e.writers) > 0 {
-		steps = m.Stride
+		steps = m.StepsPerPass
 	}
 	for _, w := range e.writers {
-		context += w.Prompt
+		context += w.PromptTokens
 	}
-	step := m.Step + m.PerWriter*float64(len(e.writers)) + m.PerContext*float64(context)/thousand
+	step := m.StepMs + m.PerDecodeMs*float64(len(e.writers)) + m.Per1000ContextMs*float64(context)/thousand
 	length := float64(steps) * step
-	budget := float64(steps*m.Chunk) / m.ReadPerMs * 2 // with the pairs, about
+	budget := float64(steps*m.ChunkTokens) / m.PrefillTokensPerMs * 2 // with the pairs, about
 	e.done = nil
 	for len(e.reads) > 0 && budget > 0 {
 		p := e.reads[0]
--- a/internal/bench/passes/passes.go
+++ b/internal/bench/passes/passes.go
@@ -18,7 +18,7 @@
 	Ask(j *dispatch.Job)
 	Step(now decide.Instant) []dispatch.Decision
 	Began(now decide.Instant, id fleet.RequestID)
-	Done(now decide.Instant, id fleet.RequestID, how dispatch.End, atFault fleet.UpstreamID)
+	Done(now decide.Instant, id fleet.RequestID, how dispatch.Outcome, atFault fleet.UpstreamID)
 	SetUpstreams([]dispatch.Upstream)
 }
 
@@ -231,12 +231,12 @@
 	for _, h := range d.Helpers {
 		j.with = append(j.with, s.byID[h])
 	}
-	for _, h := range d.Holders {
+	for _, h := range d.Reservations {
 		j.with = append(j.with, s.byID[h.Upstream])
 	}
 	j.parts = len(j.with)
 	for _, e := range j.with {
-		e.reads = append(e.reads, &part{job: j, try: j.tries, left: reading(&s.w.Model, j.Prompt) / float64(len(j.with))})
+		e.reads = append(e.reads, &part{job: j, try: j.tries, left: reading(&s.w.Model, j.PromptTokens) / float64(len(j.with))})
 	}
 }
 
@@ -257,7 +257,7 @@
 	now := e.passEnd
 	e.write(now, func(j *Job) {
 		id := j.ID
-		s.tell(now, func() { s.policy.Done(at(now), id, dispatch.Whole, "") })
+		s.tell(now, func() { s.policy.Done(at(now), id, dispatch.Completed, "") })
 	})
 	for _, p := range e.done {
 		j := p.job
@@ -274,7 +274,7 @@
 		id := j.ID
 		s.tell(now, func() { s.policy.Began(at(now), id) })
 		if j.done {
-			s.tell(now, func() { s.policy.Done(at(now), id, dispatch.Whole, "") })
+			s.tell(now, func() { s.policy.Done(at(now), id, dispatch.Completed, "") })
 			continue
 		}
 		j.writing = true
--- a/internal/bench/passes/result.go
+++ b/internal/bench/passes/result.go
@@ -91,7 +91,7 @@
 
 // largest tells how often the largest tenth is answered against all.
 func largest(jobs []*Job) float64 {
-	slices.SortFunc(jobs, func(a, b *Job) int { return cmp.Compare(b.Prompt, a.Prompt) })
+	slices.SortFunc(jobs, func(a, b *Job) int { return cmp.Compare(b.PromptTokens, a.PromptTokens) })
 	all := answered(jobs)
 	if all == 0 || len(jobs) < 10 {
 		return 1
@@ -101,7 +101,7 @@
 
 // largestWorth is the share of the largest tenth's worth that was earned.
 func largestWorth(jobs []*Job) float64 {
-	slices.SortFunc(jobs, func(a, b *Job) int { return cmp.Compare(b.Prompt, a.Prompt) })
+	slices.SortFunc(jobs, func(a, b *Job) int { return cmp.Compare(b.PromptTokens, a.PromptTokens) })
 	var tenth share
 	for _, j := range jobs[:len(jobs)/10] {
 		tenth.earned += j.earned()
--- a/internal/bench/passes/workload.go
+++ b/internal/bench/passes/workload.go
@@ -41,8 +41,8 @@
 	Coteau = Workload{
 		Name: "coteau", Engines: 21, EventTokens: 46,
 		Model: dispatch.Model{
-			Slots: 16, Memory: 450_000, Stride: 46, Step: 0.925, PerWriter: 0.00483, PerContext: 0.00254, ReadPerMs: 256,
-			PairsPerM: 0.0917, Chunk: 2048,
+			Slots: 16, KVCacheTokens: 450_000, StepsPerPass: 46, StepMs: 0.925, PerDecodeMs: 0.00483, Per1000ContextMs: 0.00254, PrefillTokensPerMs: 256,
+			MsPerMillionPairs: 0.0917, ChunkTokens: 2048,
 		},
 		classes: []class{
 			{"short", 4960, 0.9, 23_800, 35, 300, 200, 2000, 10_000, 46.1, 1.3},
@@ -53,8 +53,8 @@
 	Kivufix = Workload{
 		Name: "kivufix", Engines: 23, EventTokens: 43,
 		Model: dispatch.Model{
-			Slots: 16, Memory: 232_000, Stride: 43, Step: 1.02, PerWriter: 0.00226, PerContext: 0.00431, ReadPerMs: 206,
-			PairsPerM: 0.138, Chunk: 2048,
+			Slots: 16, KVCacheTokens: 232_000, StepsPerPass: 43, StepMs: 1.02, PerDecodeMs: 0.00226, Per1000ContextMs: 0.00431, PrefillTokensPerMs: 206,
+			MsPerMillionPairs: 0.138, ChunkTokens: 2048,
 		},
 		classes: []class{
 			{"short", 4960, 0.9, 23_800, 32, 300, 250, 2000, 10_000, 49, 1.3},
@@ -68,8 +68,8 @@
 var CoteauLarge = Workload{
 	Name: "coteau-large", Engines: 172, EventTokens: 73,
 	Model: dispatch.Model{
-		Slots: 10, Memory: 450_000, Stride: 73, Step: 0.925, PerWriter: 0.00483, PerContext: 0.00254, ReadPerMs: 256,
-		PairsPerM: 0.0917, Chunk: 2048,
+		Slots: 10, KVCacheTokens: 450_000, StepsPerPass: 73, StepMs: 0.925, PerDecodeMs: 0.00483, Per1000ContextMs: 0.00254, PrefillTokensPerMs: 256,
+		MsPerMillionPairs: 0.0917, ChunkTokens: 2048,
 	},
 	classes: []class{
 		{"short", 4960, 0.9, 23_800, 24, 300, 250, 2000, 10_000, 249, 1.4},
@@ -82,8 +82,8 @@
 var CoteauShifted = Workload{
 	Name: "coteau-shifted", Engines: 45, EventTokens: 38,
 	Model: dispatch.Model{
-		Slots: 12, Memory: 405_000, Stride: 38, Step: 1.31, PerWriter: 0.000917, PerContext: 0.00213, ReadPerMs: 154,
-		PairsPerM: 0.162, Chunk: 2048,
+		Slots: 12, KVCacheTokens: 405_000, StepsPerPass: 38, StepMs: 1.31, PerDecodeMs: 0.000917, Per1000ContextMs: 0.00213, PrefillTokensPerMs: 154,
+		MsPerMillionPairs: 0.162, ChunkTokens: 2048,
 	},
 	classes: []class{
 		{"short", 4960, 0.9, 23_800, 36, 300, 250, 2000, 10_000, 53.5, 1.3},
@@ -151,7 +151,7 @@
 
 // worth is what a prompt counts: more with its size, four times the mean of its kind at most.
 func (j *Job) worth() float64 {
-	return j.class.worth * min(4, 0.3+0.7*float64(j.Prompt)/j.class.mean)
+	return j.class.worth * min(4, 0.3+0.7*float64(j.PromptTokens)/j.class.mean)
 }
 
 // earned is what its answer counts.
@@ -175,8 +175,8 @@
 	tokens := min(c.most, c.mean*math.Exp(c.spread*r.NormFloat64()-c.spread*c.spread/2))
 	id := fmt.Sprintf("%s-%d", c.name, n)
 	j := &Job{class: c, name: id, came: now, events: c.events, Job: dispatch.Job{
-		ID: fleet.RequestID(id), Entry: fleet.InstanceID(fmt.Sprint("entry-", r.IntN(entries))),
-		From: domain, Prompt: int(tokens), Output: c.events * w.EventTokens, MaxGap: fromMs(c.gap),
+		ID: fleet.RequestID(id), Instance: fleet.InstanceID(fmt.Sprint("entry-", r.IntN(entries))),
+		Domain: domain, PromptTokens: int(tokens), MaxOutputTokens: c.events * w.EventTokens, MaxGap: fromMs(c.gap),
 	}}
 	j.arrive(now)
 	return j
@@ -185,7 +185,7 @@
 // arrive sets the times of an attempt that comes now: entries know nothing of those before it.
 func (j *Job) arrive(now float64) {
 	c := j.class
-	j.Arrived, j.Aim, j.Patience = at(now), at(now+c.aim), at(min(now+c.patience, j.came+c.deadline))
+	j.Arrived, j.FirstEventTarget, j.FirstEventDeadline = at(now), at(now+c.aim), at(min(now+c.patience, j.came+c.deadline))
 	j.Deadline = at(j.came + c.deadline)
 }
 
--- a/internal/decide/advertised/limits.go
+++ b/internal/decide/advertised/limits.go
@@ -26,26 +26,26 @@
 )
 
 // Statement is what an answer said of its upstream's limit. It ends with the upstream's process.
-type Statement struct {
+type Observation struct {
 	fleet.Process
-	Limited bool
-	Rate    float64          // requests a second that the process takes from all instances together
-	Sent    decide.Instant   // when the answered request was sent
-	Heard   decide.Instant   // when the head of the answer came
-	By      fleet.InstanceID // that heard it
+	Limited    bool
+	Rate       float64          // requests a second that the process takes from all instances together
+	SentAt     decide.Instant   // when the answered request was sent
+	ReceivedAt decide.Instant   // when the head of the answer came
+	ReceivedBy fleet.InstanceID // that heard it
 }
 
 // Reasons of this package: what a statement changed. None is no news to anybody.
 const (
-	None    decide.Reason = ""
-	Named   decide.Reason = "limit_named"
-	Changed decide.Reason = "limit_changed"
-	Renewed decide.Reason = "limit_renewed" // as before, and the others have not heard so for a while
-	Ended   decide.Reason = "limit_ended"
+	Unchanged decide.Reason = ""
+	Named     decide.Reason = "limit_named"
+	Changed   decide.Reason = "limit_changed"
+	Renewed   decide.Reason = "limit_renewed" // as before, and the others have not heard so for a while
+	Ended     decide.Reason = "limit_ended"
 )
 
 // Reasons lists all of them.
-var Reasons = []decide.Reason{None, Named, Changed, Renewed, Ended}
+var Reasons = []decide.Reason{Unchanged, Named, Changed, Renewed, Ended}
 
 // Limits are the limits in force, as far as one instance knows. They are not safe for concurrent use.
 type Limits struct {
@@ -54,7 +54,7 @@
 }
 
 type limit struct {
-	last  Statement      // that named it
+	last  Observation    // that named it
 	ended decide.Instant // a request sent then was answered without a limit
 	told  decide.Instant // when the others were last told
 	over  bool
@@ -67,10 +67,10 @@
 func (l *Limits) InForce() int { return l.inForce }
 
 // Known is the number of processes that are known to have named a limit.
-func (l *Limits) Known() int { return len(l.all) }
+func (l *Limits) Tracked() int { return len(l.all) }
 
 // Of gives the limit of a process in requests a second; ok is false if it has none.
-func (l *Limits) Of(p fleet.Process) (rate float64, ok bool) {
+func (l *Limits) Rate(p fleet.Process) (rate float64, ok bool) {
 	one := l.all[p]
 	if one == nil || one.over {
 		return 0, false
@@ -79,24 +79,24 @@
 }
 
 // Take takes a statement and tells what is new with it.
-func (l *Limits) Take(s Statement) decide.Reason {
+func (l *Limits) Apply(s Observation) decide.Reason {
 	if s.Limited {
 		return l.named(s)
 	}
 	return l.unnamed(s)
 }
 
-func (l *Limits) named(s Statement) decide.Reason {
+func (l *Limits) named(s Observation) decide.Reason {
 	one := l.all[s.Process]
 	switch {
 	case one == nil:
 		l.makeRoom()
 		one = &limit{over: true, ended: math.MinInt64}
 		l.all[s.Process] = one
-	case s.Heard < one.ended:
-		return None // of before its end
-	case !one.over && s.Heard < one.last.Heard:
-		return None // of before what is known
+	case s.ReceivedAt < one.ended:
+		return Unchanged // of before its end
+	case !one.over && s.ReceivedAt < one.last.ReceivedAt:
+		return Unchanged // of before what is known
 	}
 	news := Named
 	switch {
@@ -105,34 +105,34 @@
 		l.inForce++
 	case one.last.Rate != s.Rate:
 		news = Changed
-	case s.Heard.Sub(one.told) >= renewEvery:
+	case s.ReceivedAt.Sub(one.told) >= renewEvery:
 		news = Renewed
 	default:
-		news = None
+		news = Unchanged
 	}
 	one.last = s
-	if news != None {
-		one.told = s.Heard
+	if news != Unchanged {
+		one.told = s.ReceivedAt
 	}
 	return news
 }
 
-func (l *Limits) unnamed(s Statement) decide.Reason {
+func (l *Limits) unnamed(s Observation) decide.Reason {
 	one := l.all[s.Process]
 	switch {
 	case one == nil:
-		return None
+		return Unchanged
 	case one.over:
-		one.ended = max(one.ended, s.Sent)
-		if s.Heard.Sub(one.told) < renewEvery || s.Heard.Sub(one.last.Heard) > overTime {
-			return None
+		one.ended = max(one.ended, s.SentAt)
+		if s.ReceivedAt.Sub(one.told) < renewEvery || s.ReceivedAt.Sub(one.last.ReceivedAt) > overTime {
+			return Unchanged
 		}
-		one.told = s.Heard
+		one.told = s.ReceivedAt
 		return Renewed
-	case s.Sent < one.last.Heard.Add(settleTime):
-		return None // it may be an answer of before
+	case s.SentAt < one.last.ReceivedAt.Add(settleTime):
+		return Unchanged // it may be an answer of before
 	}
-	one.over, one.ended, one.told = true, s.Sent, s.Heard
+	one.over, one.ended, one.told = true, s.SentAt, s.ReceivedAt
 	l.inForce--
 	return Ended
 }
@@ -154,21 +154,21 @@
 	delete(l.all, oldest.last.Process)
 }
 
-func (one *limit) heard() decide.Instant { return max(one.last.Heard, one.ended) }
+func (one *limit) heard() decide.Instant { return max(one.last.ReceivedAt, one.ended) }
 
 // Statements gives the statements by which another one knows the same: of limits in force, and of those that ended after
 // a moment.
-func (l *Limits) Statements(after decide.Instant) []Statement {
-	var all []Statement
+func (l *Limits) Observations(after decide.Instant) []Observation {
+	var all []Observation
 	for _, one := range l.all {
 		switch {
 		case !one.over:
 			all = append(all, one.last)
 		case one.ended >= after:
-			all = append(all, Statement{Process: one.last.Process, Sent: one.ended, Heard: one.ended, By: one.last.By})
+			all = append(all, Observation{Process: one.last.Process, SentAt: one.ended, ReceivedAt: one.ended, ReceivedBy: one.last.ReceivedBy})
 		}
 	}
-	slices.SortFunc(all, func(a, b Statement) int {
+	slices.SortFunc(all, func(a, b Observation) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born))
 	})
 	return all
--- a/internal/decide/dispatch/bounds_test.go
+++ b/internal/decide/dispatch/bounds_test.go
@@ -22,7 +22,7 @@
 func TestLongAnswersShareEngines(t *testing.T) {
 	is := is.New(t)
 	apart := dispatch.DefaultParams()
-	apart.Together, apart.Beside, apart.Backlog = 0, 0, math.Inf(1)
+	apart.CoLocationBonusMs, apart.StreamPenaltyMs, apart.MaxBacklogMs = 0, 0, math.Inf(1)
 	for _, w := range passes.Workloads {
 		play := passes.Play{Load: 1, Length: 34_000}
 		before := passes.Mean(w, passes.Dispatcher(w, apart), play, 8)
--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -123,13 +123,13 @@
 // Ask queues a job. One with the id of a job that waits or runs replaces it: the instance asks anew when it
 // doesn't know what became of it.
 func (s *State) Ask(j *Job) {
-	s.Withdraw(j.ID)
+	s.Cancel(j.ID)
 	j.excess = s.overShare(j)
 	s.queue = append(s.queue, j)
 }
 
 // Withdraw takes a job out of the queue, or ends its run.
-func (s *State) Withdraw(id fleet.RequestID) {
+func (s *State) Cancel(id fleet.RequestID) {
 	s.queue = slices.DeleteFunc(s.queue, func(j *Job) bool { return j.ID == id })
 	if r := s.runs[id]; r != nil {
 		s.release(r)
@@ -149,26 +149,26 @@
 	s.readDone(r)
 	r.writing = true
 	r.on.fails = 0
-	delete(r.on.unreached, r.job.From)
-	s.heard[link{r.job.From, r.on.Domain}] = now
+	delete(r.on.unreached, r.job.Domain)
+	s.heard[link{r.job.Domain, r.on.Domain}] = now
 	for _, h := range r.helpers {
 		h.fails, h.helpRefused = 0, 0
 	}
 }
 
 // End is how a run ended.
-type End uint8
+type Outcome uint8
 
 // The ends of a run.
 const (
-	Whole       End = iota // answered, or its caller left
-	Failed                 // its upstream failed it
-	Unreachable            // its instance could not connect to the upstream
-	Full                   // its upstream said that it has no room
+	Completed   Outcome = iota // answered, or its caller left
+	Failed                     // its upstream failed it
+	Unreachable                // its instance could not connect to the upstream
+	Full                       // its upstream said that it has no room
 )
 
 // Done ends a run. atFault is the upstream to blame where it isn't the one that the run was on.
-func (s *State) Done(now decide.Instant, id fleet.RequestID, how End, atFault fleet.UpstreamID) {
+func (s *State) Done(now decide.Instant, id fleet.RequestID, how Outcome, atFault fleet.UpstreamID) {
 	r := s.runs[id]
 	if r == nil {
 		return
@@ -186,7 +186,7 @@
 	case Full:
 		blamed.full = now.Add(fullPause)
 	case Unreachable:
-		blamed.unreached[r.job.From] = now
+		blamed.unreached[r.job.Domain] = now
 		if len(blamed.unreached) > 1 {
 			blamed.fail(now) // not the way to it: it can't be reached from anywhere
 		}
@@ -197,8 +197,8 @@
 // Adopt takes a run that another dispatcher, or the instance by itself, placed. Its upstream need not be known
 // yet: a dispatcher that has just started hears of the fleet's work first, and what it dropped of that it would
 // place once more.
-func (s *State) Adopt(now decide.Instant, j *Job, on fleet.UpstreamID, helpers []fleet.UpstreamID, holders []Holding, writing bool) {
-	s.Withdraw(j.ID)
+func (s *State) Adopt(now decide.Instant, j *Job, on fleet.UpstreamID, helpers []fleet.UpstreamID, holders []Reservation, writing bool) {
+	s.Cancel(j.ID)
 	var with []*engine
 	for _, id := range helpers {
 		with = append(with, s.engine(id))
@@ -217,10 +217,10 @@
 }
 
 // Forget drops the work of an instance that is gone.
-func (s *State) Forget(entry fleet.InstanceID) {
-	s.queue = slices.DeleteFunc(s.queue, func(j *Job) bool { return j.Entry == entry })
+func (s *State) RemoveInstance(entry fleet.InstanceID) {
+	s.queue = slices.DeleteFunc(s.queue, func(j *Job) bool { return j.Instance == entry })
 	for _, r := range s.runs {
-		if r.job.Entry == entry {
+		if r.job.Instance == entry {
 			s.release(r)
 		}
 	}
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -38,8 +38,8 @@
 
 func newJob(id string, prompt int) *dispatch.Job {
 	return &dispatch.Job{
-		ID: fleet.RequestID(id), Entry: "entry", From: "a", Prompt: prompt, Output: 800,
-		Aim: at(3000), Patience: at(12_000), Deadline: at(15_000), MaxGap: 800 * time.Millisecond,
+		ID: fleet.RequestID(id), Instance: "entry", Domain: "a", PromptTokens: prompt, MaxOutputTokens: 800,
+		FirstEventTarget: at(3000), FirstEventDeadline: at(12_000), Deadline: at(15_000), MaxGap: 800 * time.Millisecond,
 	}
 }
 
@@ -104,10 +104,10 @@
 		is.Equal(one(t, s, 2, newJob(fmt.Sprint("j", i), 0)).Upstream[0], byte('a'))
 	}
 	other := newJob("other", 0)
-	other.From = "c"
+	other.Domain = "c"
 	is.Equal(one(t, s, 3, other).Upstream[0], byte('b')) // they have the least work
 	again := newJob("again", 0)
-	again.Arrived, again.Aim = at(5000), at(8000)
+	again.Arrived, again.FirstEventTarget = at(5000), at(8000)
 	is.Equal(one(t, s, 5000, again).Upstream[0], byte('b')) // tried again after a while
 }
 
@@ -155,7 +155,7 @@
 		st, stalled := s.Stalled(at(310))
 		is.True(stalled)
 		is.Equal(st.Waiting, 3)
-		is.True(st.Unreached == 2 && st.Idle == st.Cut)
+		is.True(st.Unreachable == 2 && st.Idle == st.Partitioned)
 		is.Equal(len(s.Step(at(310))), 1)
 		is.Equal(len(s.Step(at(500))), 0)
 		is.Equal(len(s.Step(at(620))), 1)
@@ -179,7 +179,7 @@
 func TestAColdUpstreamsLimit(t *testing.T) {
 	is := is.New(t)
 	p := dispatch.DefaultParams()
-	p.ColdPerS = 10
+	p.ColdRequestsPerSecond = 10
 	s := dispatch.New(nil, p)
 	s.SetUpstreams([]dispatch.Upstream{{ID: "cold", Domain: "a", Slots: 100, ColdUntil: at(60_000)}})
 	given := 0
@@ -202,11 +202,11 @@
 	is.Equal(d.Reason, dispatch.NoUpstream)
 	is.True(d.RetryAfter > 0)
 	impatient := newJob("impatient", 400_000)
-	impatient.Patience = at(500)
+	impatient.FirstEventDeadline = at(500)
 	d = one(t, s, 0, impatient)
 	is.Equal(d.Reason, dispatch.TooLate)
 	huge := newJob("huge", 5_000_000)
-	huge.Patience = at(1e9)
+	huge.FirstEventDeadline = at(1e9)
 	is.Equal(one(t, s, 0, huge).Reason, dispatch.TooLarge)
 }
 
@@ -215,15 +215,15 @@
 	is := is.New(t)
 	s := engines(17)
 	big := newJob("big", 900_000)
-	big.Aim = at(6000)
+	big.FirstEventTarget = at(6000)
 	d := one(t, s, 0, big)
 	is.True(d.Upstream != "")
 	held := 0
-	for _, h := range d.Holders {
+	for _, h := range d.Reservations {
 		is.True(h.Upstream != d.Upstream)
 		held += h.Tokens
 	}
-	is.True(900_000+800-held <= coteau.Memory)
+	is.True(900_000+800-held <= coteau.KVCacheTokens)
 	is.True(held > 0)
 }
 
@@ -237,9 +237,9 @@
 	j := newJob("largest", 950_000)
 	d := one(t, s, 1, j)
 	is.True(d.Upstream != "")
-	is.Equal(len(d.Helpers)+len(d.Holders), 16)
+	is.Equal(len(d.Helpers)+len(d.Reservations), 16)
 	late := newJob("late", 500_000)
-	late.Arrived, late.Aim = at(-2500), at(1000)
+	late.Arrived, late.FirstEventTarget = at(-2500), at(1000)
 	is.Equal(one(t, s, 2, late).Reason, dispatch.NoSlack)
 }
 
@@ -261,7 +261,7 @@
 			s.Adopt(at(0), stream, fleet.UpstreamID(fmt.Sprintf("a%02d", i)), nil, nil, true)
 		}
 		j := newJob("largest", 950_000)
-		j.Patience = at(c.patience)
+		j.FirstEventDeadline = at(c.patience)
 		s.Ask(j)
 		placed := 0
 		for _, d := range s.Step(at(1)) {
@@ -283,7 +283,7 @@
 	for i := range 3 {
 		is.Equal(one(t, s, 1, newJob(fmt.Sprint("j", i), 0)).Upstream, fleet.UpstreamID("a01"))
 	}
-	s.Forget("entry")
+	s.RemoveInstance("entry")
 	is.Equal(s.Running(), 0)
 }
 
@@ -301,7 +301,7 @@
 				n++
 				j := newJob(fmt.Sprint("j", n), rapid.IntRange(100, 420_000).Draw(t, "prompt"))
 				j.MaxGap = time.Duration(rapid.SampledFrom([]int{200, 500, 800}).Draw(t, "gap")) * time.Millisecond
-				j.Arrived, j.Aim, j.Patience = at(now), at(now+3000), at(now+12_000)
+				j.Arrived, j.FirstEventTarget, j.FirstEventDeadline = at(now), at(now+3000), at(now+12_000)
 				s.Ask(j)
 			},
 			"step": func(t *rapid.T) {
@@ -322,7 +322,7 @@
 			},
 			"done": func(t *rapid.T) {
 				for id := range live {
-					s.Done(at(now), id, dispatch.Whole, "")
+					s.Done(at(now), id, dispatch.Completed, "")
 					delete(live, id)
 					delete(writing, id)
 					break
@@ -338,8 +338,8 @@
 	for _, id := range append([]fleet.UpstreamID{d.Upstream}, d.Helpers...) {
 		runs, context, reading, gap, others := 0, 0, 0.0, time.Duration(0), 0
 		for jobID, l := range live {
-			n := float64(l.Job.Prompt)
-			part := (n/coteau.ReadPerMs + n*n/2/1e6*coteau.PairsPerM) / float64(len(l.Helpers)+1)
+			n := float64(l.Job.PromptTokens)
+			part := (n/coteau.PrefillTokensPerMs + n*n/2/1e6*coteau.MsPerMillionPairs) / float64(len(l.Helpers)+1)
 			if l.Upstream == id || slices.Contains(l.Helpers, id) {
 				if !writing[jobID] {
 					reading += part
@@ -349,7 +349,7 @@
 				continue
 			}
 			runs++
-			context += l.Job.Prompt + l.Job.Output
+			context += l.Job.PromptTokens + l.Job.MaxOutputTokens
 			if jobID != d.Job.ID {
 				others++
 			}
@@ -360,7 +360,7 @@
 		if runs > coteau.Slots {
 			t.Fatalf("%s has %d runs", id, runs)
 		}
-		pass := float64(coteau.Stride)*(coteau.Step+coteau.PerWriter*float64(runs)+coteau.PerContext*float64(context)/1000) + reading
+		pass := float64(coteau.StepsPerPass)*(coteau.StepMs+coteau.PerDecodeMs*float64(runs)+coteau.Per1000ContextMs*float64(context)/1000) + reading
 		if others > 0 && pass > float64(gap)/float64(time.Millisecond) {
 			t.Fatalf("%s: a pass of %.0f ms beside %d streams that bear %s", id, pass, others, gap)
 		}
@@ -375,15 +375,15 @@
 	s := engines(2)
 	for i := range 2 {
 		busy := newJob(fmt.Sprint("busy", i), 200_000)
-		busy.Aim = at(4000)
+		busy.FirstEventTarget = at(4000)
 		s.Adopt(0, busy, fleet.UpstreamID(fmt.Sprintf("a%02d", i)), nil, nil, false)
 		s.Began(0, busy.ID)
 	}
 	waiting := newJob("waiting", 150_000)
-	waiting.Aim = at(8000)
+	waiting.FirstEventTarget = at(8000)
 	s.Ask(waiting)
 	resumed := newJob("resumed", 60_000)
-	resumed.Arrived, resumed.Aim, resumed.Resumed = at(5000), at(5001), true // its pause is over any moment
+	resumed.Arrived, resumed.FirstEventTarget, resumed.Resumed = at(5000), at(5001), true // its pause is over any moment
 	s.Ask(resumed)
 	all := s.Step(at(5010))
 	is.True(len(all) > 0)
@@ -400,7 +400,7 @@
 	now := 0.0
 	short := func(i int) dispatch.Decision {
 		j := newJob(fmt.Sprint("j", i), 5000)
-		j.Arrived, j.Aim, j.Patience, j.MaxGap = at(now), at(now+300), at(now+2000), 200*time.Millisecond
+		j.Arrived, j.FirstEventTarget, j.FirstEventDeadline, j.MaxGap = at(now), at(now+300), at(now+2000), 200*time.Millisecond
 		return one(t, s, now, j)
 	}
 	slow := short(0).Upstream
@@ -412,7 +412,7 @@
 	}
 	now = 60_000
 	for i := range 5 {
-		s.Done(at(now), fleet.RequestID(fmt.Sprint("j", i)), dispatch.Whole, "")
+		s.Done(at(now), fleet.RequestID(fmt.Sprint("j", i)), dispatch.Completed, "")
 	}
 	is.Equal(short(20).Upstream, slow) // all are empty: the first by id
 }
@@ -451,7 +451,7 @@
 		d := one(t, s, 1, newJob("new "+name, 1000))
 		is.Equal(d.Upstream, fleet.UpstreamID("a01"))
 		for i := range 16 {
-			s.Done(at(2), fleet.RequestID(fmt.Sprint("old", i)), dispatch.Whole, "")
+			s.Done(at(2), fleet.RequestID(fmt.Sprint("old", i)), dispatch.Completed, "")
 		}
 		is.Equal(s.Running(), 1)
 	}
@@ -466,7 +466,7 @@
 	s.Adopt(0, newJob("busy", 400_000), "a00", nil, nil, false) // 8.9 s of reading
 	visitor := func(id string, prompt int, at0 float64) *dispatch.Job {
 		j := newJob(id, prompt)
-		j.Arrived, j.Aim, j.Patience, j.Deadline = at(at0), at(at0+1500), at(at0+6000), at(at0+10_000)
+		j.Arrived, j.FirstEventTarget, j.FirstEventDeadline, j.Deadline = at(at0), at(at0+1500), at(at0+6000), at(at0+10_000)
 		return j
 	}
 	s.Ask(visitor("a1", 60_000, 0))
@@ -477,7 +477,7 @@
 	s.Ask(visitor("b1", 50_000, 4000)) // never came before
 	s.Ask(visitor("a2", 60_000, 4000)) // is back
 	is.Equal(len(s.Step(at(4001))), 0)
-	s.Done(at(4002), "busy", dispatch.Whole, "")
+	s.Done(at(4002), "busy", dispatch.Completed, "")
 	served := s.Step(at(4002))
 	is.True(len(served) >= 1)
 	is.Equal(served[0].Job.ID, fleet.RequestID("b1"))
@@ -492,7 +492,7 @@
 	now, refused := 0.0, map[fleet.UpstreamID]bool{}
 	long := func() dispatch.Decision {
 		j := newJob(fmt.Sprint("long-at-", now), 200_000)
-		j.Arrived, j.Aim, j.Patience = at(now), at(now+3000), at(now+12_000)
+		j.Arrived, j.FirstEventTarget, j.FirstEventDeadline = at(now), at(now+3000), at(now+12_000)
 		return one(t, s, now, j)
 	}
 	for range 6 {
@@ -506,7 +506,7 @@
 		own := newJob(fmt.Sprint("own-of-", bad), 1000)
 		s.Adopt(at(now), own, bad, nil, nil, false)
 		s.Began(at(now+10), own.ID)
-		s.Done(at(now+10), own.ID, dispatch.Whole, "")
+		s.Done(at(now+10), own.ID, dispatch.Completed, "")
 		now += 20
 	}
 	for _, h := range long().Helpers {
--- a/internal/decide/dispatch/fair.go
+++ b/internal/decide/dispatch/fair.go
@@ -63,9 +63,9 @@
 	case s.model == nil:
 		return s.fair[0].excess(j, 1)
 	case s.isLong(j):
-		return s.fair[1].excess(j, s.model.read(j.Prompt))
+		return s.fair[1].excess(j, s.model.read(j.PromptTokens))
 	default:
-		return s.fair[0].excess(j, s.model.read(j.Prompt))
+		return s.fair[0].excess(j, s.model.read(j.PromptTokens))
 	}
 }
 
--- a/internal/decide/dispatch/fair_test.go
+++ b/internal/decide/dispatch/fair_test.go
@@ -42,10 +42,10 @@
 	s.SetUpstreams(u)
 	send := func(id string, space fleet.WorkspaceID, ms float64) bool {
 		j := newJob(id, 0)
-		j.Workspace, j.Arrived, j.Patience, j.Deadline = space, at(ms), at(ms+1000), at(ms+1000)
+		j.Workspace, j.Arrived, j.FirstEventDeadline, j.Deadline = space, at(ms), at(ms+1000), at(ms+1000)
 		s.Ask(j)
 		all := s.Step(at(ms))
-		s.Done(at(ms), j.ID, dispatch.Whole, "")
+		s.Done(at(ms), j.ID, dispatch.Completed, "")
 		return len(all) == 1 && all[0].Upstream != ""
 	}
 	for i := range 100 { // ten seconds in which two workspaces send as usual
--- a/internal/decide/dispatch/limit.go
+++ b/internal/decide/dispatch/limit.go
@@ -105,7 +105,9 @@
 }
 
 // Limited gives how many upstreams were under a limit at the last step, and what they took together, in requests a second.
-func (s *State) Limited() (upstreams int, rate float64) { return s.limits.upstreams, s.limits.rate }
+func (s *State) RateLimitTotals() (upstreams int, rate float64) {
+	return s.limits.upstreams, s.limits.rate
+}
 
 // limitedWait is how long a job with so many before it waits at least for its turn, where every upstream names a limit.
 func (s *State) limitedWait(before int) time.Duration {
--- a/internal/decide/dispatch/limit_test.go
+++ b/internal/decide/dispatch/limit_test.go
@@ -17,13 +17,13 @@
 	for ms := from * 1000; ms < (from+seconds)*1000; ms += 10 {
 		if ms%(1000/perSecond) == 0 {
 			j := newJob(fmt.Sprint("j", ms), prompt)
-			j.Arrived, j.Aim, j.Patience, j.Deadline = at(float64(ms)), at(float64(ms+300)), at(float64(ms+2500)), at(float64(ms+2500))
+			j.Arrived, j.FirstEventTarget, j.FirstEventDeadline, j.Deadline = at(float64(ms)), at(float64(ms+300)), at(float64(ms+2500)), at(float64(ms+2500))
 			s.Ask(j)
 		}
 		for _, d := range s.Step(at(float64(ms))) {
 			got[d.Upstream]++
 			s.Began(at(float64(ms)), d.Job.ID)
-			s.Done(at(float64(ms)), d.Job.ID, dispatch.Whole, "")
+			s.Done(at(float64(ms)), d.Job.ID, dispatch.Completed, "")
 		}
 	}
 	return got
@@ -49,7 +49,7 @@
 	s.SetLimits(at(0), map[fleet.UpstreamID]float64{"a00": 1, "a01": 1})
 	for i := range 20 {
 		j := newJob(fmt.Sprintf("j%02d", i), 0)
-		j.Arrived, j.Aim, j.Patience = at(float64(i)), 0, at(3100)
+		j.Arrived, j.FirstEventTarget, j.FirstEventDeadline = at(float64(i)), 0, at(3100)
 		j.Priority = i % 2
 		s.Ask(j)
 	}
@@ -89,20 +89,20 @@
 	for i := range 4 {
 		j := newJob(fmt.Sprint("waits", i), 0)
 		j.Avoid = []fleet.UpstreamID{"a01"}
-		j.Arrived, j.Patience = at(5000), at(6000)
+		j.Arrived, j.FirstEventDeadline = at(5000), at(6000)
 		s.Ask(j)
 	}
 	for _, d := range s.Step(at(5000)) {
 		is.True(d.Reason != dispatch.RateLimited)
 	}
 	for i := range 4 {
-		s.Withdraw(fleet.RequestID(fmt.Sprint("waits", i)))
+		s.Cancel(fleet.RequestID(fmt.Sprint("waits", i)))
 	}
 	second := placed(s, 5, 1, 100, 0)["a00"]
 	is.True(second <= 3) // once, and doubled
 	placed(s, 6, 8, 100, 0)
 	is.True(placed(s, 14, 1, 100, 0)["a00"] > 40)
-	n, _ := s.Limited()
+	n, _ := s.RateLimitTotals()
 	is.Equal(n, 0)
 }
 
@@ -119,10 +119,10 @@
 	s = engines(6)
 	s.SetLimits(at(0), map[fleet.UpstreamID]float64{"a00": 5, "a01": 5})
 	big := newJob("oversized", 700_000)
-	big.Aim, big.Patience = at(30_000), at(60_000)
+	big.FirstEventTarget, big.FirstEventDeadline = at(30_000), at(60_000)
 	d = one(t, s, 1, big)
-	is.True(len(d.Holders) > 0)
-	for _, h := range d.Holders {
+	is.True(len(d.Reservations) > 0)
+	for _, h := range d.Reservations {
 		is.True(h.Upstream != "a00" && h.Upstream != "a01")
 	}
 }
@@ -134,7 +134,7 @@
 	s.SetLimits(at(50_000), map[fleet.UpstreamID]float64{"a00": 40})
 	for i := range 10 {
 		j := newJob(fmt.Sprint("j", i), 0)
-		j.Arrived, j.Patience = at(50_000), at(60_000)
+		j.Arrived, j.FirstEventDeadline = at(50_000), at(60_000)
 		s.Ask(j)
 	}
 	is.Equal(len(s.Step(at(50_000))), 0)
--- a/internal/decide/dispatch/model.go
+++ b/internal/decide/dispatch/model.go
@@ -16,15 +16,15 @@
 
 // Model is how a service's engines work; times in ms. A plain service has a nil Model.
 type Model struct {
-	Slots      int     // requests that are processed at once
-	Memory     int     // tokens of KV cache
-	Stride     int     // steps of a pass that has writers
-	Step       float64 // a step
-	PerWriter  float64 // a step, for each writer
-	PerContext float64 // a step, for each 1,000 tokens of the writers' contexts
-	ReadPerMs  float64 // prompt tokens read in a ms
-	PairsPerM  float64 // a million pairs of a token and any earlier one
-	Chunk      int     // prompt tokens read in a step, at most
+	Slots              int     // requests that are processed at once
+	KVCacheTokens      int     // tokens of KV cache
+	StepsPerPass       int     // steps of a pass that has writers
+	StepMs             float64 // a step
+	PerDecodeMs        float64 // a step, for each writer
+	Per1000ContextMs   float64 // a step, for each 1,000 tokens of the writers' contexts
+	PrefillTokensPerMs float64 // prompt tokens read in a ms
+	MsPerMillionPairs  float64 // a million pairs of a token and any earlier one
+	ChunkTokens        int     // prompt tokens read in a step, at most
 }
 
 const (
@@ -36,19 +36,19 @@
 func (m *Model) read(tokens int) float64 {
 	n := float64(tokens)
 	steps := 1.0
-	if m.Chunk > 0 {
-		steps = n/float64(m.Chunk) + 1
+	if m.ChunkTokens > 0 {
+		steps = n/float64(m.ChunkTokens) + 1
 	}
-	return n/m.ReadPerMs + n*n/2/million*m.PairsPerM + steps*m.Step
+	return n/m.PrefillTokensPerMs + n*n/2/million*m.MsPerMillionPairs + steps*m.StepMs
 }
 
 // pass is how long a pass with so many writers of so much context takes, reading aside.
 func (m *Model) pass(writers, context int) float64 {
 	if writers == 0 {
-		return m.Step
+		return m.StepMs
 	}
-	step := m.Step + m.PerWriter*float64(writers) + m.PerContext*float64(context)/thousand
-	return float64(m.Stride) * step
+	step := m.StepMs + m.PerDecodeMs*float64(writers) + m.Per1000ContextMs*float64(context)/thousand
+	return float64(m.StepsPerPass) * step
 }
 
 func toMs(d time.Duration) float64    { return float64(d) / float64(time.Millisecond) }
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -79,7 +79,7 @@
 }
 
 func (s *State) late(now decide.Instant, j *Job) bool {
-	return !j.Resumed && j.Aim != 0 && now.Add(s.leastRead(j)+fromMs(passesToFirst*s.meanPass)) > j.Aim
+	return !j.Resumed && j.FirstEventTarget != 0 && now.Add(s.leastRead(j)+fromMs(passesToFirst*s.meanPass)) > j.FirstEventTarget
 }
 
 // beyondAim tells whether the whole fleet would not have read the prompt in its aim when it came.
@@ -90,7 +90,7 @@
 	if s.model == nil {
 		return 0
 	}
-	return fromMs(s.model.read(j.Prompt) / float64(min(s.params.MaxHelpers+1, max(1, len(s.order)))))
+	return fromMs(s.model.read(j.PromptTokens) / float64(min(s.params.MaxHelpers+1, max(1, len(s.order)))))
 }
 
 // cost is a job's reading, less with the time that it has waited: a large prompt isn't passed over for good.
@@ -98,23 +98,23 @@
 	if s.model == nil {
 		return float64(j.Arrived)
 	}
-	waited, patience := toMs(now.Sub(j.Arrived)), toMs(j.Patience.Sub(j.Arrived))
+	waited, patience := toMs(now.Sub(j.Arrived)), toMs(j.FirstEventDeadline.Sub(j.Arrived))
 	left := 1.0
 	if patience > 0 {
 		left = max(0.05, 1-waited/patience)
 	}
-	return s.model.read(j.Prompt) * left
+	return s.model.read(j.PromptTokens) * left
 }
 
 // decide settles a job if it can be settled now.
 func (s *State) decide(now decide.Instant, j *Job) (Decision, bool) {
-	if now.Add(s.leastRead(j)+s.params.Margin) > j.Patience {
+	if now.Add(s.leastRead(j)+s.params.Margin) > j.FirstEventDeadline {
 		return s.refuse(j, TooLate), true
 	}
 	if !s.any(j) {
 		return s.refuse(j, NoUpstream), true
 	}
-	if s.model != nil && float64(j.Prompt+j.Output) > float64(s.model.Memory)*s.params.MemoryShare*float64(min(s.params.MaxHelpers+1, len(s.order))) {
+	if s.model != nil && float64(j.PromptTokens+j.MaxOutputTokens) > float64(s.model.KVCacheTokens)*s.params.MemoryShare*float64(min(s.params.MaxHelpers+1, len(s.order))) {
 		return s.refuse(j, TooLarge), true
 	}
 	if s.model != nil && !j.Resumed && s.oversized(j) && s.late(now, j) && !s.beyondAim(j) {
@@ -123,7 +123,7 @@
 	if d, settled := s.place(now, j); settled {
 		return d, true
 	}
-	if now.Add(s.limitedWait(s.ahead)) > j.Patience {
+	if now.Add(s.limitedWait(s.ahead)) > j.FirstEventDeadline {
 		return s.refuse(j, RateLimited), true
 	}
 	if s.model == nil {
@@ -151,8 +151,8 @@
 
 // heldEnough tells whether a job that is late anyway has waited so long that it should hear so and come back.
 func (s *State) heldEnough(now decide.Instant, j *Job) bool {
-	patience := j.Patience.Sub(j.Arrived)
-	return s.late(now, j) && toMs(now.Sub(j.Arrived)) > s.params.HoldShare*toMs(patience)
+	patience := j.FirstEventDeadline.Sub(j.Arrived)
+	return s.late(now, j) && toMs(now.Sub(j.Arrived)) > s.params.LateWaitShare*toMs(patience)
 }
 
 // any tells whether some upstream could take the job, now or later.
@@ -168,7 +168,7 @@
 // placed is the decision that gives a run its place, and counts it where its upstream is under a limit.
 func (s *State) placed(r *run, why decide.Reason) Decision {
 	r.on.takeLimit()
-	return Decision{Job: r.job, Upstream: r.on.ID, Reason: why, Overdue: s.overdue(r)}
+	return Decision{Job: r.job, Upstream: r.on.ID, Reason: why, OverdueAfter: s.overdue(r)}
 }
 
 func (s *State) refuse(j *Job, why decide.Reason) Decision {
@@ -193,7 +193,7 @@
 		work += e.pending
 	}
 	for _, j := range s.queue {
-		work += s.model.read(j.Prompt)
+		work += s.model.read(j.PromptTokens)
 	}
 	return min(mostRetryAfter, max(leastRetryAfter, fromMs(work/float64(len(s.order)))))
 }
@@ -201,7 +201,7 @@
 // takes tells whether the upstream may get the job now, its reading aside.
 func (s *State) takes(now decide.Instant, e *engine, j *Job) bool {
 	return !e.gone && len(e.runs) < e.slotsFor(s.model, j) && !slices.Contains(j.Avoid, e.ID) &&
-		!e.paused(now) && now >= e.full && s.warmEnough(now, e) && s.reaches(j.From, e) && e.underLimit()
+		!e.paused(now) && now >= e.full && s.warmEnough(now, e) && s.reaches(j.Domain, e) && e.underLimit()
 }
 
 // slotsFor gives the places that a job may use. What is over its workspace's share leaves some free: those of others come
@@ -235,11 +235,11 @@
 
 // warmEnough tells whether a cold upstream's limit leaves room.
 func (s *State) warmEnough(now decide.Instant, e *engine) bool {
-	if !e.cold(now) || s.params.ColdPerS <= 0 {
+	if !e.cold(now) || s.params.ColdRequestsPerSecond <= 0 {
 		return true
 	}
 	e.starts = slices.DeleteFunc(e.starts, func(t decide.Instant) bool { return now.Sub(t) > second })
-	return float64(len(e.starts)) < s.params.ColdPerS
+	return float64(len(e.starts)) < s.params.ColdRequestsPerSecond
 }
 
 // placePlain gives a plain service's job to the upstream with the least work for its slots.
@@ -273,7 +273,7 @@
 
 // fits tells whether the engine has the memory for the job.
 func (s *State) fits(e *engine, j *Job) bool {
-	return j.Prompt+j.Output <= s.free(e)
+	return j.PromptTokens+j.MaxOutputTokens <= s.free(e)
 }
 
 // pack gives a short prompt to the fullest engine whose streams, and its own, bear it: engines that are
@@ -282,13 +282,13 @@
 	if s.hopeless(j) {
 		return Decision{}, false
 	}
-	read := s.model.read(j.Prompt)
+	read := s.model.read(j.PromptTokens)
 	var best *engine
 	for _, e := range s.order {
 		if !s.takes(now, e, j) || !s.fits(e, j) {
 			continue
 		}
-		pass := s.model.pass(len(e.runs)+1, e.context+j.Prompt+j.Output)
+		pass := s.model.pass(len(e.runs)+1, e.context+j.PromptTokens+j.MaxOutputTokens)
 		if s.room(e, j.MaxGap) < read || (pass+e.pending+read)*e.pace(now) > toMs(j.MaxGap)*s.params.GapShare {
 			continue
 		}
@@ -298,7 +298,7 @@
 	}
 	if best == nil {
 		if len(j.Avoid) == 0 {
-			s.unpacked[j.From] = packing{j.Prompt, j.MaxGap}
+			s.unpacked[j.Domain] = packing{j.PromptTokens, j.MaxGap}
 		}
 		return Decision{}, false
 	}
@@ -309,8 +309,8 @@
 // overload hundreds wait, and looking at every engine for each of them would cost the dispatcher its
 // processor. Places are only taken in a step, never given back.
 func (s *State) hopeless(j *Job) bool {
-	u, ok := s.unpacked[j.From]
-	return ok && j.Prompt >= u.prompt && j.MaxGap <= u.gap
+	u, ok := s.unpacked[j.Domain]
+	return ok && j.PromptTokens >= u.prompt && j.MaxGap <= u.gap
 }
 
 // fuller orders engines for packing.
--- a/internal/decide/dispatch/runs.go
+++ b/internal/decide/dispatch/runs.go
@@ -58,7 +58,7 @@
 // bookReading books the reading of a run on its engines.
 func (s *State) bookReading(r *run) {
 	s.unread[r] = true
-	r.part = s.model.read(r.job.Prompt) / float64(len(r.helpers)+1)
+	r.part = s.model.read(r.job.PromptTokens) / float64(len(r.helpers)+1)
 	s.addReading(r.on, r.part)
 	for _, h := range r.helpers {
 		s.addReading(h, r.part)
@@ -79,7 +79,7 @@
 
 // start books a run.
 func (s *State) start(now decide.Instant, j *Job, e *engine, helpers []*engine, holders []holding) *run {
-	r := &run{job: j, on: e, helpers: helpers, holders: holders, granted: now, context: j.Prompt + j.Output}
+	r := &run{job: j, on: e, helpers: helpers, holders: holders, granted: now, context: j.PromptTokens + j.MaxOutputTokens}
 	if s.model != nil {
 		s.plan(now, r)
 	}
@@ -89,7 +89,7 @@
 	}
 	s.runs[j.ID] = r
 	e.runs[j.ID] = r
-	s.triedFrom(j.From, e)
+	s.triedFrom(j.Domain, e)
 	e.context += r.context
 	if s.model != nil {
 		s.bookReading(r)
@@ -109,7 +109,7 @@
 		before = max(before, h.pending)
 		r.pace = max(r.pace, h.pace(now))
 	}
-	part := s.model.read(r.job.Prompt) / float64(len(r.helpers)+1)
+	part := s.model.read(r.job.PromptTokens) / float64(len(r.helpers)+1)
 	r.planned = before + part + passesToFirst*s.model.pass(len(r.on.runs)+1, r.on.context+r.context) + tripMs
 }
 
--- a/internal/decide/dispatch/spread.go
+++ b/internal/decide/dispatch/spread.go
@@ -18,7 +18,7 @@
 	if s.tried >= maxTried && !j.Resumed {
 		return Decision{}, false
 	}
-	read := s.model.read(j.Prompt)
+	read := s.model.read(j.PromptTokens)
 	with, first := s.soonest(now, j, read)
 	var holders []holding
 	if s.oversized(j) {
@@ -44,12 +44,12 @@
 		s.tried++
 		return Decision{}, false
 	}
-	d := s.placed(s.start(now, j, first, helpers, holders), Alone)
+	d := s.placed(s.start(now, j, first, helpers, holders), SingleEngine)
 	for _, h := range helpers[len(must):] {
 		d.Helpers = append(d.Helpers, h.ID)
 	}
 	for _, h := range holders {
-		d.Holders = append(d.Holders, Holding{Upstream: h.on.ID, Tokens: h.tokens})
+		d.Reservations = append(d.Reservations, Reservation{Upstream: h.on.ID, Tokens: h.tokens})
 	}
 	if len(helpers) > 0 {
 		d.Reason = Spread
@@ -62,9 +62,9 @@
 func (s *State) worthBeginning(now decide.Instant, j *Job, helpers int, soonest float64) bool {
 	first := now.Add(fromMs(soonest))
 	switch {
-	case first.Add(s.params.Margin) > j.Patience:
+	case first.Add(s.params.Margin) > j.FirstEventDeadline:
 		return false // its caller would have left
-	case j.Aim != 0 && first > j.Aim && !s.late(now, j):
+	case j.FirstEventTarget != 0 && first > j.FirstEventTarget && !s.late(now, j):
 		return false // it is in time later, or late anyway and waits its turn
 	case s.oversized(j) && s.beyondAim(j):
 		// It can't be in time, and reads for seconds: with few engines it keeps them from all others for the longest.
@@ -100,7 +100,7 @@
 
 // backlogged tells whether the engine has so much to read that a long prompt waits instead of queueing there.
 func (s *State) backlogged(e *engine, j *Job) bool {
-	return e.pending > s.params.Backlog && !j.Resumed
+	return e.pending > s.params.MaxBacklogMs && !j.Resumed
 }
 
 // canAnswer tells whether the engine can answer a long prompt: it has the place, the memory, and room for the smallest
@@ -115,7 +115,7 @@
 	if len(e.runs) == 0 {
 		return s.delay(e)
 	}
-	return s.delay(e) - s.params.Together
+	return s.delay(e) - s.params.CoLocationBonusMs
 }
 
 // readDelay orders engines for reading: by delay, but those with streams later. A read beside streams makes them
@@ -124,7 +124,7 @@
 	if len(e.runs) == 0 {
 		return s.delay(e)
 	}
-	return s.delay(e) + s.params.Beside
+	return s.delay(e) + s.params.StreamPenaltyMs
 }
 
 // insert puts an engine into a list of at most so many, ordered by readDelay and then as they come.
@@ -152,12 +152,12 @@
 	}
 	first := roomiest[i]
 	var holders []holding
-	need := j.Prompt + j.Output - s.free(first)
+	need := j.PromptTokens + j.MaxOutputTokens - s.free(first)
 	for _, e := range roomiest {
 		if need <= 0 || len(holders) >= s.params.MaxHelpers {
 			break
 		}
-		if e == first || !s.reaches(j.From, e) || !s.reaches(first.Domain, e) || s.free(e) < leastHolding || s.now < e.noHelp {
+		if e == first || !s.reaches(j.Domain, e) || !s.reaches(first.Domain, e) || s.free(e) < leastHolding || s.now < e.noHelp {
 			continue
 		}
 		h := holding{e, min(need, s.free(e))}
@@ -187,20 +187,20 @@
 
 // slackEngines is how many engines must read nothing before there is slack.
 func (s *State) slackEngines() float64 {
-	return min(s.params.SlackShare*float64(len(s.order)), float64(s.params.SlackMost))
+	return min(s.params.SlackShare*float64(len(s.order)), float64(s.params.MaxSlackEngines))
 }
 
 // isLong tells whether the prompt is spread, and not packed.
-func (s *State) isLong(j *Job) bool { return s.model.read(j.Prompt) > s.params.ShortRead }
+func (s *State) isLong(j *Job) bool { return s.model.read(j.PromptTokens) > s.params.ShortPrefillMs }
 
 // oversized tells whether no engine has the memory for the job.
 func (s *State) oversized(j *Job) bool {
-	return float64(j.Prompt+j.Output) > float64(s.model.Memory)*s.params.MemoryShare
+	return float64(j.PromptTokens+j.MaxOutputTokens) > float64(s.model.KVCacheTokens)*s.params.MemoryShare
 }
 
 // free is the engine's memory that may be planned for, in tokens.
 func (s *State) free(e *engine) int {
-	return int(float64(s.model.Memory)*s.params.MemoryShare) - e.context
+	return int(float64(s.model.KVCacheTokens)*s.params.MemoryShare) - e.context
 }
 
 // delay is how long the engine takes to come to another part.
@@ -224,7 +224,7 @@
 		if k < len(must) || part > room {
 			continue
 		}
-		if t := slowest + part*pace + s.params.PerHelper*float64(k); t < soonest {
+		if t := slowest + part*pace + s.params.MinGainPerHelperMs*float64(k); t < soonest {
 			best, soonest = k, t
 		}
 	}
--- a/internal/decide/dispatch/stall.go
+++ b/internal/decide/dispatch/stall.go
@@ -15,18 +15,18 @@
 
 // Stall is what keeps jobs that need one upstream from those that are idle.
 type Stall struct {
-	For     time.Duration // since something was last placed, or nothing waited
-	Waiting int
-	Idle    int // upstreams without work that may get some
+	Duration time.Duration // since something was last placed, or nothing waited
+	Waiting  int
+	Idle     int // upstreams without work that may get some
 	// Of the idle ones, as the first waiting job sees them; one may be counted in several.
-	Paused, Full, Cold, Unreached, Cut, Limited int
+	Paused, Full, Cold, Unreachable, Partitioned, Limited int
 }
 
 // Stalled tells whether work waits beside idle upstreams, and why.
 func (s *State) Stalled(now decide.Instant) (st Stall, ok bool) {
 	j := s.firstWaiting()
-	st = Stall{For: now.Sub(s.flowing), Waiting: len(s.queue)}
-	if j == nil || st.For < stallTime {
+	st = Stall{Duration: now.Sub(s.flowing), Waiting: len(s.queue)}
+	if j == nil || st.Duration < stallTime {
 		return st, false
 	}
 	for _, e := range s.order {
@@ -38,9 +38,9 @@
 		st.Full += count(now < e.full)
 		st.Cold += count(!s.warmEnough(now, e))
 		st.Limited += count(e.limited())
-		_, unreached := e.unreached[j.From]
-		st.Unreached += count(unreached)
-		st.Cut += count(s.cuts[link{j.From, e.Domain}] >= cutFrom)
+		_, unreached := e.unreached[j.Domain]
+		st.Unreachable += count(unreached)
+		st.Partitioned += count(s.cuts[link{j.Domain, e.Domain}] >= cutFrom)
 	}
 	return st, st.Idle > 0
 }
@@ -70,14 +70,14 @@
 		return
 	}
 	st, stalled := s.Stalled(now)
-	if !stalled || st.Cut+st.Unreached == 0 {
+	if !stalled || st.Partitioned+st.Unreachable == 0 {
 		return
 	}
 	s.probed = now
 	for way := range s.cuts {
 		s.probing[way] = true
 	}
-	s.retrying = s.firstUnreached(s.firstWaiting().From)
+	s.retrying = s.firstUnreached(s.firstWaiting().Domain)
 }
 
 // firstUnreached gives the idle upstream that has been out of a domain's reach for longest, or nil.
--- a/internal/decide/dispatch/step_test.go
+++ b/internal/decide/dispatch/step_test.go
@@ -21,7 +21,7 @@
 				s.Ask(j)
 				s.Step(at(now))
 				s.Began(at(now), j.ID)
-				s.Done(at(now), j.ID, dispatch.Whole, "")
+				s.Done(at(now), j.ID, dispatch.Completed, "")
 				now += 0.01
 			}
 		})
@@ -31,7 +31,7 @@
 			s := busy(172, 1)
 			for i := range waiting {
 				j := newJob(fmt.Sprint("w", i), 1000+i)
-				j.Aim, j.Patience, j.Deadline = at(1e9), at(1e9), at(1e9)
+				j.FirstEventTarget, j.FirstEventDeadline, j.Deadline = at(1e9), at(1e9), at(1e9)
 				s.Ask(j)
 			}
 			b.ReportAllocs()
--- a/internal/decide/pace/pace.go
+++ b/internal/decide/pace/pace.go
@@ -17,7 +17,7 @@
 )
 
 // Pace follows one engine's reports. The zero value knows none.
-type Pace struct {
+type Schedule struct {
 	// Phase in [0, 1) delays each call by that part of a fifth of the interval. It differs between instances,
 	// so that they don't all act on the same report at the same moment.
 	Phase float64
@@ -30,7 +30,7 @@
 // Next takes the report that came at now, with its sequence number and the instant its figures were made,
 // and gives the time to wait until the next call. fallback is the wait while the interval is not known, and
 // after a report that was asked for too early. A lower sequence number is a new boot's.
-func (p *Pace) Next(seq uint64, made, now decide.Instant, fallback time.Duration) time.Duration {
+func (p *Schedule) Next(seq uint64, made, now decide.Instant, fallback time.Duration) time.Duration {
 	switch {
 	case seq == p.seq:
 		return max(shortest, min(fallback, longest))
--- a/internal/decide/pace/pace_test.go
+++ b/internal/decide/pace/pace_test.go
@@ -41,7 +41,7 @@
 func TestPaceAsksLessAndKnowsMore(t *testing.T) {
 	is := is.New(t)
 	fixedCalls, fixedAge := follow(renewal, func(uint64, decide.Instant, decide.Instant) time.Duration { return fallback })
-	var p pace.Pace
+	var p pace.Schedule
 	calls, age := follow(renewal, func(seq uint64, made, now decide.Instant) time.Duration {
 		return p.Next(seq, made, now, fallback)
 	})
@@ -55,7 +55,7 @@
 // least: a silent one has to be noticed.
 func TestPaceAsksAtLeastOnceASecond(t *testing.T) {
 	is := is.New(t)
-	var p pace.Pace
+	var p pace.Schedule
 	is.Equal(p.Next(1, 0, 0, fallback), fallback)
 	is.Equal(p.Next(2, decide.Instant(time.Minute), decide.Instant(time.Minute), fallback), time.Second)
 	is.Equal(p.Next(2, decide.Instant(time.Minute), decide.Instant(time.Minute+time.Second), fallback), fallback)
@@ -65,7 +65,7 @@
 // out across the boot would be nonsense.
 func TestPaceForgetsAtANewBoot(t *testing.T) {
 	is := is.New(t)
-	var p pace.Pace
+	var p pace.Schedule
 	p.Next(7, 0, 0, fallback)
 	is.Equal(p.Next(8, decide.Instant(renewal), decide.Instant(renewal), fallback), renewal+20*time.Millisecond)
 	is.Equal(p.Next(1, decide.Instant(3*renewal), decide.Instant(3*renewal), fallback), fallback)
--- a/internal/decide/pause/pause.go
+++ b/internal/decide/pause/pause.go
@@ -32,12 +32,12 @@
 // New gives a guard whose owner ticks more often than bound.
 func New(now decide.Instant, bound time.Duration) *Guard {
 	g := &Guard{bound: bound}
-	g.Mark(now)
+	g.Tick(now)
 	return g
 }
 
 // Ask tells whether the instance was paused since the last mark, and for how long it was not heard of.
-func (g *Guard) Ask(now decide.Instant) (time.Duration, decide.Reason) {
+func (g *Guard) Check(now decide.Instant) (time.Duration, decide.Reason) {
 	gap := now.Sub(decide.Instant(g.last.Load()))
 	if gap > g.bound {
 		return gap, Paused
@@ -47,4 +47,4 @@
 
 // Mark notes a tick of the owner. After a pause the owner drops its old knowledge before it marks:
 // the other way round, a request between the two would still find that knowledge valid.
-func (g *Guard) Mark(now decide.Instant) { g.last.Store(int64(now)) }
+func (g *Guard) Tick(now decide.Instant) { g.last.Store(int64(now)) }
--- a/internal/decide/pause/pause_test.go
+++ b/internal/decide/pause/pause_test.go
@@ -16,14 +16,14 @@
 	is := is.New(t)
 	start := decide.Instant(0)
 	g := pause.New(start, time.Second)
-	_, reason := g.Ask(start.Add(time.Second))
+	_, reason := g.Check(start.Add(time.Second))
 	is.Equal(reason, pause.Running) // a late tick within the bound is no pause
-	gap, reason := g.Ask(start.Add(5 * time.Minute))
+	gap, reason := g.Check(start.Add(5 * time.Minute))
 	is.Equal(reason, pause.Paused)
 	is.Equal(gap, 5*time.Minute)
-	_, reason = g.Ask(start.Add(5 * time.Minute))
+	_, reason = g.Check(start.Add(5 * time.Minute))
 	is.Equal(reason, pause.Paused) // asking does not clear it
-	g.Mark(start.Add(5 * time.Minute))
-	_, reason = g.Ask(start.Add(5*time.Minute + time.Second))
+	g.Tick(start.Add(5 * time.Minute))
+	_, reason = g.Check(start.Add(5*time.Minute + time.Second))
 	is.Equal(reason, pause.Running)
 }
--- a/internal/decide/relay/fault_test.go
+++ b/internal/decide/relay/fault_test.go
@@ -329,7 +329,7 @@
 	s.accept(2, s.nodes[0])
 	s.run(resumesAt-1, nil) // the next event is its first one after the pause
 	is.Equal(x.version, uint64(1))
-	_, reason := x.node.Guard().Ask(s.Now())
+	_, reason := x.node.Guard().Check(s.Now())
 	is.Equal(reason, pause.Paused) // detected before any event of its own
 	resumed := s.run(resumesAt.Add(time.Second), func() bool {
 		if s.canSend(x) && x.version < 2 {
--- a/internal/decide/relay/node.go
+++ b/internal/decide/relay/node.go
@@ -103,13 +103,13 @@
 // Tick handles the passing of time: pauses, expired signs, and calls that are due. The driver calls it at least
 // every TickInterval.
 func (n *Node) Tick(now decide.Instant) []Effect {
-	if gap, reason := n.pauseGuard.Ask(now); reason == pause.Paused {
+	if gap, reason := n.pauseGuard.Check(now); reason == pause.Paused {
 		// State from before the pause is not acted on. Trust returns with the next exchange that counts.
 		n.members.ClearTrust()
 		n.members.MakeAllDue(now)
 		n.emit(Event{Reason: pause.Paused, Gap: gap, Version: n.shared.Config().Version})
 	}
-	n.pauseGuard.Mark(now)
+	n.pauseGuard.Tick(now)
 	if n.shared.ExpireSigns(now) {
 		n.emit(Event{Reason: SignExpired})
 		n.emit(SetLeaving{Signs: n.shared.Signs(now)})
--- a/internal/decide/relay/sim_test.go
+++ b/internal/decide/relay/sim_test.go
@@ -317,6 +317,6 @@
 
 // canSend reports whether the instance would send new work for a request that arrives now.
 func (s *sim) canSend(x *simNode) bool {
-	_, reason := x.node.Guard().Ask(s.Now())
+	_, reason := x.node.Guard().Check(s.Now())
 	return !x.dead && reason != pause.Paused && x.node.Ready() && !x.node.TrustedUntil().Before(s.Now())
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -98,7 +98,7 @@
 		return fault.New(fault.NotReady, "no instance list yet")
 	}
 	now := f.now()
-	if gap, reason := f.guard.Ask(now); reason == pause.Paused {
+	if gap, reason := f.guard.Check(now); reason == pause.Paused {
 		return fault.New(fault.StaleInstance, "paused for %s", gap.Round(time.Millisecond))
 	}
 	if trusted := decide.Instant(f.trusted.Load()); trusted.Before(now) {
@@ -115,7 +115,7 @@
 // of the network: one exchange makes it usable again. One that stays cut off longer is not regaining.
 func (f *Follower) Regaining() bool {
 	now := f.now()
-	if _, reason := f.guard.Ask(now); reason == pause.Paused {
+	if _, reason := f.guard.Check(now); reason == pause.Paused {
 		return true // its end is now
 	}
 	lost := decide.Instant(f.lost.Load())
@@ -180,7 +180,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if _, reason := f.guard.Ask(now); reason == pause.Paused {
+	if _, reason := f.guard.Check(now); reason == pause.Paused {
 		f.forget(now)
 	}
 	f.carryOut(event(now))
--- a/internal/follow/regain_test.go
+++ b/internal/follow/regain_test.go
@@ -21,25 +21,25 @@
 		is.True(!f.Regaining()) // it never was trusted
 
 		time.Sleep(time.Minute)
-		f.guard.Mark(f.now())
+		f.guard.Tick(f.now())
 		f.lost.Store(int64(f.now()))
 		is.True(f.Regaining())
 		time.Sleep(regainTime)
 		is.True(!f.Regaining())
 
 		// After a pause nothing of before is trusted, and its end counts, not the end of the trust of before.
-		f.guard.Mark(f.now())
+		f.guard.Tick(f.now())
 		f.trusted.Store(int64(f.now().Add(time.Hour)))
 		time.Sleep(time.Minute)
 		is.True(f.Regaining())
 		f.handle(func(now decide.Instant) []relay.Effect {
-			f.guard.Mark(now)
+			f.guard.Tick(now)
 			is.Equal(f.trusted.Load(), int64(0)) // before the guard lets requests pass
 			return nil
 		})
 		is.True(f.Regaining())
 		time.Sleep(regainTime)
-		f.guard.Mark(f.now())
+		f.guard.Tick(f.now())
 		is.True(!f.Regaining())
 	})
 }
--- a/internal/losses/reasons_test.go
+++ b/internal/losses/reasons_test.go
@@ -10,7 +10,7 @@
 func TestEveryRefusalHasACause(t *testing.T) {
 	for _, reason := range dispatch.Reasons {
 		switch reason {
-		case dispatch.Packed, dispatch.Spread, dispatch.Alone, dispatch.LeastWork:
+		case dispatch.Packed, dispatch.Spread, dispatch.SingleEngine, dispatch.LeastWork:
 			continue
 		}
 		end := fields{"reason": "refused", "detail": string(reason)}
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -104,7 +104,7 @@
 
 func (o *Observer) poll(ctx context.Context, id fleet.UpstreamID) {
 	defer o.wg.Done()
-	p := poller{Observer: o, wait: o.interval, pace: pace.Pace{Phase: rand.Float64()}}
+	p := poller{Observer: o, wait: o.interval, pace: pace.Schedule{Phase: rand.Float64()}}
 	for round := 0; ; round++ {
 		u := o.view().Upstream(id)
 		if u == nil {
@@ -125,7 +125,7 @@
 // poller reads one engine's reports.
 type poller struct {
 	*Observer
-	pace   pace.Pace
+	pace   pace.Schedule
 	wait   time.Duration // until the next round
 	bootID string
 	next   uint64 // cache event to read from next
--- a/internal/placement/convert.go
+++ b/internal/placement/convert.go
@@ -35,13 +35,13 @@
 // newJob converts a placement request that arrived from an instance at now.
 func newJob(m *pb.Ask, instance fleet.InstanceID, now decide.Instant) *dispatch.Job {
 	j := &dispatch.Job{
-		ID: fleet.RequestID(m.Id), Entry: instance, Workspace: fleet.WorkspaceID(m.Workspace),
-		Priority: int(m.Priority), Prompt: int(m.Prompt), Output: int(m.Output), Arrived: now.Add(-ms(m.WaitedMs)),
-		Patience: now.Add(ms(m.PatienceMs)), Deadline: now.Add(ms(m.DeadlineMs)),
+		ID: fleet.RequestID(m.Id), Instance: instance, Workspace: fleet.WorkspaceID(m.Workspace),
+		Priority: int(m.Priority), PromptTokens: int(m.Prompt), MaxOutputTokens: int(m.Output), Arrived: now.Add(-ms(m.WaitedMs)),
+		FirstEventDeadline: now.Add(ms(m.PatienceMs)), Deadline: now.Add(ms(m.DeadlineMs)),
 		MaxGap: ms(int64(m.MaxGapMs)), Attempt: int(m.Attempt), Resumed: m.Resumed, Avoid: upstreamIDs(m.Avoid),
 	}
 	if m.Aimed {
-		j.Aim = now.Add(ms(m.AimMs))
+		j.FirstEventTarget = now.Add(ms(m.AimMs))
 	}
 	return j
 }
@@ -73,7 +73,7 @@
 		memory = math.MaxInt32 // not configured
 	}
 	return &dispatch.Model{
-		Slots: max(1, e.Slots), Memory: memory, Stride: e.Stride, Step: e.Step, PerWriter: e.PerWriter,
-		PerContext: e.PerContext, ReadPerMs: e.ReadPerMs, PairsPerM: e.PairsPerM, Chunk: e.Chunk,
+		Slots: max(1, e.Slots), KVCacheTokens: memory, StepsPerPass: e.Stride, StepMs: e.Step, PerDecodeMs: e.PerWriter,
+		Per1000ContextMs: e.PerContext, PrefillTokensPerMs: e.ReadPerMs, MsPerMillionPairs: e.PairsPerM, ChunkTokens: e.Chunk,
 	}
 }
--- a/internal/placement/hub.go
+++ b/internal/placement/hub.go
@@ -87,7 +87,7 @@
 	h.domains[instance] = fleet.DomainID(first.Domain)
 	h.log.Info("instance attached", "entry", instance, "attached", len(h.sinks), "running", len(first.Running), "waiting", len(first.Asks))
 	for _, st := range h.services {
-		st.Forget(instance)
+		st.RemoveInstance(instance)
 	}
 	h.catchUp(s, first.Proofs)
 	s.send(&pb.ToEntry{
@@ -115,7 +115,7 @@
 	h.log.Info("instance detached", "entry", instance, "attached", len(h.sinks))
 	h.chooseReaders()
 	for _, st := range h.services {
-		st.Forget(instance)
+		st.RemoveInstance(instance)
 	}
 	h.setLimits(h.now())
 	h.wake()
@@ -193,7 +193,7 @@
 		})
 	}
 	for _, id := range m.Withdrawn {
-		h.forEachState(func(st *dispatch.State) { st.Withdraw(fleet.RequestID(id)) })
+		h.forEachState(func(st *dispatch.State) { st.Cancel(fleet.RequestID(id)) })
 	}
 	for _, a := range m.Asks {
 		h.serviceState(a.Service).Ask(h.newJob(a, instance, now))
@@ -242,12 +242,12 @@
 // newJob converts a placement request of an attached instance and adds the instance's failure domain; mu is held.
 func (h *hub) newJob(a *pb.Ask, instance fleet.InstanceID, now decide.Instant) *dispatch.Job {
 	j := newJob(a, instance, now)
-	j.From = h.domains[instance]
+	j.Domain = h.domains[instance]
 	return j
 }
 
-var dispatchEnds = map[pb.Ended_How]dispatch.End{
-	pb.Ended_WHOLE: dispatch.Whole, pb.Ended_FAILED: dispatch.Failed,
+var dispatchEnds = map[pb.Ended_How]dispatch.Outcome{
+	pb.Ended_WHOLE: dispatch.Completed, pb.Ended_FAILED: dispatch.Failed,
 	pb.Ended_UNREACHABLE: dispatch.Unreachable, pb.Ended_FULL: dispatch.Full,
 }
 
@@ -289,7 +289,7 @@
 	}
 	p := dispatch.DefaultParams()
 	if s := snap.Config.Service(name); s != nil {
-		p.ColdPerS = s.ColdPerSecond * coldShare
+		p.ColdRequestsPerSecond = s.ColdPerSecond * coldShare
 		st.SetModel(dispatchModel(s), p)
 	}
 	var open []dispatch.Upstream
--- a/internal/placement/limits.go
+++ b/internal/placement/limits.go
@@ -45,15 +45,15 @@
 func (t *limitTable) toInstant(at time.Time) decide.Instant { return decide.Instant(at.Sub(t.start)) }
 
 // record records an observation, logs a limit that begins, changes or ends, and returns what changed.
-func (t *limitTable) record(s advertised.Statement) decide.Reason {
+func (t *limitTable) record(s advertised.Observation) decide.Reason {
 	t.mu.Lock()
-	change := t.limits.Take(s)
+	change := t.limits.Apply(s)
 	t.count.Store(int32(t.limits.InForce()))
-	t.known.Store(int32(t.limits.Known()))
+	t.known.Store(int32(t.limits.Tracked()))
 	t.mu.Unlock()
-	if change != advertised.None && change != advertised.Renewed {
-		t.log.Info("upstream's limit", "reason", change, "upstream", s.ID, "born", s.Born, "requests_per_s", s.Rate, "heard_by", s.By,
-			"age_ms", t.now().Sub(s.Heard).Milliseconds())
+	if change != advertised.Unchanged && change != advertised.Renewed {
+		t.log.Info("upstream's limit", "reason", change, "upstream", s.ID, "born", s.Born, "requests_per_s", s.Rate, "heard_by", s.ReceivedBy,
+			"age_ms", t.now().Sub(s.ReceivedAt).Milliseconds())
 	}
 	return change
 }
@@ -65,7 +65,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.limits.Of(u.Process())
+	return t.limits.Rate(u.Process())
 }
 
 func (t *limitTable) isLimited(u *catalog.Upstream) bool {
@@ -77,7 +77,7 @@
 func (t *limitTable) messages(snap *catalog.Snapshot) []*pb.Limit {
 	now := t.now()
 	t.mu.Lock()
-	all := t.limits.Statements(now.Add(-endedLimitRetention))
+	all := t.limits.Observations(now.Add(-endedLimitRetention))
 	t.mu.Unlock()
 	var out []*pb.Limit
 	for _, s := range all {
@@ -88,19 +88,19 @@
 	return out
 }
 
-func limitMessage(s advertised.Statement, now decide.Instant) *pb.Limit {
+func limitMessage(s advertised.Observation, now decide.Instant) *pb.Limit {
 	return &pb.Limit{
-		Upstream: string(s.ID), Born: s.Born, Limited: s.Limited, Rate: s.Rate, By: string(s.By),
-		SentMs: now.Sub(s.Sent).Milliseconds(), HeardMs: now.Sub(s.Heard).Milliseconds(),
+		Upstream: string(s.ID), Born: s.Born, Limited: s.Limited, Rate: s.Rate, By: string(s.ReceivedBy),
+		SentMs: now.Sub(s.SentAt).Milliseconds(), HeardMs: now.Sub(s.ReceivedAt).Milliseconds(),
 	}
 }
 
 // decode converts a message that arrived now.
-func (t *limitTable) decode(m *pb.Limit) advertised.Statement {
+func (t *limitTable) decode(m *pb.Limit) advertised.Observation {
 	now := t.now()
-	return advertised.Statement{
+	return advertised.Observation{
 		Process: fleet.Process{ID: fleet.UpstreamID(m.Upstream), Born: m.Born}, Limited: m.Limited, Rate: m.Rate,
-		Sent: now.Add(-ms(m.SentMs)), Heard: now.Add(-ms(m.HeardMs)), By: fleet.InstanceID(m.By),
+		SentAt: now.Add(-ms(m.SentMs)), ReceivedAt: now.Add(-ms(m.HeardMs)), ReceivedBy: fleet.InstanceID(m.By),
 	}
 }
 
@@ -114,10 +114,10 @@
 	if sent.IsZero() {
 		sent = time.Now()
 	}
-	s := advertised.Statement{
-		Process: u.Process(), Limited: a.Limited, Rate: a.Limit, Sent: t.toInstant(sent), Heard: t.now(), By: by,
+	s := advertised.Observation{
+		Process: u.Process(), Limited: a.Limited, Rate: a.Limit, SentAt: t.toInstant(sent), ReceivedAt: t.now(), ReceivedBy: by,
 	}
-	if t.record(s) == advertised.None {
+	if t.record(s) == advertised.Unchanged {
 		return nil
 	}
 	return limitMessage(s, t.now())
@@ -130,7 +130,7 @@
 func (h *hub) applyLimits(now decide.Instant, all []*pb.Limit) {
 	var changed []*pb.Limit
 	for _, m := range all {
-		if change := h.limits.record(h.limits.decode(m)); change != advertised.None && change != advertised.Renewed {
+		if change := h.limits.record(h.limits.decode(m)); change != advertised.Unchanged && change != advertised.Renewed {
 			changed = append(changed, m)
 		}
 	}
--- a/internal/placement/step.go
+++ b/internal/placement/step.go
@@ -29,10 +29,10 @@
 	for name, st := range h.services {
 		for _, d := range st.Step(now) {
 			h.logRefusal(now, st, d)
-			m := out[d.Job.Entry]
+			m := out[d.Job.Instance]
 			if m == nil {
 				m = &pb.ToEntry{}
-				out[d.Job.Entry] = m
+				out[d.Job.Instance] = m
 			}
 			addDecision(m, d)
 		}
@@ -51,9 +51,9 @@
 		return
 	}
 	j := d.Job
-	limited, rate := st.Limited()
-	h.log.Info("refused", "request", j.ID, "reason", d.Reason, "entry", j.Entry, "prompt", j.Prompt,
-		"waited_ms", now.Sub(j.Arrived).Milliseconds(), "patience_left_ms", j.Patience.Sub(now).Milliseconds(),
+	limited, rate := st.RateLimitTotals()
+	h.log.Info("refused", "request", j.ID, "reason", d.Reason, "entry", j.Instance, "prompt", j.PromptTokens,
+		"waited_ms", now.Sub(j.Arrived).Milliseconds(), "patience_left_ms", j.FirstEventDeadline.Sub(now).Milliseconds(),
 		"waiting", st.Waiting(), "running", st.Running(), "limited", limited, "limited_per_s", rate,
 		"fleet_revision", h.fleetRevision(), "retry_after_ms", d.RetryAfter.Milliseconds())
 }
@@ -71,9 +71,9 @@
 		return
 	}
 	h.stallLogged = now
-	h.log.Warn("requests wait while upstreams are idle", "service", service, "for_ms", stall.For.Milliseconds(), "waiting", stall.Waiting,
-		"idle", stall.Idle, "paused", stall.Paused, "full", stall.Full, "cold", stall.Cold, "limited", stall.Limited, "unreached", stall.Unreached,
-		"cut", stall.Cut, "fleet_revision", h.fleetRevision())
+	h.log.Warn("requests wait while upstreams are idle", "service", service, "for_ms", stall.Duration.Milliseconds(), "waiting", stall.Waiting,
+		"idle", stall.Idle, "paused", stall.Paused, "full", stall.Full, "cold", stall.Cold, "limited", stall.Limited, "unreached", stall.Unreachable,
+		"cut", stall.Partitioned, "fleet_revision", h.fleetRevision())
 }
 
 func (h *hub) fleetRevision() uint64 {
@@ -92,18 +92,18 @@
 	}
 	p := &pb.Place{
 		Id: string(d.Job.ID), Upstream: string(d.Upstream), Helpers: idStrings(d.Helpers), Reason: string(d.Reason),
-		OverdueMs: d.Overdue.Milliseconds(),
+		OverdueMs: d.OverdueAfter.Milliseconds(),
 	}
-	for _, h := range d.Holders {
+	for _, h := range d.Reservations {
 		p.Holders = append(p.Holders, &pb.Holding{Upstream: string(h.Upstream), Tokens: int32(h.Tokens)})
 	}
 	m.Places = append(m.Places, p)
 }
 
-func decodeHoldings(all []*pb.Holding) []dispatch.Holding {
-	out := make([]dispatch.Holding, len(all))
+func decodeHoldings(all []*pb.Holding) []dispatch.Reservation {
+	out := make([]dispatch.Reservation, len(all))
 	for i, m := range all {
-		out[i] = dispatch.Holding{Upstream: fleet.UpstreamID(m.Upstream), Tokens: int(m.Tokens)}
+		out[i] = dispatch.Reservation{Upstream: fleet.UpstreamID(m.Upstream), Tokens: int(m.Tokens)}
 	}
 	return out
 }
--- a/internal/watch/doubt.go
+++ b/internal/watch/doubt.go
@@ -47,19 +47,19 @@
 // notice marks a tick, and remembers a pause before it.
 func (d *doubt) notice() (paused time.Duration) {
 	now := bootTime()
-	gap, reason := d.guard.Ask(now)
+	gap, reason := d.guard.Check(now)
 	if reason == pause.Paused {
 		d.since.Store(int64(now))
 		paused = gap
 	}
-	d.guard.Mark(now)
+	d.guard.Tick(now)
 	return paused
 }
 
 // woke gives how long ago the process woke up from a pause; ok is false if none is in doubt any more.
 func (d *doubt) woke() (ago time.Duration, ok bool) {
 	now := bootTime()
-	if _, reason := d.guard.Ask(now); reason == pause.Paused {
+	if _, reason := d.guard.Check(now); reason == pause.Paused {
 		return 0, true
 	}
 	since := d.since.Load()
--- a/internal/watch/doubt_test.go
+++ b/internal/watch/doubt_test.go
@@ -19,7 +19,7 @@
 	f.Offer(Change{Kind: "u", Whole: true, To: 5})
 	f.Prove(Proof{Kind: "u", Known: true, Revision: 5, Latest: 5})
 	is.True(!f.Doubtful())
-	f.doubt.guard.Mark(bootTime().Add(-3 * time.Second)) // the last tick was three seconds ago
+	f.doubt.guard.Tick(bootTime().Add(-3 * time.Second)) // the last tick was three seconds ago
 	is.True(f.Doubtful())                                // asked before any tick has run
 	f.doubt.notice()
 	is.True(f.Doubtful()) // and after it
@@ -61,7 +61,7 @@
 		close(done)
 	}()
 	time.Sleep(2 * expiry)
-	f.doubt.guard.Mark(bootTime().Add(-3 * time.Second))
+	f.doubt.guard.Tick(bootTime().Add(-3 * time.Second))
 	is.True(f.Doubtful())
 	for end := time.Now().Add(time.Second); f.Doubtful() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
