--- a/internal/decide/dispatch/bounds_test.go
+++ b/internal/decide/dispatch/bounds_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// These plays run without the race detector: a play is one goroutine, and takes ten times longer with it. .ci/run runs
-// them as a step of its own.
+// The simulations run without the race detector: each is a single goroutine and takes ten times longer with it. .ci/run
+// runs them as a step of its own.
 
 package dispatch_test
 
@@ -15,17 +15,17 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/dispatch"
 )
 
-// Guides and auditors ask over long records while the mix is long, and a fifth of those records' worth is answered late
-// or refused though engines have the time: each long answer kept an engine's passes for itself, and reads beside
-// streams kept their places taken. Answered where others are, read where nobody writes, and held back while engines
-// have much to read, more of them are in time, on both customers' engines.
+// Guards against long prompts that are answered late or refused although engines have time, a fifth of their worth
+// while the mix is long: each long answer occupied an engine's passes alone, and prefill beside streams kept their
+// slots in use. More of them are on time, for both workloads, if they are answered on engines that have streams,
+// prefilled on engines without, and held back while engines have a backlog.
 func TestLongAnswersShareEngines(t *testing.T) {
 	is := is.New(t)
-	apart := dispatch.DefaultParams()
-	apart.CoLocationBonusMs, apart.StreamPenaltyMs, apart.MaxBacklogMs = 0, 0, math.Inf(1)
+	withoutSharing := dispatch.DefaultParams()
+	withoutSharing.CoLocationBonusMs, withoutSharing.StreamPenaltyMs, withoutSharing.MaxBacklogMs = 0, 0, math.Inf(1)
 	for _, w := range passes.Workloads {
 		play := passes.Play{Load: 1, Length: 34_000}
-		before := passes.Mean(w, passes.Dispatcher(w, apart), play, 8)
+		before := passes.Mean(w, passes.Dispatcher(w, withoutSharing), play, 8)
 		after := passes.Mean(w, passes.Dispatcher(w, dispatch.DefaultParams()), play, 8)
 		t.Logf("%s: long in time %.3f, was %.3f; all worth earned %.3f, was %.3f", w.Name, after.InTime["long"],
 			before.InTime["long"], after.Day, before.Day)
--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -9,126 +9,129 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// State is the dispatcher's knowledge of one service. It is not safe for concurrent use.
+// State holds the queue, the runs and the engines of one service, from which the dispatcher decides. It is not safe
+// for concurrent use.
 type State struct {
-	model   *Model
-	params  Params
-	engines map[fleet.UpstreamID]*engine
-	order   []*engine // by id, so that decisions repeat
-	queue   []*Job
-	runs    map[fleet.RequestID]*run
-
-	fair    [2]fairness             // between workspaces: of short prompts and plain requests, and of long prompts
-	unread  map[*run]bool           // whose reading is on engines' books
-	answers answers                 // of a plain service
-	heard   map[link]decide.Instant // when an answer, or its first event, last came over it
-
-	now decide.Instant // of the step under way
-
-	ahead int // of the step under way: jobs that wait before the one that is decided
-
-	flowing decide.Instant // when something was last placed, or nothing but long prompts waited
-	probed  decide.Instant // when links that are taken for cut were last tried
-	probing map[link]bool  // that one job may try
-	// retrying is an upstream that one job may try although it could not be reached; nil: none.
-	retrying *engine
-
-	// Of the survey at the beginning of a step.
-	cuts     map[link]int               // upstreams at its end that could not be reached since an answer last came over it
-	meanPass float64                    // ms
-	limits   limitSurvey                // of the upstreams that may get work
-	longs    int                        // jobs waiting for a long read, oversized ones aside
-	tried    int                        // long reads that found no place
-	unpacked map[fleet.DomainID]packing // what found no place on any engine
-
-	reading int // engines that read something
+	model       *Model
+	params      Params
+	engines     map[fleet.UpstreamID]*engine
+	enginesByID []*engine // sorted by ID, so that decisions are deterministic
+	queue       []*Job
+	runs        map[fleet.RequestID]*run
+
+	fairness      [2]fairness             // between workspaces; 0: short prompts and plain requests, 1: long prompts
+	prefilling    map[*run]bool           // runs whose prefill is counted in their engines' pendingMs
+	answerLatency answerLatency           // of a plain service
+	lastAnswer    map[link]decide.Instant // time of the last answer, or first event of one, over the link
+
+	now decide.Instant // time of the current step
+
+	jobsAhead int // jobs of the current step that stay queued ahead of the one being decided
+
+	lastProgress decide.Instant // time of the last placement, or at which only long prompts or no jobs waited
+	lastProbe    decide.Instant // time at which partitioned links were last opened to a probe
+	probeLinks   map[link]bool  // partitioned links that one job may try
+	// probeEngine is an unreachable engine that one job may try; nil: none.
+	probeEngine *engine
+
+	// Results of the survey at the beginning of a step.
+	unreachableCounts map[link]int                   // upstreams unreachable since the link's last answer
+	meanPassMs        float64                        // of the engines that answer something
+	limitTotals       limitTotals                    // over the upstreams that may receive jobs
+	longWaiting       int                            // queued long prompts, without oversized ones
+	unplacedLong      int                            // long prompts that could not be placed in this step
+	unplacedShort     map[fleet.DomainID]requirement // by domain, the last short prompt that found no engine in this step
+
+	prefillingEngines int // engines with prefill pending
 }
 
-// packing is what a short prompt needs of an engine.
-type packing struct {
-	prompt int
-	gap    time.Duration
+// requirement is what a short prompt needs of an engine.
+type requirement struct {
+	promptTokens int
+	maxGap       time.Duration
 }
 
-// New gives a State without upstreams. model is nil for a plain service.
+// New returns a State without upstreams. model is nil for a plain service.
 func New(model *Model, p Params) *State {
 	return &State{
 		model: model, params: p, engines: map[fleet.UpstreamID]*engine{}, runs: map[fleet.RequestID]*run{},
-		unread: map[*run]bool{}, heard: map[link]decide.Instant{}, probing: map[link]bool{},
+		prefilling: map[*run]bool{}, lastAnswer: map[link]decide.Instant{}, probeLinks: map[link]bool{},
 	}
 }
 
-// SetModel takes another model or figures, as a new configuration states them.
+// SetModel replaces the model and the parameters, as after a change of the configuration. If there was no model
+// before, the prefill of the runs that were adopted without one is added to their engines.
 func (s *State) SetModel(m *Model, p Params) {
-	first := s.model == nil && m != nil
+	modelAdded := s.model == nil && m != nil
 	s.model, s.params = m, p
-	if !first {
+	if !modelAdded {
 		return
 	}
-	for _, r := range s.runs { // adopted before it was known how long they read
-		if !r.writing {
-			s.bookReading(r)
+	for _, r := range s.runs { // adopted while their prefill time was unknown
+		if !r.decoding {
+			s.addPrefill(r)
 		}
 	}
 }
 
-// SetUpstreams takes the upstreams that may get work. One that is no longer listed keeps its work and gets
-// no more; one that started anew under its id has lost it.
-func (s *State) SetUpstreams(open []Upstream) {
-	listed := make(map[fleet.UpstreamID]bool, len(open))
-	for _, u := range open {
+// SetUpstreams sets the upstreams that may receive jobs. An upstream that is no longer listed keeps its runs and
+// receives no new ones. An upstream that restarted under the same ID, and so has another Born, has lost its runs.
+func (s *State) SetUpstreams(upstreams []Upstream) {
+	listed := make(map[fleet.UpstreamID]bool, len(upstreams))
+	for _, u := range upstreams {
 		listed[u.ID] = true
-		e := s.engine(u.ID)
-		if e.known && e.Born != u.Born {
+		e := s.engineFor(u.ID)
+		if e.listed && e.Born != u.Born {
 			delete(s.engines, u.ID)
-			e = s.engine(u.ID)
+			e = s.engineFor(u.ID)
 		}
-		e.Upstream, e.known, e.gone = u, true, false
+		e.Upstream, e.listed, e.closed = u, true, false
 	}
 	for id, e := range s.engines {
 		if !listed[id] {
-			e.gone = true
+			e.closed = true
 			if len(e.runs) == 0 {
 				delete(s.engines, id)
 			}
 		}
 	}
-	s.reading = 0
+	s.prefillingEngines = 0
 	for _, e := range s.engines {
-		if e.pending >= idleBelow {
-			s.reading++
+		if e.pendingMs >= idleBelowMs {
+			s.prefillingEngines++
 		}
 	}
-	s.order = s.order[:0]
+	s.enginesByID = s.enginesByID[:0]
 	for _, e := range s.engines {
-		s.order = append(s.order, e)
+		s.enginesByID = append(s.enginesByID, e)
 	}
-	slices.SortFunc(s.order, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(s.enginesByID, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// engine gives an upstream with its work. One that isn't known yet gets no new work.
-func (s *State) engine(id fleet.UpstreamID) *engine {
+// engineFor returns the engine with the given ID. It adds an unknown one as closed, so that it receives no new jobs
+// until it is listed.
+func (s *State) engineFor(id fleet.UpstreamID) *engine {
 	e := s.engines[id]
 	if e == nil {
 		e = &engine{
-			Upstream: Upstream{ID: id}, gone: true,
-			runs:      map[fleet.RequestID]*run{},
-			unreached: map[fleet.DomainID]decide.Instant{},
+			Upstream: Upstream{ID: id}, closed: true,
+			runs:            map[fleet.RequestID]*run{},
+			lastUnreachable: map[fleet.DomainID]decide.Instant{},
 		}
 		s.engines[id] = e
 	}
 	return e
 }
 
-// Ask queues a job. One with the id of a job that waits or runs replaces it: the instance asks anew when it
-// doesn't know what became of it.
+// Ask queues a job. It replaces a queued or running job with the same ID: an instance asks again when it does not know
+// what became of its request.
 func (s *State) Ask(j *Job) {
 	s.Cancel(j.ID)
-	j.excess = s.overShare(j)
+	j.excess = s.exceedsShare(j)
 	s.queue = append(s.queue, j)
 }
 
-// Withdraw takes a job out of the queue, or ends its run.
+// Cancel removes a job from the queue, or ends its run.
 func (s *State) Cancel(id fleet.RequestID) {
 	s.queue = slices.DeleteFunc(s.queue, func(j *Job) bool { return j.ID == id })
 	if r := s.runs[id]; r != nil {
@@ -136,98 +139,99 @@
 	}
 }
 
-// Began takes that a run's answer, or its first event, came: its prompt is read.
+// Began records that the answer of a run, or the first event of it, arrived. Its prefill is done, and the failures
+// that are recorded for its engines and for the link to the answering one are cleared.
 func (s *State) Began(now decide.Instant, id fleet.RequestID) {
 	r := s.runs[id]
-	if r == nil || r.writing {
+	if r == nil || r.decoding {
 		return
 	}
-	s.learn(now, r)
+	s.updateSlowRatio(now, r)
 	if s.model == nil {
-		s.answers.take(now.Sub(r.granted))
+		s.answerLatency.add(now.Sub(r.startedAt))
 	}
-	s.readDone(r)
-	r.writing = true
-	r.on.fails = 0
-	delete(r.on.unreached, r.job.Domain)
-	s.heard[link{r.job.Domain, r.on.Domain}] = now
+	s.removePrefill(r)
+	r.decoding = true
+	r.engine.failures = 0
+	delete(r.engine.lastUnreachable, r.job.Domain)
+	s.lastAnswer[link{r.job.Domain, r.engine.Domain}] = now
 	for _, h := range r.helpers {
-		h.fails, h.helpRefused = 0, 0
+		h.failures, h.helpRefusals = 0, 0
 	}
 }
 
-// End is how a run ended.
+// Outcome says how a run ended.
 type Outcome uint8
 
-// The ends of a run.
+// The outcomes of a run.
 const (
-	Completed   Outcome = iota // answered, or its caller left
-	Failed                     // its upstream failed it
-	Unreachable                // its instance could not connect to the upstream
-	Full                       // its upstream said that it has no room
+	Completed   Outcome = iota // answered, or the caller disconnected
+	Failed                     // the upstream failed the request
+	Unreachable                // the instance could not connect to the upstream
+	Full                       // the upstream reported that it has no capacity left
 )
 
-// Done ends a run. atFault is the upstream to blame where it isn't the one that the run was on.
-func (s *State) Done(now decide.Instant, id fleet.RequestID, how Outcome, atFault fleet.UpstreamID) {
+// Done ends a run. atFault is the upstream that caused the outcome if it is not the one that answers the run.
+func (s *State) Done(now decide.Instant, id fleet.RequestID, outcome Outcome, atFault fleet.UpstreamID) {
 	r := s.runs[id]
 	if r == nil {
 		return
 	}
-	blamed := r.on
+	faulty := r.engine
 	if e := s.engines[atFault]; e != nil {
-		blamed = e
+		faulty = e
 	}
-	switch how {
+	switch outcome {
 	case Failed:
-		blamed.fail(now)
-		if blamed != r.on && !r.heldBy(blamed) { // a holder may only lack the ticket
-			blamed.refuseHelp(now)
+		faulty.recordFailure(now)
+		if faulty != r.engine && !r.hasReservationOn(faulty) { // an engine with a reservation may only lack its ticket
+			faulty.recordHelpRefusal(now)
 		}
 	case Full:
-		blamed.full = now.Add(fullPause)
+		faulty.fullUntil = now.Add(fullHoldoff)
 	case Unreachable:
-		blamed.unreached[r.job.Domain] = now
-		if len(blamed.unreached) > 1 {
-			blamed.fail(now) // not the way to it: it can't be reached from anywhere
+		faulty.lastUnreachable[r.job.Domain] = now
+		if len(faulty.lastUnreachable) > 1 {
+			faulty.recordFailure(now) // unreachable from several domains: the engine failed, not a link
 		}
 	}
 	s.release(r)
 }
 
-// Adopt takes a run that another dispatcher, or the instance by itself, placed. Its upstream need not be known
-// yet: a dispatcher that has just started hears of the fleet's work first, and what it dropped of that it would
-// place once more.
-func (s *State) Adopt(now decide.Instant, j *Job, on fleet.UpstreamID, helpers []fleet.UpstreamID, holders []Reservation, writing bool) {
+// Adopt adds a run that another dispatcher, or the instance by itself, placed. Its upstream may be unknown yet: a new
+// dispatcher receives the instances' runs before the list of upstreams, and would overload engines if it dropped those
+// runs.
+func (s *State) Adopt(now decide.Instant, j *Job, upstream fleet.UpstreamID, helpers []fleet.UpstreamID, reservations []Reservation, decoding bool) {
 	s.Cancel(j.ID)
-	var with []*engine
+	var engines []*engine
 	for _, id := range helpers {
-		with = append(with, s.engine(id))
+		engines = append(engines, s.engineFor(id))
 	}
-	var held []holding
-	for _, h := range holders {
-		he := s.engine(h.Upstream)
-		held = append(held, holding{he, h.Tokens})
-		with = append(with, he)
+	var reserved []reservation
+	for _, h := range reservations {
+		e := s.engineFor(h.Upstream)
+		reserved = append(reserved, reservation{e, h.Tokens})
+		engines = append(engines, e)
 	}
-	r := s.start(now, j, s.engine(on), with, held)
-	if writing {
-		s.readDone(r)
-		r.writing = true
+	r := s.startRun(now, j, s.engineFor(upstream), engines, reserved)
+	if decoding {
+		s.removePrefill(r)
+		r.decoding = true
 	}
 }
 
-// Forget drops the work of an instance that is gone.
-func (s *State) RemoveInstance(entry fleet.InstanceID) {
-	s.queue = slices.DeleteFunc(s.queue, func(j *Job) bool { return j.Instance == entry })
+// RemoveInstance drops the jobs and the runs of an instance that is gone.
+func (s *State) RemoveInstance(instance fleet.InstanceID) {
+	s.queue = slices.DeleteFunc(s.queue, func(j *Job) bool { return j.Instance == instance })
 	for _, r := range s.runs {
-		if r.job.Instance == entry {
+		if r.job.Instance == instance {
 			s.release(r)
 		}
 	}
 }
 
-// Waiting is the number of jobs that wait, and Running of those that run.
+// Waiting returns the number of queued jobs.
 func (s *State) Waiting() int { return len(s.queue) }
 
-// Running is the number of jobs under way.
+// Running returns the number of runs in flight.
 func (s *State) Running() int { return len(s.runs) }
--- a/internal/decide/dispatch/fair_test.go
+++ b/internal/decide/dispatch/fair_test.go
@@ -11,9 +11,9 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// A family waits on the shore because another workspace sends many times its usual: for as long as that lasts the prompts
-// of all the others wait in the queue that it makes.
-func TestACrowdOfOneWorkspaceMakesFewOthersLate(t *testing.T) {
+// Guards against a workspace that sends many times its usual load and so keeps the prompts of all other workspaces in
+// the queue for as long as that lasts.
+func TestCrowdOfOneWorkspaceDelaysFewOthers(t *testing.T) {
 	is := is.New(t)
 	others := func(times float64) float64 {
 		crowd := passes.Crowd{Fault: passes.Fault{At: 10_000, For: 10_000}, Times: times}
@@ -25,19 +25,20 @@
 	is.True(with > without-0.1)
 }
 
-// A change of the whole mix, to many times as many short prompts, is nobody's excess.
-func TestAChangeOfTheMixIsNobodysExcess(t *testing.T) {
+// A change of the whole mix, to many times as many short prompts, does not count as excess of any workspace.
+func TestMixChangeIsNotExcess(t *testing.T) {
 	is := is.New(t)
 	got := passes.Mean(&passes.Coteau, passes.Dispatcher(&passes.Coteau, dispatch.DefaultParams()), passes.Play{Load: 0.85, Length: 40_000}, 4)
 	t.Logf("short in time %.3f", got.InTime["short"])
 	is.True(got.InTime["short"] > 0.97)
 }
 
-// A workspace that sends many times its usual to upstreams of one place each is refused for good, though they are idle.
-func TestExcessFindsAnIdleUpstream(t *testing.T) {
+// Guards against a workspace over its share whose jobs are refused forever although the upstreams, of one slot each,
+// are idle.
+func TestExcessJobUsesIdleUpstream(t *testing.T) {
 	is := is.New(t)
 	s := dispatch.New(nil, dispatch.DefaultParams())
-	u := upstreams(1, "a")
+	u := newUpstreams(1, "a")
 	u[0].Slots = 1
 	s.SetUpstreams(u)
 	send := func(id string, space fleet.WorkspaceID, ms float64) bool {
@@ -48,11 +49,11 @@
 		s.Done(at(ms), j.ID, dispatch.Completed, "")
 		return len(all) == 1 && all[0].Upstream != ""
 	}
-	for i := range 100 { // ten seconds in which two workspaces send as usual
+	for i := range 100 { // ten seconds in which both workspaces send their usual load
 		is.True(send(fmt.Sprint("a", i), "a", float64(100*i)))
 		is.True(send(fmt.Sprint("b", i), "b", float64(100*i+50)))
 	}
-	for i := range 500 { // and one of them a hundred times that
+	for i := range 500 { // one of them sends a hundred times as much
 		is.True(send(fmt.Sprint("c", i), "a", float64(10_000+i)))
 	}
 }
--- a/internal/decide/dispatch/job.go
+++ b/internal/decide/dispatch/job.go
@@ -7,49 +7,49 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Job is a request that needs a place.
+// Job is a request that is to be placed on an upstream.
 type Job struct {
 	ID                 fleet.RequestID
-	Instance           fleet.InstanceID // the instance that serves its caller
-	Domain             fleet.DomainID   // the entry's failure domain
+	Instance           fleet.InstanceID // serves the caller
+	Domain             fleet.DomainID   // failure domain of Instance
 	Workspace          fleet.WorkspaceID
 	Priority           int
-	PromptTokens       int            // tokens
-	MaxOutputTokens    int            // most tokens of the answer
+	PromptTokens       int            // length of the prompt
+	MaxOutputTokens    int            // upper bound of the answer's length
 	Arrived            decide.Instant // at the instance
-	FirstEventTarget   decide.Instant // the first event is in time until then
-	FirstEventDeadline decide.Instant // the caller gives up without a first event
+	FirstEventTarget   decide.Instant // latest time at which the first event, or a plain answer, is on time; 0: none
+	FirstEventDeadline decide.Instant // the caller gives up if it has no event by then
 	Deadline           decide.Instant
-	MaxGap             time.Duration // longest pause between events in time; 0: none
+	MaxGap             time.Duration // longest time between two events that is on time; 0: no bound
 	Attempt            int
-	Resumed            bool // a stream that broke off goes on; Arrived and Aim count from its last event
+	Resumed            bool // continues an interrupted stream; Arrived and FirstEventTarget count from its last event
 	Avoid              []fleet.UpstreamID
 
-	excess bool // over its workspace's share
+	excess bool // exceeds its workspace's share
 }
 
-// Upstream is an upstream that may get work.
+// Upstream is an upstream that may receive jobs.
 type Upstream struct {
 	ID     fleet.UpstreamID
 	Domain fleet.DomainID
 	Slots  int
 	Born   int64
-	// ColdUntil is when its cold start ends; before now: it is warm.
+	// ColdUntil is the end of the upstream's cold start, in the past if it is warm.
 	ColdUntil decide.Instant
 }
 
-// Decision is what becomes of a job.
+// Decision is the placement or the refusal of a job.
 type Decision struct {
 	Job          *Job
-	Upstream     fleet.UpstreamID   // empty: refused
-	Helpers      []fleet.UpstreamID // that read parts of the prompt, holders aside
-	Reservations []Reservation      // that hold the memory that the upstream has not, and read parts too
+	Upstream     fleet.UpstreamID   // answers the job; empty: refused
+	Helpers      []fleet.UpstreamID // prefill parts of the prompt, without the engines of Reservations
+	Reservations []Reservation      // KV cache that Upstream lacks; these engines prefill parts too
 	Reason       decide.Reason
-	OverdueAfter time.Duration // from now on which the first event or the plain answer is overdue; 0: unknown
+	OverdueAfter time.Duration // time from now after which the first event, or the plain answer, is overdue; 0: unknown
 	RetryAfter   time.Duration // of a refusal
 }
 
-// Holding is memory of a job that an engine holds for another one, in tokens.
+// Reservation is KV cache, in tokens, that one engine reserves for a job that another engine answers.
 type Reservation struct {
 	Upstream fleet.UpstreamID
 	Tokens   int
@@ -57,55 +57,55 @@
 
 // Reasons of this package.
 const (
-	Packed       decide.Reason = "packed"      // on the fullest engine whose streams bear it
-	Spread       decide.Reason = "spread"      // read in parts by several engines
-	SingleEngine decide.Reason = "alone"       // read by one engine
-	LeastWork    decide.Reason = "least_work"  // of a plain service
-	TooLate      decide.Reason = "too_late"    // its caller would have given up
-	TooLarge     decide.Reason = "too_large"   // over every engine's memory
-	NoSlack      decide.Reason = "no_slack"    // over one engine's memory, and the fleet is too busy for it
-	NoUpstream   decide.Reason = "no_upstream" // none may get work
+	Packed       decide.Reason = "packed"      // on the fullest engine whose streams allow it
+	Spread       decide.Reason = "spread"      // long prompt, prefilled in parts by several engines
+	SingleEngine decide.Reason = "alone"       // long prompt, prefilled by one engine
+	LeastWork    decide.Reason = "least_work"  // plain service: on the upstream with the least load
+	TooLate      decide.Reason = "too_late"    // the caller would give up before the first event
+	TooLarge     decide.Reason = "too_large"   // exceeds the memory of the most engines that can share it
+	NoSlack      decide.Reason = "no_slack"    // exceeds one engine's memory, and the fleet is too busy for it
+	NoUpstream   decide.Reason = "no_upstream" // no upstream may receive it
 	QueueFull    decide.Reason = "queue_full"
-	// RateLimited: every upstream is under a limit, and its turn would come too late.
+	// RateLimited: every upstream advertises a rate limit, and the job's turn would come after its FirstEventDeadline.
 	RateLimited decide.Reason = "rate_limited"
 )
 
 // Reasons lists every reason of this package.
 var Reasons = []decide.Reason{Packed, Spread, SingleEngine, LeastWork, TooLate, TooLarge, NoSlack, NoUpstream, QueueFull, RateLimited}
 
-// Params are the policy's figures.
+// Params are the parameters of the placement policy.
 type Params struct {
-	MaxHelpers            int           // beside the first engine
-	GapShare              float64       // part of the longest pause that a pass may take as planned
-	ShortPrefillMs        float64       // ms; a prompt that reads no longer is packed
-	MinGainPerHelperMs    float64       // ms that a helper must save to be worth asking
-	MaxBacklogMs          float64       // ms of reading; an engine with more left gets no part of another long prompt
-	StreamPenaltyMs       float64       // ms that a part read beside streams must save against one on an engine without any
-	CoLocationBonusMs     float64       // ms that the engine which answers a long prompt may come later if it answers others too
-	MemoryShare           float64       // part of an engine's memory that is planned for
-	LateWaitShare         float64       // part of its caller's patience that a late job waits
-	SlackShare            float64       // part of the engines that must read nothing before an oversized prompt is taken
-	MaxSlackEngines       int           // engines that are enough for it, however many there are
-	ColdRequestsPerSecond float64       // requests a second that a cold upstream gets; 0: cold ones are not told apart
+	MaxHelpers            int           // engines that prefill parts of a prompt besides the answering one
+	GapShare              float64       // share of a stream's longest event gap that a planned pass may take
+	ShortPrefillMs        float64       // a prompt with a prefill up to this is short and is packed
+	MinGainPerHelperMs    float64       // prefill time that each helper must save
+	MaxBacklogMs          float64       // an engine with more prefill pending receives no part of another long prompt
+	StreamPenaltyMs       float64       // added to the delay of an engine with streams when it may help
+	CoLocationBonusMs     float64       // subtracted from the delay of an engine with streams when it may answer
+	MemoryShare           float64       // share of an engine's KV cache that placements may use
+	LateWaitShare         float64       // share of the time to its FirstEventDeadline that a late job may wait
+	SlackShare            float64       // share of engines without prefill that an oversized or late prompt needs
+	MaxSlackEngines       int           // upper bound of the number of engines by SlackShare
+	ColdRequestsPerSecond float64       // rate of a cold upstream; 0: cold upstreams have no limit of their own
 	MaxQueue              int           // jobs
-	Margin                time.Duration // between a planned first event and the caller's patience
+	Margin                time.Duration // between the planned first event and the FirstEventDeadline
 }
 
-// DefaultParams are the daemon's.
+// DefaultParams returns the parameters that the daemon uses.
 func DefaultParams() Params {
 	return Params{
-		MaxHelpers:         16,  // engines take no more
-		GapShare:           0.9, // the rest is for the trip
+		MaxHelpers:         16,  // limit of the engines
+		GapShare:           0.9, // the rest is for the network
 		ShortPrefillMs:     100, // about 19,000 tokens
-		MinGainPerHelperMs: 5,   // a few trips between instance and engine
+		MinGainPerHelperMs: 5,   // a few round trips between instance and engine
 		MaxBacklogMs:       200,
 		StreamPenaltyMs:    150,
 		CoLocationBonusMs:  200,
-		MemoryShare:        0.95, // what an answer takes is known only as its most
+		MemoryShare:        0.95, // only the upper bound of an answer's length is known
 		LateWaitShare:      0.3,
-		SlackShare:         0.5,                   // an oversized prompt keeps all engines reading for a second
-		MaxSlackEngines:    25,                    // those of one read and half as many
-		MaxQueue:           4096,                  // far above what is served in anybody's time
-		Margin:             30 * time.Millisecond, // a few trips
+		SlackShare:         0.5,                   // an oversized prompt occupies all engines for a second
+		MaxSlackEngines:    25,                    // the engines of one prefill and half as many
+		MaxQueue:           4096,                  // far more jobs than can be served before their deadlines
+		Margin:             30 * time.Millisecond, // a few round trips
 	}
 }
--- a/internal/decide/dispatch/limit.go
+++ b/internal/decide/dispatch/limit.go
@@ -9,28 +9,30 @@
 )
 
 const (
-	// ProbeRate is what an upstream gets that takes less or nothing, in requests a second: only an answer shows that it
-	// takes more again.
+	// ProbeRate is the least rate that a rate-limited upstream receives, in requests per second. Only an answer can
+	// show that it accepts more again.
 	ProbeRate = 0.2
-	// limitBurst is the part of a second's requests that may come together.
-	limitBurst = 0.25
-	// riseEvery is the time in which the rate doubles of an upstream that names no limit any more. It has just been in
-	// need, and idle beside busy ones it would get as many requests at once as it has places.
-	riseEvery = time.Second
-	// risenRate is the rate in requests a second from which such an upstream is not limited any more.
-	risenRate = 100
+	// limitBurstSeconds bounds a burst, as the time in which the rate allows as many requests.
+	limitBurstSeconds = 0.25
+	// rateDoublingTime is the time in which the rate of an upstream doubles after it no longer advertises a limit. It
+	// has just been overloaded, and being idle beside busy ones it would receive as many requests at once as it has
+	// slots.
+	rateDoublingTime = time.Second
+	// rampEndRate is the rate, in requests per second, from which such an upstream has no limit any more.
+	rampEndRate = 100
 )
 
-// limit bounds what an upstream gets that says how many requests it takes. It begins with none left: what the upstream
-// got before is not known, and another dispatcher may just have given out its share.
+// limit is a token bucket for an upstream that advertises a rate limit. It starts empty: what the upstream received
+// before is not known, and another dispatcher may just have used up its share.
 type limit struct {
-	rate   float64 // requests a second
-	left   float64 // requests that it may get now
-	asOf   decide.Instant
-	rising bool // it is over, and the rate grows
+	rate       float64 // requests a second
+	tokens     float64 // requests that may be placed now
+	refilledAt decide.Instant
+	ramping    bool // the advertised limit has ended, and the rate grows
 }
 
-// SetLimits takes how many requests a second each upstream takes from this dispatcher, where it says so.
+// SetLimits sets the rates, in requests per second, that upstreams accept from this dispatcher. An upstream that is
+// not in rates advertises no limit.
 func (s *State) SetLimits(now decide.Instant, rates map[fleet.UpstreamID]float64) {
 	for id, e := range s.engines {
 		rate, limited := rates[id]
@@ -39,81 +41,85 @@
 }
 
 func (e *engine) setLimit(now decide.Instant, rate float64, limited bool) {
+	// The rate of a limit that the upstream no longer advertises ramps up from its last value.
 	switch {
 	case limited && e.limit == nil:
-		e.limit = &limit{rate: rate, asOf: now}
+		e.limit = &limit{rate: rate, refilledAt: now}
 	case limited:
 		e.limit.refill(now)
-		e.limit.rate, e.limit.rising = rate, false
-	case e.limit != nil && !e.limit.rising:
+		e.limit.rate, e.limit.ramping = rate, false
+	case e.limit != nil && !e.limit.ramping:
 		e.limit.refill(now)
-		e.limit.rate, e.limit.rising = max(e.limit.rate, ProbeRate), true
+		e.limit.rate, e.limit.ramping = max(e.limit.rate, ProbeRate), true
 	}
 }
 
 func (l *limit) refill(now decide.Instant) {
-	past := now.Sub(l.asOf)
-	l.asOf = now
-	if l.rising {
-		l.rate *= math.Exp2(past.Seconds() / riseEvery.Seconds())
+	// Adds the tokens since the last refill, and raises the rate of a ramping limit.
+	elapsed := now.Sub(l.refilledAt)
+	l.refilledAt = now
+	if l.ramping {
+		l.rate *= math.Exp2(elapsed.Seconds() / rateDoublingTime.Seconds())
 	}
-	l.left = min(max(1, l.rate*limitBurst), l.left+l.rate*past.Seconds())
+	l.tokens = min(max(1, l.rate*limitBurstSeconds), l.tokens+l.rate*elapsed.Seconds())
 }
 
-// refillLimit brings the upstream's limit up to now. One that has risen again is over.
+// refillLimit refills the upstream's limit, and removes it once its rate has ramped up.
 func (e *engine) refillLimit(now decide.Instant) {
 	if e.limit == nil {
 		return
 	}
 	e.limit.refill(now)
-	if e.limit.rising && e.limit.rate >= risenRate {
+	if e.limit.ramping && e.limit.rate >= rampEndRate {
 		e.limit = nil
 	}
 }
 
-// limited tells whether the upstream takes only so many requests.
+// limited reports whether the upstream has a rate limit.
 func (e *engine) limited() bool { return e.limit != nil }
 
-// underLimit tells whether the upstream's limit leaves room for a request.
-func (e *engine) underLimit() bool { return !e.limited() || e.limit.left >= 1 }
+// underLimit reports whether the upstream's limit allows another request.
+func (e *engine) underLimit() bool { return !e.limited() || e.limit.tokens >= 1 }
 
-// takeLimit counts a request that was placed.
-func (e *engine) takeLimit() {
+// consumeLimit counts a placed request against the upstream's limit.
+func (e *engine) consumeLimit() {
 	if e.limit != nil {
-		e.limit.left--
+		e.limit.tokens--
 	}
 }
 
-// limitSurvey is what the upstreams under a limit take together.
-type limitSurvey struct {
+// limitTotals sums up the limits of the upstreams.
+type limitTotals struct {
 	upstreams int
 	rate      float64 // requests a second
-	left      float64 // requests that they may get now
-	unnamed   int     // upstreams that name no limit, or none any more
+	tokens    float64 // requests that may be placed now
+	unlimited int     // upstreams that advertise no limit, ramping ones included
 }
 
-// take counts an upstream, its limit brought up to now.
-func (v *limitSurvey) take(e *engine) {
-	if !e.limited() || e.limit.rising {
-		v.unnamed++
+// add adds an upstream whose limit was refilled.
+func (t *limitTotals) add(e *engine) {
+	if !e.limited() || e.limit.ramping {
+		t.unlimited++
 	}
 	if e.limited() {
-		v.upstreams++
-		v.rate += e.limit.rate
-		v.left += max(0, e.limit.left)
+		t.upstreams++
+		t.rate += e.limit.rate
+		t.tokens += max(0, e.limit.tokens)
 	}
 }
 
-// Limited gives how many upstreams were under a limit at the last step, and what they took together, in requests a second.
+// RateLimitTotals returns how many upstreams had a rate limit at the last step, and the sum of their rates in requests
+// per second.
 func (s *State) RateLimitTotals() (upstreams int, rate float64) {
-	return s.limits.upstreams, s.limits.rate
+	return s.limitTotals.upstreams, s.limitTotals.rate
 }
 
-// limitedWait is how long a job with so many before it waits at least for its turn, where every upstream names a limit.
-func (s *State) limitedWait(before int) time.Duration {
-	turns := float64(before+1) - s.limits.left
-	if s.limits.unnamed > 0 || s.limits.rate <= 0 || turns <= 0 {
+// minLimitWait returns the least time until the turn of a job with this many jobs ahead of it. It is 0 unless every
+// upstream advertises a limit.
+func (s *State) minLimitWait(ahead int) time.Duration {
+	deficit := float64(ahead+1) - s.limitTotals.tokens
+	if s.limitTotals.unlimited > 0 || s.limitTotals.rate <= 0 || deficit <= 0 {
 		return 0
 	}
-	return time.Duration(turns / s.limits.rate * float64(time.Second))
+	return time.Duration(deficit / s.limitTotals.rate * float64(time.Second))
 }
--- a/internal/decide/dispatch/limit_test.go
+++ b/internal/decide/dispatch/limit_test.go
@@ -11,10 +11,11 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// placed plays a load for some seconds, each job ended after 20 ms, and counts the places by upstream.
-func placed(s *dispatch.State, from, seconds, perSecond int, prompt int) map[fleet.UpstreamID]int {
+// runLoad queues jobs at a rate for some seconds, each of which ends in the step that places it, and returns the
+// number of placements by upstream.
+func runLoad(s *dispatch.State, startSecond, seconds, perSecond int, prompt int) map[fleet.UpstreamID]int {
 	got := map[fleet.UpstreamID]int{}
-	for ms := from * 1000; ms < (from+seconds)*1000; ms += 10 {
+	for ms := startSecond * 1000; ms < (startSecond+seconds)*1000; ms += 10 {
 		if ms%(1000/perSecond) == 0 {
 			j := newJob(fmt.Sprint("j", ms), prompt)
 			j.Arrived, j.FirstEventTarget, j.FirstEventDeadline, j.Deadline = at(float64(ms)), at(float64(ms+300)), at(float64(ms+2500)), at(float64(ms+2500))
@@ -29,23 +30,23 @@
 	return got
 }
 
-// Guards against an upstream under a limit that gets more for being idle.
-func TestAnUpstreamUnderALimitGetsWhatItTakes(t *testing.T) {
-	for _, s := range []*dispatch.State{plain(3), engines(3)} {
+// Guards against an upstream under a rate limit that receives more requests because it is idle.
+func TestRateLimitedUpstreamStaysWithinLimit(t *testing.T) {
+	for _, s := range []*dispatch.State{newPlainState(3), newEngineState(3)} {
 		is := is.New(t)
 		s.SetLimits(at(0), map[fleet.UpstreamID]float64{"a00": 2})
-		got := placed(s, 0, 10, 50, 2000)
+		got := runLoad(s, 0, 10, 50, 2000)
 		t.Log(got)
 		is.True(got["a00"] <= 21)
 		is.Equal(got["a00"]+got["a01"]+got["a02"], 500)
 	}
 }
 
-// Guards against a queue behind upstreams that are all under a limit: who can't have its turn in time hears so at once,
-// and when to come back.
-func TestWhatALimitedFleetCannotServeIsRefusedAtOnce(t *testing.T) {
+// Guards against a queue that grows while all upstreams are under rate limits. A job whose turn would come too late is
+// refused at once, with the delay after which to retry.
+func TestJobsBeyondFleetRateLimitAreRefusedImmediately(t *testing.T) {
 	is := is.New(t)
-	s := plain(2)
+	s := newPlainState(2)
 	s.SetLimits(at(0), map[fleet.UpstreamID]float64{"a00": 1, "a01": 1})
 	for i := range 20 {
 		j := newJob(fmt.Sprintf("j%02d", i), 0)
@@ -58,7 +59,7 @@
 		is.Equal(d.Reason, dispatch.RateLimited)
 		refused = append(refused, d)
 	}
-	is.Equal(len(refused), 14) // two a second for three seconds have their turn
+	is.Equal(len(refused), 14) // two a second for three seconds can be served
 	urgent := 0
 	for _, d := range refused {
 		is.True(d.RetryAfter >= 3*time.Second && d.RetryAfter <= 4*time.Second)
@@ -66,7 +67,7 @@
 			urgent++
 		}
 	}
-	is.Equal(urgent, 4) // ten are urgent, and six have their turn
+	is.Equal(urgent, 4) // ten are urgent, and six of them can be served
 	served := 0
 	for ms := 30; ms < 3100; ms += 10 {
 		for _, d := range s.Step(at(float64(ms))) {
@@ -79,12 +80,13 @@
 	is.Equal(served, 6)
 }
 
-// Guards against an upstream that was in need and gets as much at once as it has places when it names no limit any more.
-func TestALimitThatEndsRisesByAndBy(t *testing.T) {
+// Guards against an upstream that was overloaded and, when it no longer advertises a limit, receives as many requests
+// at once as it has slots.
+func TestRateRampsUpAfterLimitEnds(t *testing.T) {
 	is := is.New(t)
-	s := plain(2)
+	s := newPlainState(2)
 	s.SetLimits(at(0), map[fleet.UpstreamID]float64{"a00": 1})
-	placed(s, 0, 5, 100, 0)
+	runLoad(s, 0, 5, 100, 0)
 	s.SetLimits(at(5000), nil)
 	for i := range 4 {
 		j := newJob(fmt.Sprint("waits", i), 0)
@@ -98,39 +100,39 @@
 	for i := range 4 {
 		s.Cancel(fleet.RequestID(fmt.Sprint("waits", i)))
 	}
-	second := placed(s, 5, 1, 100, 0)["a00"]
-	is.True(second <= 3) // once, and doubled
-	placed(s, 6, 8, 100, 0)
-	is.True(placed(s, 14, 1, 100, 0)["a00"] > 40)
+	second := runLoad(s, 5, 1, 100, 0)["a00"]
+	is.True(second <= 3) // a rate of one a second, doubled in that second
+	runLoad(s, 6, 8, 100, 0)
+	is.True(runLoad(s, 14, 1, 100, 0)["a00"] > 40)
 	n, _ := s.RateLimitTotals()
 	is.Equal(n, 0)
 }
 
-// Guards against an engine in need that reads or holds memory for prompts on other engines.
-func TestAnEngineUnderALimitHelpsNobody(t *testing.T) {
+// Guards against an overloaded engine that prefills or reserves memory for prompts on other engines.
+func TestRateLimitedEngineDoesNotHelp(t *testing.T) {
 	is := is.New(t)
-	s := engines(4)
+	s := newEngineState(4)
 	s.SetLimits(at(0), map[fleet.UpstreamID]float64{"a00": 5})
-	d := one(t, s, 1, newJob("long", 200_000))
+	d := decideOne(t, s, 1, newJob("long", 200_000))
 	is.True(d.Upstream != "")
 	for _, h := range d.Helpers {
 		is.True(h != "a00")
 	}
-	s = engines(6)
+	s = newEngineState(6)
 	s.SetLimits(at(0), map[fleet.UpstreamID]float64{"a00": 5, "a01": 5})
 	big := newJob("oversized", 700_000)
 	big.FirstEventTarget, big.FirstEventDeadline = at(30_000), at(60_000)
-	d = one(t, s, 1, big)
+	d = decideOne(t, s, 1, big)
 	is.True(len(d.Reservations) > 0)
 	for _, h := range d.Reservations {
 		is.True(h.Upstream != "a00" && h.Upstream != "a01")
 	}
 }
 
-// Guards against a dispatcher that begins with a burst: the one before it may just have given out the same.
-func TestALimitBeginsWithNothingLeft(t *testing.T) {
+// Guards against a new dispatcher that starts with a burst, just after the previous one used up the same rate.
+func TestRateLimitStartsWithEmptyBucket(t *testing.T) {
 	is := is.New(t)
-	s := plain(1)
+	s := newPlainState(1)
 	s.SetLimits(at(50_000), map[fleet.UpstreamID]float64{"a00": 40})
 	for i := range 10 {
 		j := newJob(fmt.Sprint("j", i), 0)
--- a/internal/decide/dispatch/model.go
+++ b/internal/decide/dispatch/model.go
@@ -1,30 +1,32 @@
-// Package dispatch decides which upstream of a service gets which request, for all instances of the fleet:
-// one dispatcher sees every request of a service, waiting or under way, and so knows what reports tell late
-// and each instance alone can't know at all.
+// Package dispatch decides which upstream of a service receives which request, for all instances of the fleet. One
+// dispatcher knows every request of a service, queued or in flight. A single instance does not know the requests of the
+// others, and sees their load only later in reports.
 //
-// How an engine works, and what follows from it. It works in passes. A pass takes a number of steps for the
-// requests that write, which all get an event at its end, and reads prompts between those steps: a long
-// read makes every stream beside it pause. Reading costs the same wherever it is done, and a prompt can be
-// read in even parts by several engines. So reads are cut thin and spread over the engines that have the
-// time, and each engine takes no more reading into a pass than its streams bear; what writes is packed, so
-// that few engines pay for the steps.
+// An engine works in passes. A pass makes a number of decode steps for all decoding requests, each of which emits an
+// event at the end of the pass, and prefills prompts between these steps. A long prefill therefore delays the events
+// of every stream on the same engine.
+//
+// Prefill costs the same on every engine, and several engines can each prefill an even part of one prompt. The
+// dispatcher splits long prefills into small parts on engines that have time for them, and gives an engine no more
+// prefill per pass than the longest event gap of its streams allows. It packs decoding requests onto few engines, so
+// that few engines spend time on decode steps.
 package dispatch
 
 import (
 	"time"
 )
 
-// Model is how a service's engines work; times in ms. A plain service has a nil Model.
+// Model describes the speed and the capacity of a service's engines. A plain service has a nil Model.
 type Model struct {
-	Slots              int     // requests that are processed at once
-	KVCacheTokens      int     // tokens of KV cache
-	StepsPerPass       int     // steps of a pass that has writers
-	StepMs             float64 // a step
-	PerDecodeMs        float64 // a step, for each writer
-	Per1000ContextMs   float64 // a step, for each 1,000 tokens of the writers' contexts
-	PrefillTokensPerMs float64 // prompt tokens read in a ms
-	MsPerMillionPairs  float64 // a million pairs of a token and any earlier one
-	ChunkTokens        int     // prompt tokens read in a step, at most
+	Slots              int     // requests that an engine processes at once
+	KVCacheTokens      int     // size of an engine's KV cache
+	StepsPerPass       int     // decode steps of a pass, if any request decodes
+	StepMs             float64 // base time of a step
+	PerDecodeMs        float64 // added to a step for each decoding request
+	Per1000ContextMs   float64 // added to a step for each 1,000 tokens of the decoding requests' contexts
+	PrefillTokensPerMs float64 // prompt tokens
+	MsPerMillionPairs  float64 // attention time of prefill for a million pairs of a token and an earlier one
+	ChunkTokens        int     // most prompt tokens that are prefilled in a step; 0: no bound
 }
 
 const (
@@ -32,8 +34,8 @@
 	thousand = 1e3
 )
 
-// read is how long one engine reads a prompt alone, its steps included.
-func (m *Model) read(tokens int) float64 {
+// prefillMs returns the time that one otherwise idle engine needs to prefill a prompt, its steps included.
+func (m *Model) prefillMs(tokens int) float64 {
 	n := float64(tokens)
 	steps := 1.0
 	if m.ChunkTokens > 0 {
@@ -42,12 +44,13 @@
 	return n/m.PrefillTokensPerMs + n*n/2/million*m.MsPerMillionPairs + steps*m.StepMs
 }
 
-// pass is how long a pass with so many writers of so much context takes, reading aside.
-func (m *Model) pass(writers, context int) float64 {
-	if writers == 0 {
+// passMs returns the time of a pass with the given number of decoding requests and tokens of their contexts, without
+// any prefill.
+func (m *Model) passMs(decoding, contextTokens int) float64 {
+	if decoding == 0 {
 		return m.StepMs
 	}
-	step := m.StepMs + m.PerDecodeMs*float64(writers) + m.Per1000ContextMs*float64(context)/thousand
+	step := m.StepMs + m.PerDecodeMs*float64(decoding) + m.Per1000ContextMs*float64(contextTokens)/thousand
 	return float64(m.StepsPerPass) * step
 }
 
--- a/internal/decide/dispatch/overdue.go
+++ b/internal/decide/dispatch/overdue.go
@@ -6,67 +6,69 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide"
 )
 
-// An upstream can lose an answer, or stand behind a connection that went silent: nothing ever comes, and nobody is
-// told. The caller waits until it gives up, and the engines of a long prompt are believed to read it meanwhile.
+// An upstream can lose an answer, or be behind a connection over which nothing arrives any more. No error reports that.
+// The caller waits until it gives up, and the engines of a long prompt would count as busy with it until then.
 
 const (
-	// overdueFactor and overdueMargin bound how much later than planned a first event may come: an engine that pauses
-	// for another read, a trip that is lost and sent again.
+	// overdueFactor and overdueMargin bound how much later than planned a first event may come, for example if an
+	// engine is delayed by another prefill or a lost packet is retransmitted.
 	overdueFactor = 3
 	overdueMargin = 300 * time.Millisecond
-	// leastOverdue is the least time for a plain answer: a packet that is lost is sent again after 0.2 s.
-	leastOverdue = 250 * time.Millisecond
-	// Weights of the newest answer in the mean and in the mean deviation of plain answers' times, and how many
-	// deviations over the mean are not overdue yet: as for retransmissions in RFC 6298.
-	meanShare      = 1.0 / 8
-	deviationShare = 1.0 / 4
-	deviations     = 4
+	// minPlainOverdue is the least time after which a plain answer is overdue: a lost packet is retransmitted after
+	// 0.2 s.
+	minPlainOverdue = 250 * time.Millisecond
+	// meanWeight and deviationWeight are the weights of the newest answer in the mean of plain answers' latency and in
+	// its mean deviation. An answer is overdue after the mean and overdueDeviations mean deviations, as for the
+	// retransmission timer of RFC 6298.
+	meanWeight        = 1.0 / 8
+	deviationWeight   = 1.0 / 4
+	overdueDeviations = 4
 )
 
-// answers is how long plain answers have taken lately.
-type answers struct {
-	known           bool
-	mean, deviation float64 // ms
+// answerLatency is the recent latency of plain answers.
+type answerLatency struct {
+	measured            bool
+	meanMs, deviationMs float64 // of the recent answers
 }
 
-func (a *answers) take(took time.Duration) {
-	ms := toMs(took)
-	if !a.known {
-		*a = answers{known: true, mean: ms, deviation: ms / 2}
+func (a *answerLatency) add(latency time.Duration) {
+	ms := toMs(latency)
+	if !a.measured {
+		*a = answerLatency{measured: true, meanMs: ms, deviationMs: ms / 2}
 		return
 	}
-	off := ms - a.mean
-	if off < 0 {
-		off = -off
+	deviation := ms - a.meanMs
+	if deviation < 0 {
+		deviation = -deviation
 	}
-	a.deviation += deviationShare * (off - a.deviation)
-	a.mean += meanShare * (ms - a.mean)
+	a.deviationMs += deviationWeight * (deviation - a.deviationMs)
+	a.meanMs += meanWeight * (ms - a.meanMs)
 }
 
-// overdue is from when on a plain answer is overdue; 0: nothing is known yet.
-func (a *answers) overdue() time.Duration {
-	if !a.known {
+// overdueAfter returns the time after which a plain answer is overdue, 0 if no answer was measured yet.
+func (a *answerLatency) overdueAfter() time.Duration {
+	if !a.measured {
 		return 0
 	}
-	return max(leastOverdue, fromMs(a.mean+deviations*a.deviation))
+	return max(minPlainOverdue, fromMs(a.meanMs+overdueDeviations*a.deviationMs))
 }
 
-// overdue is how long after its grant a run's first event is overdue; 0: it can't be told.
-func (s *State) overdue(r *run) time.Duration {
+// overdueAfter returns the time after its start at which the first event of a run is overdue, 0 if it is unknown.
+func (s *State) overdueAfter(r *run) time.Duration {
 	if s.model == nil {
-		return s.answers.overdue()
+		return s.answerLatency.overdueAfter()
 	}
-	return overdueFactor*fromMs(r.planned*r.pace) + overdueMargin
+	return overdueFactor*fromMs(r.plannedMs*r.slowdown) + overdueMargin
 }
 
-// forgetOverdue takes reads off the engines' books whose first event should have come long ago.
-func (s *State) forgetOverdue(now decide.Instant) {
+// dropOverduePrefills removes the prefill of runs whose first event is overdue from their engines' pending time.
+func (s *State) dropOverduePrefills(now decide.Instant) {
 	if s.model == nil {
 		return
 	}
-	for r := range s.unread {
-		if now.Sub(r.granted) >= s.overdue(r) {
-			s.readDone(r)
+	for r := range s.prefilling {
+		if now.Sub(r.startedAt) >= s.overdueAfter(r) {
+			s.removePrefill(r)
 		}
 	}
 }
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -9,61 +9,62 @@
 )
 
 const (
-	// failPause is how long an upstream that failed gets less work than others: doubled with each failure in
-	// a row, up to maxFailPause.
-	failPause    = 200 * time.Millisecond
-	maxFailPause = 3 * time.Second
-	// helpPause is how long an engine that refused to read for another one is not asked to, doubled each time in a
-	// row up to maxHelpPause. One that is leaving refuses until it ends, while it answers prompts of its own: with the
-	// store down that is the only sign, and a prompt that meets it spends an attempt.
-	helpPause    = 2 * time.Second
-	maxHelpPause = 16 * time.Second
-	// fullPause is how long an upstream that said that it has no room is left alone: other work than what is
-	// known here is on it, and a pass or two of it go by.
-	fullPause = 150 * time.Millisecond
-	// unreachedTime is how long an upstream that could not be connected to is not given to instances of the
-	// same failure domain. Then one request tries it again, and loses the time of a connection attempt.
-	unreachedTime = 2 * time.Second
-	// cutFrom is how many upstreams of a failure domain must be out of another domain's reach for the link
-	// between the two to be taken as cut.
-	cutFrom = 2
-	// passesToFirst is how many passes a request on a busy engine waits for its first event: the one under
-	// way, half of it on average, and its own.
-	passesToFirst = 1.5
-	// maxTried bounds the long reads that are looked at without finding a place in one step: those behind are
-	// longer, and find one even less.
-	maxTried = 16
-	// idleBelow is the reading in ms under which an engine reads nothing: sums of parts leave fractions.
-	idleBelow = 1.0
-	// leastHolding is the least memory in tokens that is worth a reservation.
-	leastHolding = 20_000
-	// leastRetryAfter and mostRetryAfter bound when a refused caller is told to come back.
-	leastRetryAfter = 200 * time.Millisecond
-	mostRetryAfter  = 3 * time.Second
-	// second is the window of a cold upstream's limit.
-	second = time.Second
+	// failureHoldoff is how long an upstream receives no new jobs after a failure. It doubles with each consecutive
+	// failure, up to maxFailureHoldoff.
+	failureHoldoff    = 200 * time.Millisecond
+	maxFailureHoldoff = 3 * time.Second
+	// helpHoldoff is how long an engine that refused to prefill for another one is not asked to. It doubles with each
+	// consecutive refusal, up to maxHelpHoldoff. An engine that is leaving refuses until it exits, but still answers
+	// prompts of its own. With the store down the refusals are the only sign of that, and each costs a prompt an
+	// attempt.
+	helpHoldoff    = 2 * time.Second
+	maxHelpHoldoff = 16 * time.Second
+	// fullHoldoff is how long an upstream that reported no capacity is not used. It has work that the dispatcher does
+	// not know of, and completes a pass or two of it in that time.
+	fullHoldoff = 150 * time.Millisecond
+	// unreachableHoldoff is how long an upstream is not used for instances of a failure domain after one of them could
+	// not connect to it. The next request then tries it again and may lose the time of a connection attempt.
+	unreachableHoldoff = 2 * time.Second
+	// partitionThreshold is the number of upstreams of one failure domain that must be unreachable from another domain
+	// for the link between the two to count as partitioned.
+	partitionThreshold = 2
+	// passesToFirstEvent is the number of passes until the first event of a request on a busy engine: half of the
+	// current pass on average, and the request's own.
+	passesToFirstEvent = 1.5
+	// maxUnplacedLong bounds the long prompts that are tried without success in one step. Those behind them in the
+	// queue are longer and even less likely to be placed.
+	maxUnplacedLong = 16
+	// idleBelowMs is the pending prefill below which an engine counts as having none: sums of parts leave fractions.
+	idleBelowMs = 1.0
+	// minFreeToReserve is the least free memory, in tokens, of an engine on which a reservation is made.
+	minFreeToReserve = 20_000
+	// minRetryAfter and maxRetryAfter bound the RetryAfter of refusals.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
+	// coldWindow is the time over which the starts on a cold upstream are counted.
+	coldWindow = time.Second
 )
 
-// Step decides what can be decided now: places for jobs, most urgent first, and refusals of those that
-// can't be served in time any more.
+// Step returns the decisions that can be made now: placements, in the order of the sorted queue, and refusals of jobs
+// that can no longer be served in time. All other jobs stay queued.
 func (s *State) Step(now decide.Instant) []Decision {
 	if len(s.queue) == 0 {
-		s.flowing = now
+		s.lastProgress = now
 		return nil
 	}
 	s.now = now
-	s.forgetOverdue(now)
+	s.dropOverduePrefills(now)
 	s.survey(now)
-	s.sort(now)
+	s.sortQueue(now)
 	s.probe(now)
 	var out []Decision
 	waiting := s.queue[:0]
 	for _, j := range s.queue {
-		s.ahead = len(waiting)
+		s.jobsAhead = len(waiting)
 		d, settled := s.decide(now, j)
 		if settled {
 			if d.Upstream != "" {
-				s.flowing = now
+				s.lastProgress = now
 			}
 			out = append(out, d)
 		} else {
@@ -73,63 +74,66 @@
 	clear(s.queue[len(waiting):])
 	s.queue = waiting
 	if s.firstWaiting() == nil {
-		s.flowing = now
+		s.lastProgress = now
 	}
 	return out
 }
 
-func (s *State) late(now decide.Instant, j *Job) bool {
-	return !j.Resumed && j.FirstEventTarget != 0 && now.Add(s.leastRead(j)+fromMs(passesToFirst*s.meanPass)) > j.FirstEventTarget
+func (s *State) missesTarget(now decide.Instant, j *Job) bool {
+	// True if the job is late even if as many engines as possible prefill its prompt from now on, and it then waits
+	// for the usual passes of a busy engine. Resumed jobs and jobs without a target are never late.
+	return !j.Resumed && j.FirstEventTarget != 0 && now.Add(s.minPrefill(j)+fromMs(passesToFirstEvent*s.meanPassMs)) > j.FirstEventTarget
 }
 
-// beyondAim tells whether the whole fleet would not have read the prompt in its aim when it came.
-func (s *State) beyondAim(j *Job) bool { return s.late(j.Arrived, j) }
+// targetUnattainable reports whether the job could not meet its FirstEventTarget even when it arrived.
+func (s *State) targetUnattainable(j *Job) bool { return s.missesTarget(j.Arrived, j) }
 
-// leastRead is the shortest time in which the prompt can be read.
-func (s *State) leastRead(j *Job) time.Duration {
+// minPrefill returns the shortest time in which the fleet can prefill the prompt.
+func (s *State) minPrefill(j *Job) time.Duration {
 	if s.model == nil {
 		return 0
 	}
-	return fromMs(s.model.read(j.PromptTokens) / float64(min(s.params.MaxHelpers+1, max(1, len(s.order)))))
+	return fromMs(s.model.prefillMs(j.PromptTokens) / float64(min(s.params.MaxHelpers+1, max(1, len(s.enginesByID)))))
 }
 
-// cost is a job's reading, less with the time that it has waited: a large prompt isn't passed over for good.
-func (s *State) cost(now decide.Instant, j *Job) float64 {
+// prefillCost returns the job's rank among jobs of the same urgency: its prefill time in ms, reduced as it waits, so
+// that smaller prompts do not overtake a large one forever. For a plain service it is the arrival time.
+func (s *State) prefillCost(now decide.Instant, j *Job) float64 {
 	if s.model == nil {
 		return float64(j.Arrived)
 	}
-	waited, patience := toMs(now.Sub(j.Arrived)), toMs(j.FirstEventDeadline.Sub(j.Arrived))
+	waited, allowed := toMs(now.Sub(j.Arrived)), toMs(j.FirstEventDeadline.Sub(j.Arrived))
 	left := 1.0
-	if patience > 0 {
-		left = max(0.05, 1-waited/patience)
+	if allowed > 0 {
+		left = max(0.05, 1-waited/allowed)
 	}
-	return s.model.read(j.PromptTokens) * left
+	return s.model.prefillMs(j.PromptTokens) * left
 }
 
-// decide settles a job if it can be settled now.
+// decide places or refuses the job. It returns false if the job has to wait.
 func (s *State) decide(now decide.Instant, j *Job) (Decision, bool) {
-	if now.Add(s.leastRead(j)+s.params.Margin) > j.FirstEventDeadline {
+	if now.Add(s.minPrefill(j)+s.params.Margin) > j.FirstEventDeadline {
 		return s.refuse(j, TooLate), true
 	}
-	if !s.any(j) {
+	if !s.hasCandidate(j) {
 		return s.refuse(j, NoUpstream), true
 	}
-	if s.model != nil && float64(j.PromptTokens+j.MaxOutputTokens) > float64(s.model.KVCacheTokens)*s.params.MemoryShare*float64(min(s.params.MaxHelpers+1, len(s.order))) {
+	if s.model != nil && float64(j.PromptTokens+j.MaxOutputTokens) > float64(s.model.KVCacheTokens)*s.params.MemoryShare*float64(min(s.params.MaxHelpers+1, len(s.enginesByID))) {
 		return s.refuse(j, TooLarge), true
 	}
-	if s.model != nil && !j.Resumed && s.oversized(j) && s.late(now, j) && !s.beyondAim(j) {
+	if s.model != nil && !j.Resumed && s.oversized(j) && s.missesTarget(now, j) && !s.targetUnattainable(j) {
 		return s.refuse(j, NoSlack), true
 	}
 	if d, settled := s.place(now, j); settled {
 		return d, true
 	}
-	if now.Add(s.limitedWait(s.ahead)) > j.FirstEventDeadline {
+	if now.Add(s.minLimitWait(s.jobsAhead)) > j.FirstEventDeadline {
 		return s.refuse(j, RateLimited), true
 	}
 	if s.model == nil {
 		return Decision{}, false
 	}
-	if s.heldEnough(now, j) {
+	if s.waitedTooLong(now, j) {
 		return s.refuse(j, TooLate), true
 	}
 	if len(s.queue) > s.params.MaxQueue {
@@ -138,7 +142,7 @@
 	return Decision{}, false
 }
 
-// place gives a job the place that it can have now.
+// place places the job if it can start now.
 func (s *State) place(now decide.Instant, j *Job) (Decision, bool) {
 	if s.model == nil {
 		return s.placePlain(now, j)
@@ -149,71 +153,75 @@
 	return s.spread(now, j)
 }
 
-// heldEnough tells whether a job that is late anyway has waited so long that it should hear so and come back.
-func (s *State) heldEnough(now decide.Instant, j *Job) bool {
-	patience := j.FirstEventDeadline.Sub(j.Arrived)
-	return s.late(now, j) && toMs(now.Sub(j.Arrived)) > s.params.LateWaitShare*toMs(patience)
+// waitedTooLong reports whether a job that misses its target has waited for its share of the time to its
+// FirstEventDeadline. It is then refused, so that the caller can retry.
+func (s *State) waitedTooLong(now decide.Instant, j *Job) bool {
+	allowed := j.FirstEventDeadline.Sub(j.Arrived)
+	return s.missesTarget(now, j) && toMs(now.Sub(j.Arrived)) > s.params.LateWaitShare*toMs(allowed)
 }
 
-// any tells whether some upstream could take the job, now or later.
-func (s *State) any(j *Job) bool {
-	for _, e := range s.order {
-		if !e.gone && !slices.Contains(j.Avoid, e.ID) {
+// hasCandidate reports whether any upstream may receive the job, now or later.
+func (s *State) hasCandidate(j *Job) bool {
+	for _, e := range s.enginesByID {
+		if !e.closed && !slices.Contains(j.Avoid, e.ID) {
 			return true
 		}
 	}
 	return false
 }
 
-// placed is the decision that gives a run its place, and counts it where its upstream is under a limit.
-func (s *State) placed(r *run, why decide.Reason) Decision {
-	r.on.takeLimit()
-	return Decision{Job: r.job, Upstream: r.on.ID, Reason: why, OverdueAfter: s.overdue(r)}
+// placement returns the decision that places the run, and counts the request against the rate limit of its upstream.
+func (s *State) placement(r *run, reason decide.Reason) Decision {
+	r.engine.consumeLimit()
+	return Decision{Job: r.job, Upstream: r.engine.ID, Reason: reason, OverdueAfter: s.overdueAfter(r)}
 }
 
-func (s *State) refuse(j *Job, why decide.Reason) Decision {
-	switch why {
+func (s *State) refuse(j *Job, reason decide.Reason) Decision {
+	// A refusal states the delay after which the caller may retry.
+	switch reason {
 	case RateLimited:
-		// All that wait go first, whoever comes back meanwhile.
-		return Decision{Job: j, Reason: why, RetryAfter: max(leastRetryAfter, s.limitedWait(s.ahead))}
+		// Queued jobs are placed before a caller that retries.
+		return Decision{Job: j, Reason: reason, RetryAfter: max(minRetryAfter, s.minLimitWait(s.jobsAhead))}
 	case NoSlack:
-		// Slack comes with another mix, and not within a moment.
-		return Decision{Job: j, Reason: why, RetryAfter: mostRetryAfter}
+		// Only a change of the load brings slack, and that takes a while.
+		return Decision{Job: j, Reason: reason, RetryAfter: maxRetryAfter}
 	}
-	return Decision{Job: j, Reason: why, RetryAfter: s.retryAfter()}
+	return Decision{Job: j, Reason: reason, RetryAfter: s.retryAfter()}
 }
 
-// retryAfter is when the work that waits and is being read now will have been read.
+// retryAfter returns the time in which the engines complete the prefill of all queued and placed jobs, within its
+// bounds.
 func (s *State) retryAfter() time.Duration {
-	if s.model == nil || len(s.order) == 0 {
-		return leastRetryAfter
+	if s.model == nil || len(s.enginesByID) == 0 {
+		return minRetryAfter
 	}
-	work := 0.0
-	for _, e := range s.order {
-		work += e.pending
+	totalMs := 0.0
+	for _, e := range s.enginesByID {
+		totalMs += e.pendingMs
 	}
 	for _, j := range s.queue {
-		work += s.model.read(j.PromptTokens)
+		totalMs += s.model.prefillMs(j.PromptTokens)
 	}
-	return min(mostRetryAfter, max(leastRetryAfter, fromMs(work/float64(len(s.order)))))
+	return min(maxRetryAfter, max(minRetryAfter, fromMs(totalMs/float64(len(s.enginesByID)))))
 }
 
-// takes tells whether the upstream may get the job now, its reading aside.
-func (s *State) takes(now decide.Instant, e *engine, j *Job) bool {
-	return !e.gone && len(e.runs) < e.slotsFor(s.model, j) && !slices.Contains(j.Avoid, e.ID) &&
-		!e.paused(now) && now >= e.full && s.warmEnough(now, e) && s.reaches(j.Domain, e) && e.underLimit()
+// accepts reports whether the upstream may receive the job now, apart from memory and pending prefill.
+func (s *State) accepts(now decide.Instant, e *engine, j *Job) bool {
+	return !e.closed && len(e.runs) < e.slotsFor(s.model, j) && !slices.Contains(j.Avoid, e.ID) &&
+		!e.inHoldoff(now) && now >= e.fullUntil && s.underColdLimit(now, e) && s.canReach(j.Domain, e) && e.underLimit()
 }
 
-// slotsFor gives the places that a job may use. What is over its workspace's share leaves some free: those of others come
-// a moment later, and what was placed stays for seconds.
+// slotsFor returns the number of slots that the job may use. A job in excess of its workspace's share leaves some
+// free: jobs of other workspaces arrive a moment later, and a placed job occupies its slot for seconds.
 func (e *engine) slotsFor(m *Model, j *Job) int {
 	if !j.excess {
 		return e.slots(m)
 	}
-	return max(1, int(excessSlots*float64(e.slots(m))))
+	return max(1, int(excessSlotShare*float64(e.slots(m))))
 }
 
 func (e *engine) slots(m *Model) int {
+	// The upstream's own number of slots takes precedence over the model's.
 	switch {
 	case e.Slots > 0:
 		return e.Slots
@@ -224,72 +232,72 @@
 	}
 }
 
-// paused tells whether the upstream's failures are too fresh for new work while others have room.
-func (e *engine) paused(now decide.Instant) bool {
-	if e.fails == 0 {
+// inHoldoff reports whether the upstream receives no new jobs because of recent failures.
+func (e *engine) inHoldoff(now decide.Instant) bool {
+	if e.failures == 0 {
 		return false
 	}
-	pause := failPause << min(e.fails-1, 8)
-	return now.Sub(e.failed) < min(pause, maxFailPause)
+	holdoff := failureHoldoff << min(e.failures-1, 8)
+	return now.Sub(e.lastFailure) < min(holdoff, maxFailureHoldoff)
 }
 
-// warmEnough tells whether a cold upstream's limit leaves room.
-func (s *State) warmEnough(now decide.Instant, e *engine) bool {
-	if !e.cold(now) || s.params.ColdRequestsPerSecond <= 0 {
+// underColdLimit reports whether a cold upstream may start another run within its rate. Warm upstreams always may.
+func (s *State) underColdLimit(now decide.Instant, e *engine) bool {
+	if !e.isCold(now) || s.params.ColdRequestsPerSecond <= 0 {
 		return true
 	}
-	e.starts = slices.DeleteFunc(e.starts, func(t decide.Instant) bool { return now.Sub(t) > second })
-	return float64(len(e.starts)) < s.params.ColdRequestsPerSecond
+	e.coldStarts = slices.DeleteFunc(e.coldStarts, func(t decide.Instant) bool { return now.Sub(t) > coldWindow })
+	return float64(len(e.coldStarts)) < s.params.ColdRequestsPerSecond
 }
 
-// placePlain gives a plain service's job to the upstream with the least work for its slots.
+// placePlain places a job of a plain service on the upstream with the fewest runs per slot.
 func (s *State) placePlain(now decide.Instant, j *Job) (Decision, bool) {
 	var best *engine
-	for _, e := range s.order {
-		if s.takes(now, e, j) && (best == nil || e.load(s.model) < best.load(s.model)) {
+	for _, e := range s.enginesByID {
+		if s.accepts(now, e, j) && (best == nil || e.load(s.model) < best.load(s.model)) {
 			best = e
 		}
 	}
 	if best == nil {
 		return Decision{}, false
 	}
-	return s.placed(s.start(now, j, best, nil, nil), LeastWork), true
+	return s.placement(s.startRun(now, j, best, nil, nil), LeastWork), true
 }
 
 func (e *engine) load(m *Model) float64 { return float64(len(e.runs)) / float64(e.slots(m)) }
 
-// room is how much reading the engine can take into its next passes, in ms: without streams as much as
-// anybody wants, with streams what their pauses leave.
-func (s *State) room(e *engine, gap time.Duration) float64 {
-	pace := e.pace(s.now)
-	if e.gap > 0 && (gap == 0 || e.gap < gap) {
-		gap = e.gap
-	}
-	if len(e.runs) == 0 || gap == 0 {
+// prefillRoomMs returns how much more prefill the engine can take into its next passes: as much as the event gaps of
+// its streams and maxGap leave, or infinitely much on an engine without streams. A maxGap of 0 sets no bound.
+func (s *State) prefillRoomMs(e *engine, maxGap time.Duration) float64 {
+	slowdown := e.slowdown(s.now)
+	if e.shortestGap > 0 && (maxGap == 0 || e.shortestGap < maxGap) {
+		maxGap = e.shortestGap
+	}
+	if len(e.runs) == 0 || maxGap == 0 {
 		return math.Inf(1)
 	}
-	return toMs(gap)*s.params.GapShare/pace - s.model.pass(len(e.runs), e.context) - e.pending
+	return toMs(maxGap)*s.params.GapShare/slowdown - s.model.passMs(len(e.runs), e.contextTokens) - e.pendingMs
 }
 
-// fits tells whether the engine has the memory for the job.
+// fits reports whether the engine has enough free KV cache for the job.
 func (s *State) fits(e *engine, j *Job) bool {
-	return j.PromptTokens+j.MaxOutputTokens <= s.free(e)
+	return j.PromptTokens+j.MaxOutputTokens <= s.freeTokens(e)
 }
 
-// pack gives a short prompt to the fullest engine whose streams, and its own, bear it: engines that are
-// left free can read long prompts without making anybody pause.
+// pack places a short prompt on the fullest engine where neither the event gaps of the streams there nor its own
+// become too long. Engines that stay empty can prefill long prompts without delaying any stream.
 func (s *State) pack(now decide.Instant, j *Job) (Decision, bool) {
-	if s.hopeless(j) {
+	if s.cannotBePacked(j) {
 		return Decision{}, false
 	}
-	read := s.model.read(j.PromptTokens)
+	prefillMs := s.model.prefillMs(j.PromptTokens)
 	var best *engine
-	for _, e := range s.order {
-		if !s.takes(now, e, j) || !s.fits(e, j) {
+	for _, e := range s.enginesByID {
+		if !s.accepts(now, e, j) || !s.fits(e, j) {
 			continue
 		}
-		pass := s.model.pass(len(e.runs)+1, e.context+j.PromptTokens+j.MaxOutputTokens)
-		if s.room(e, j.MaxGap) < read || (pass+e.pending+read)*e.pace(now) > toMs(j.MaxGap)*s.params.GapShare {
+		passMs := s.model.passMs(len(e.runs)+1, e.contextTokens+j.PromptTokens+j.MaxOutputTokens)
+		if s.prefillRoomMs(e, j.MaxGap) < prefillMs || (passMs+e.pendingMs+prefillMs)*e.slowdown(now) > toMs(j.MaxGap)*s.params.GapShare {
 			continue
 		}
 		if best == nil || s.fuller(e, best) {
@@ -298,25 +306,26 @@
 	}
 	if best == nil {
 		if len(j.Avoid) == 0 {
-			s.unpacked[j.Domain] = packing{j.PromptTokens, j.MaxGap}
+			s.unplacedShort[j.Domain] = requirement{j.PromptTokens, j.MaxGap}
 		}
 		return Decision{}, false
 	}
-	return s.placed(s.start(now, j, best, nil, nil), Packed), true
+	return s.placement(s.startRun(now, j, best, nil, nil), Packed), true
 }
 
-// hopeless tells whether a prompt that needs no more than this one has found no place in this step: under
-// overload hundreds wait, and looking at every engine for each of them would cost the dispatcher its
-// processor. Places are only taken in a step, never given back.
-func (s *State) hopeless(j *Job) bool {
-	u, ok := s.unpacked[j.Domain]
-	return ok && j.PromptTokens >= u.prompt && j.MaxGap <= u.gap
+// cannotBePacked reports whether a prompt that needs no more than this one was not placed in this step. Under overload
+// hundreds of jobs wait, and searching all engines for each of them would saturate the dispatcher's processor. The
+// result holds for the whole step, as a step only occupies capacity and never frees any.
+func (s *State) cannotBePacked(j *Job) bool {
+	unplaced, ok := s.unplacedShort[j.Domain]
+	return ok && j.PromptTokens >= unplaced.promptTokens && j.MaxGap <= unplaced.maxGap
 }
 
-// fuller orders engines for packing.
+// fuller reports whether packing prefers engine a to engine b: the one with more runs, then the one with less prefill
+// pending.
 func (s *State) fuller(a, b *engine) bool {
 	if len(a.runs) != len(b.runs) {
 		return len(a.runs) > len(b.runs)
 	}
-	return a.pending < b.pending
+	return a.pendingMs < b.pendingMs
 }
--- a/internal/decide/dispatch/runs.go
+++ b/internal/decide/dispatch/runs.go
@@ -8,163 +8,166 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// run is a job on an upstream.
+// run is a job in flight.
 type run struct {
-	job     *Job
-	on      *engine
-	helpers []*engine // that read parts, holders included
-	holders []holding
-	context int     // tokens of memory on its own engine
-	part    float64 // ms that each of its engines reads
-	granted decide.Instant
-	planned float64 // ms from the grant to the first event, as its engines' work had it
-	pace    float64 // of the slowest of its engines at the grant
-	writing bool
+	job           *Job
+	engine        *engine
+	helpers       []*engine // prefill parts, engines with a reservation included
+	reservations  []reservation
+	contextTokens int     // KV cache on the answering engine
+	partMs        float64 // prefill of each engine
+	startedAt     decide.Instant
+	plannedMs     float64 // planned time from startedAt to the first event
+	slowdown      float64 // of the slowest of its engines at startedAt
+	decoding      bool
 }
 
-// heldBy tells whether the engine holds memory for the run.
-func (r *run) heldBy(e *engine) bool {
-	return slices.ContainsFunc(r.holders, func(h holding) bool { return h.on == e })
+// hasReservationOn reports whether the engine reserves KV cache for the run.
+func (r *run) hasReservationOn(e *engine) bool {
+	return slices.ContainsFunc(r.reservations, func(h reservation) bool { return h.engine == e })
 }
 
-type holding struct {
-	on     *engine
+type reservation struct {
+	engine *engine
 	tokens int
 }
 
-// engine is an upstream with its work.
+// engine is an upstream with its runs. Upstreams of plain services are engines too.
 type engine struct {
 	Upstream
-	runs    map[fleet.RequestID]*run // that it answers
-	context int                      // tokens that its runs' prompts and answers may take, and that it holds
-	pending float64                  // ms of reading that was given and isn't known to be done
-	gap     time.Duration            // shortest of its runs' longest pauses; 0: none
-	gone    bool                     // gets no new work
-	known   bool                     // was listed once
-	starts  []decide.Instant         // of the last second, while cold
-	failed  decide.Instant           // last failure
-	fails   int                      // in a row
-	noHelp  decide.Instant           // until then it is not asked to read for others
-	// helpRefused is how often in a row it refused to.
-	helpRefused int
-	slow        float64        // how many times longer than planned it has taken lately, at least 1
-	slowAt      decide.Instant // when that was learnt
-	full        decide.Instant // until then it is taken to have no room: it said so
-	limit       *limit         // nil: it takes any number of requests
-	// unreached holds when an instance of a failure domain last could not connect to it.
-	unreached map[fleet.DomainID]decide.Instant
+	runs          map[fleet.RequestID]*run // the runs that it answers
+	contextTokens int                      // KV cache for the runs' prompts and longest answers, and for reservations
+	pendingMs     float64                  // prefill that was placed and is not known to be done
+	shortestGap   time.Duration            // shortest MaxGap of its runs; 0: no bound
+	closed        bool                     // receives no new jobs
+	listed        bool                     // SetUpstreams listed it
+	coldStarts    []decide.Instant         // starts of runs in the last second while cold
+	lastFailure   decide.Instant           // time of the last failure
+	failures      int                      // consecutive
+	noHelpUntil   decide.Instant           // it is not asked to prefill for other engines until then
+	// helpRefusals counts consecutive refusals to prefill for other engines.
+	helpRefusals  int
+	slowRatio     float64        // recent ratio of actual to planned time, at least 1
+	slowUpdatedAt decide.Instant // time of the last update of slowRatio
+	fullUntil     decide.Instant // it reported that it has no capacity and is not used until then
+	limit         *limit         // nil: no rate limit
+	// lastUnreachable holds, by failure domain, when an instance of the domain last failed to connect to it.
+	lastUnreachable map[fleet.DomainID]decide.Instant
 }
 
-// bookReading books the reading of a run on its engines.
-func (s *State) bookReading(r *run) {
-	s.unread[r] = true
-	r.part = s.model.read(r.job.PromptTokens) / float64(len(r.helpers)+1)
-	s.addReading(r.on, r.part)
+// addPrefill adds the prefill of a run to the pending time of its engines.
+func (s *State) addPrefill(r *run) {
+	s.prefilling[r] = true
+	r.partMs = s.model.prefillMs(r.job.PromptTokens) / float64(len(r.helpers)+1)
+	s.addPendingMs(r.engine, r.partMs)
 	for _, h := range r.helpers {
-		s.addReading(h, r.part)
+		s.addPendingMs(h, r.partMs)
 	}
 }
 
-func (e *engine) fail(now decide.Instant) {
-	e.failed = now
-	e.fails++
+func (e *engine) recordFailure(now decide.Instant) {
+	// The engine receives no new jobs until its holdoff ends.
+	e.lastFailure = now
+	e.failures++
 }
 
-// refuseHelp takes that the engine would not read for another one.
-func (e *engine) refuseHelp(now decide.Instant) {
-	pause := helpPause << min(e.helpRefused, 8)
-	e.noHelp = now.Add(min(pause, maxHelpPause))
-	e.helpRefused++
+// recordHelpRefusal records that the engine refused to prefill for another one, and extends the time in which it is
+// not asked to.
+func (e *engine) recordHelpRefusal(now decide.Instant) {
+	holdoff := helpHoldoff << min(e.helpRefusals, 8)
+	e.noHelpUntil = now.Add(min(holdoff, maxHelpHoldoff))
+	e.helpRefusals++
 }
 
-// start books a run.
-func (s *State) start(now decide.Instant, j *Job, e *engine, helpers []*engine, holders []holding) *run {
-	r := &run{job: j, on: e, helpers: helpers, holders: holders, granted: now, context: j.PromptTokens + j.MaxOutputTokens}
+// startRun adds a run of the job to the answering engine e, its helpers and its reservations.
+func (s *State) startRun(now decide.Instant, j *Job, e *engine, helpers []*engine, reservations []reservation) *run {
+	r := &run{job: j, engine: e, helpers: helpers, reservations: reservations, startedAt: now, contextTokens: j.PromptTokens + j.MaxOutputTokens}
 	if s.model != nil {
-		s.plan(now, r)
+		s.planFirstEvent(now, r)
 	}
-	for _, h := range holders {
-		r.context -= h.tokens
-		h.on.context += h.tokens
+	for _, h := range reservations {
+		r.contextTokens -= h.tokens
+		h.engine.contextTokens += h.tokens
 	}
 	s.runs[j.ID] = r
 	e.runs[j.ID] = r
-	s.triedFrom(j.Domain, e)
-	e.context += r.context
+	s.clearProbes(j.Domain, e)
+	e.contextTokens += r.contextTokens
 	if s.model != nil {
-		s.bookReading(r)
+		s.addPrefill(r)
 	}
-	if e.cold(now) {
-		e.starts = append(e.starts, now)
+	if e.isCold(now) {
+		e.coldStarts = append(e.coldStarts, now)
 	}
-	e.regap()
+	e.updateShortestGap()
 	return r
 }
 
-// plan works out when the first event of a run is to come.
-func (s *State) plan(now decide.Instant, r *run) {
-	before := r.on.pending
-	r.pace = r.on.pace(now)
+// planFirstEvent computes the planned time to the first event of a run that is not yet added to its engines.
+func (s *State) planFirstEvent(now decide.Instant, r *run) {
+	queuedMs := r.engine.pendingMs
+	r.slowdown = r.engine.slowdown(now)
 	for _, h := range r.helpers {
-		before = max(before, h.pending)
-		r.pace = max(r.pace, h.pace(now))
+		queuedMs = max(queuedMs, h.pendingMs)
+		r.slowdown = max(r.slowdown, h.slowdown(now))
 	}
-	part := s.model.read(r.job.PromptTokens) / float64(len(r.helpers)+1)
-	r.planned = before + part + passesToFirst*s.model.pass(len(r.on.runs)+1, r.on.context+r.context) + tripMs
+	partMs := s.model.prefillMs(r.job.PromptTokens) / float64(len(r.helpers)+1)
+	r.plannedMs = queuedMs + partMs + passesToFirstEvent*s.model.passMs(len(r.engine.runs)+1, r.engine.contextTokens+r.contextTokens) + roundTripMs
 }
 
-// addReading changes what an engine has to read, in ms.
-func (s *State) addReading(e *engine, ms float64) {
-	was := e.pending >= idleBelow
-	e.pending = max(0, e.pending+ms)
-	if is := e.pending >= idleBelow; is != was && s.engines[e.ID] == e {
-		if is {
-			s.reading++
+// addPendingMs changes the pending prefill of an engine, and the count of engines that have any.
+func (s *State) addPendingMs(e *engine, ms float64) {
+	wasPrefilling := e.pendingMs >= idleBelowMs
+	e.pendingMs = max(0, e.pendingMs+ms)
+	if isPrefilling := e.pendingMs >= idleBelowMs; isPrefilling != wasPrefilling && s.engines[e.ID] == e {
+		if isPrefilling {
+			s.prefillingEngines++
 		} else {
-			s.reading--
+			s.prefillingEngines--
 		}
 	}
 }
 
-// readDone takes a run's reading off its engines, once.
-func (s *State) readDone(r *run) {
-	if !s.unread[r] {
+// removePrefill removes the prefill of a run from the pending time of its engines. Further calls for the same run have
+// no effect.
+func (s *State) removePrefill(r *run) {
+	if !s.prefilling[r] {
 		return
 	}
-	delete(s.unread, r)
-	s.addReading(r.on, -r.part)
+	delete(s.prefilling, r)
+	s.addPendingMs(r.engine, -r.partMs)
 	for _, h := range r.helpers {
-		s.addReading(h, -r.part)
+		s.addPendingMs(h, -r.partMs)
 	}
 }
 
-// release takes a run off its engines.
+// release removes a run from its engines, and a closed engine with its last run.
 func (s *State) release(r *run) {
-	s.readDone(r)
+	s.removePrefill(r)
 	delete(s.runs, r.job.ID)
-	delete(r.on.runs, r.job.ID)
-	r.on.context -= r.context
-	for _, h := range r.holders {
-		h.on.context -= h.tokens
+	delete(r.engine.runs, r.job.ID)
+	r.engine.contextTokens -= r.contextTokens
+	for _, h := range r.reservations {
+		h.engine.contextTokens -= h.tokens
 	}
-	r.on.regap()
-	if r.on.gone && len(r.on.runs) == 0 && s.engines[r.on.ID] == r.on {
-		if r.on.pending >= idleBelow {
-			s.reading--
+	r.engine.updateShortestGap()
+	if r.engine.closed && len(r.engine.runs) == 0 && s.engines[r.engine.ID] == r.engine {
+		if r.engine.pendingMs >= idleBelowMs {
+			s.prefillingEngines--
 		}
-		delete(s.engines, r.on.ID)
-		s.order = slices.DeleteFunc(s.order, func(e *engine) bool { return e == r.on })
+		delete(s.engines, r.engine.ID)
+		s.enginesByID = slices.DeleteFunc(s.enginesByID, func(e *engine) bool { return e == r.engine })
 	}
 }
 
-// regap finds the shortest pause that the engine's runs bear.
-func (e *engine) regap() {
-	e.gap = 0
+// updateShortestGap recomputes the shortest MaxGap of the engine's runs.
+func (e *engine) updateShortestGap() {
+	e.shortestGap = 0
 	for _, r := range e.runs {
-		if g := r.job.MaxGap; g > 0 && (e.gap == 0 || g < e.gap) {
-			e.gap = g
+		if g := r.job.MaxGap; g > 0 && (e.shortestGap == 0 || g < e.shortestGap) {
+			e.shortestGap = g
 		}
 	}
 }
 
-func (e *engine) cold(now decide.Instant) bool { return now.Before(e.ColdUntil) }
+func (e *engine) isCold(now decide.Instant) bool { return now.Before(e.ColdUntil) }
--- a/internal/decide/dispatch/spread.go
+++ b/internal/decide/dispatch/spread.go
@@ -9,47 +9,47 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide"
 )
 
-// spread gives a long prompt to the engines that have it read soonest, in even parts. Where it is over one
-// engine's memory, others hold the rest.
+// spread places a long prompt on the engines that prefill it soonest, in even parts. If the job exceeds one engine's
+// memory, other engines reserve KV cache for the rest.
 func (s *State) spread(now decide.Instant, j *Job) (Decision, bool) {
-	if !j.Resumed && (s.oversized(j) || s.late(now, j)) && !s.slack(j) {
+	if !j.Resumed && (s.oversized(j) || s.missesTarget(now, j)) && !s.hasSlack(j) {
 		return Decision{}, false
 	}
-	if s.tried >= maxTried && !j.Resumed {
+	if s.unplacedLong >= maxUnplacedLong && !j.Resumed {
 		return Decision{}, false
 	}
-	read := s.model.read(j.PromptTokens)
-	with, first := s.soonest(now, j, read)
-	var holders []holding
+	prefillMs := s.model.prefillMs(j.PromptTokens)
+	candidates, answering := s.prefillCandidates(now, j, prefillMs)
+	var reservations []reservation
 	if s.oversized(j) {
-		first, holders = s.together(now, with, j)
+		answering, reservations = s.chooseReservations(now, candidates, j)
 	}
-	if first == nil {
-		s.tried++
+	if answering == nil {
+		s.unplacedLong++
 		return Decision{}, false
 	}
-	var must []*engine
-	for _, h := range holders {
-		must = append(must, h.on)
+	var required []*engine
+	for _, h := range reservations {
+		required = append(required, h.engine)
 	}
-	with = slices.DeleteFunc(with, func(e *engine) bool {
-		return e == first || slices.Contains(must, e) || !s.reaches(first.Domain, e) || now < e.noHelp
+	candidates = slices.DeleteFunc(candidates, func(e *engine) bool {
+		return e == answering || slices.Contains(required, e) || !s.canReach(answering.Domain, e) || now < e.noHelpUntil
 	})
-	helpers, soonest := s.helpers(first, must, with, read, j.MaxGap)
-	if math.IsInf(soonest, 1) {
-		s.tried++
+	helpers, firstEventMs := s.chooseHelpers(answering, required, candidates, prefillMs, j.MaxGap)
+	if math.IsInf(firstEventMs, 1) {
+		s.unplacedLong++
 		return Decision{}, false
 	}
-	if !j.Resumed && !s.worthBeginning(now, j, len(helpers), soonest) {
-		s.tried++
+	if !j.Resumed && !s.worthStarting(now, j, len(helpers), firstEventMs) {
+		s.unplacedLong++
 		return Decision{}, false
 	}
-	d := s.placed(s.start(now, j, first, helpers, holders), SingleEngine)
-	for _, h := range helpers[len(must):] {
+	d := s.placement(s.startRun(now, j, answering, helpers, reservations), SingleEngine)
+	for _, h := range helpers[len(required):] {
 		d.Helpers = append(d.Helpers, h.ID)
 	}
-	for _, h := range holders {
-		d.Reservations = append(d.Reservations, Reservation{Upstream: h.on.ID, Tokens: h.tokens})
+	for _, h := range reservations {
+		d.Reservations = append(d.Reservations, Reservation{Upstream: h.engine.ID, Tokens: h.tokens})
 	}
 	if len(helpers) > 0 {
 		d.Reason = Spread
@@ -57,176 +57,184 @@
 	return d, true
 }
 
-// worthBeginning tells whether a prompt should be read by so many helpers now, its first event due after soonest ms, and not
-// by others that are busy yet.
-func (s *State) worthBeginning(now decide.Instant, j *Job, helpers int, soonest float64) bool {
-	first := now.Add(fromMs(soonest))
+// worthStarting reports whether a long prompt is to start now, with this many helpers and its first event after
+// firstEventMs, instead of waiting for engines that are still busy.
+func (s *State) worthStarting(now decide.Instant, j *Job, helpers int, firstEventMs float64) bool {
+	firstEvent := now.Add(fromMs(firstEventMs))
 	switch {
-	case first.Add(s.params.Margin) > j.FirstEventDeadline:
-		return false // its caller would have left
-	case j.FirstEventTarget != 0 && first > j.FirstEventTarget && !s.late(now, j):
-		return false // it is in time later, or late anyway and waits its turn
-	case s.oversized(j) && s.beyondAim(j):
-		// It can't be in time, and reads for seconds: with few engines it keeps them from all others for the longest.
-		return helpers >= min(s.params.MaxHelpers, int(s.slackEngines())-1)
+	case firstEvent.Add(s.params.Margin) > j.FirstEventDeadline:
+		return false // the caller would give up first
+	case j.FirstEventTarget != 0 && firstEvent > j.FirstEventTarget && !s.missesTarget(now, j):
+		return false // it may meet its target later, or else waits as a late job
+	case s.oversized(j) && s.targetUnattainable(j):
+		// It misses its target anyway and takes seconds to prefill. On few engines it would block these for other jobs
+		// for the longest time.
+		return helpers >= min(s.params.MaxHelpers, int(s.minIdleEngines())-1)
 	default:
 		return true
 	}
 }
 
-// soonest gives the engines that may read for the job, those that come to it first in front: all where there
-// are few, and otherwise as many as can be of use. first is the one that is to answer it; nil: none can.
-// An engine with much to read gets nothing more: the job waits instead, and whatever comes meanwhile and is more
-// urgent goes before it.
-func (s *State) soonest(now decide.Instant, j *Job, read float64) (best []*engine, first *engine) {
-	smallest := read / float64(s.params.MaxHelpers+1)
-	most := len(s.order)
+// prefillCandidates returns the engines that may prefill the prompt, ordered by prefillDelay, and the engine that is
+// to answer the job, nil if none can. For a job that fits one engine's memory it returns at most twice the number of
+// engines that can share a prompt.
+//
+// Engines with a backlog are left out. The job waits instead, so that more urgent jobs that arrive meanwhile are
+// placed before it.
+func (s *State) prefillCandidates(now decide.Instant, j *Job, prefillMs float64) (candidates []*engine, answering *engine) {
+	smallestPartMs := prefillMs / float64(s.params.MaxHelpers+1)
+	limit := len(s.enginesByID)
 	if !s.oversized(j) {
-		most = min(most, 2*(s.params.MaxHelpers+1))
+		limit = min(limit, 2*(s.params.MaxHelpers+1))
 	}
-	for _, e := range s.order {
-		if e.gone || e.paused(now) || slices.Contains(j.Avoid, e.ID) || s.room(e, 0) <= 0 || s.backlogged(e, j) {
+	for _, e := range s.enginesByID {
+		if e.closed || e.inHoldoff(now) || slices.Contains(j.Avoid, e.ID) || s.prefillRoomMs(e, 0) <= 0 || s.backlogged(e, j) {
 			continue
 		}
-		if s.canAnswer(now, e, j, smallest) && (first == nil || s.answerDelay(e) < s.answerDelay(first)) {
-			first = e
+		if s.canAnswer(now, e, j, smallestPartMs) && (answering == nil || s.answerDelay(e) < s.answerDelay(answering)) {
+			answering = e
 		}
-		if !e.limited() { // one in need reads and holds nothing for others
-			best = s.insert(best, e, most)
+		if !e.limited() { // an engine under a rate limit neither prefills nor reserves for others
+			candidates = s.insert(candidates, e, limit)
 		}
 	}
-	return best, first
+	return candidates, answering
 }
 
-// backlogged tells whether the engine has so much to read that a long prompt waits instead of queueing there.
+// backlogged reports whether the engine has so much prefill pending that a long prompt is to wait in the dispatcher's
+// queue instead of the engine's. A resumed job does not wait.
 func (s *State) backlogged(e *engine, j *Job) bool {
-	return e.pending > s.params.MaxBacklogMs && !j.Resumed
+	return e.pendingMs > s.params.MaxBacklogMs && !j.Resumed
 }
 
-// canAnswer tells whether the engine can answer a long prompt: it has the place, the memory, and room for the smallest
-// part in ms that the prompt can be cut into.
-func (s *State) canAnswer(now decide.Instant, e *engine, j *Job, smallest float64) bool {
-	return s.takes(now, e, j) && s.fits(e, j) && s.room(e, j.MaxGap) > smallest
+// canAnswer reports whether the engine can answer a long prompt: it accepts the job, has the memory, and has room for
+// the smallest part into which the prompt can be split.
+func (s *State) canAnswer(now decide.Instant, e *engine, j *Job, smallestPartMs float64) bool {
+	return s.accepts(now, e, j) && s.fits(e, j) && s.prefillRoomMs(e, j.MaxGap) > smallestPartMs
 }
 
-// answerDelay orders engines for answering a long prompt: by delay, but one that answers others already may come
-// later. Streams of one engine share its passes, so that answering together leaves more engines to read.
+// answerDelay ranks engines for answering a long prompt: by delay, with a bonus for an engine that already has
+// streams. Streams on one engine share its passes, so that more engines stay free for prefill.
 func (s *State) answerDelay(e *engine) float64 {
 	if len(e.runs) == 0 {
-		return s.delay(e)
+		return s.delayMs(e)
 	}
-	return s.delay(e) - s.params.CoLocationBonusMs
+	return s.delayMs(e) - s.params.CoLocationBonusMs
 }
 
-// readDelay orders engines for reading: by delay, but those with streams later. A read beside streams makes them
-// pause, and their places and memory are free later.
-func (s *State) readDelay(e *engine) float64 {
+// prefillDelay ranks engines for prefill: by delay, with a penalty for an engine that has streams. Prefill beside
+// streams delays their events and keeps their slots and memory in use for longer.
+func (s *State) prefillDelay(e *engine) float64 {
 	if len(e.runs) == 0 {
-		return s.delay(e)
+		return s.delayMs(e)
 	}
-	return s.delay(e) + s.params.StreamPenaltyMs
+	return s.delayMs(e) + s.params.StreamPenaltyMs
 }
 
-// insert puts an engine into a list of at most so many, ordered by readDelay and then as they come.
-func (s *State) insert(best []*engine, e *engine, most int) []*engine {
-	delay := s.readDelay(e)
-	if len(best) == most && delay >= s.readDelay(best[most-1]) {
-		return best
+// insert adds an engine to a list of at most limit engines that is ordered by prefillDelay. Engines with the same
+// delay keep the order in which they are added.
+func (s *State) insert(candidates []*engine, e *engine, limit int) []*engine {
+	delay := s.prefillDelay(e)
+	if len(candidates) == limit && delay >= s.prefillDelay(candidates[limit-1]) {
+		return candidates
 	}
-	at := len(best)
-	for at > 0 && s.readDelay(best[at-1]) > delay {
+	at := len(candidates)
+	for at > 0 && s.prefillDelay(candidates[at-1]) > delay {
 		at--
 	}
-	best = slices.Insert(best, at, e)
-	return best[:min(most, len(best))]
+	candidates = slices.Insert(candidates, at, e)
+	return candidates[:min(limit, len(candidates))]
 }
 
-// together gives the engine that answers an oversized job, the one with most memory free, and those that hold
-// what it lacks; nil if they have not the memory now.
-func (s *State) together(now decide.Instant, with []*engine, j *Job) (*engine, []holding) {
-	roomiest := slices.Clone(with)
-	slices.SortStableFunc(roomiest, func(a, b *engine) int { return cmp.Compare(a.context, b.context) })
-	i := slices.IndexFunc(roomiest, func(e *engine) bool { return s.takes(now, e, j) })
+// chooseReservations returns the engine that answers an oversized job, the one with the most free KV cache, and
+// reservations on others for the tokens that it lacks. It returns nil if the engines do not have enough free now.
+func (s *State) chooseReservations(now decide.Instant, candidates []*engine, j *Job) (*engine, []reservation) {
+	byFreeMemory := slices.Clone(candidates)
+	slices.SortStableFunc(byFreeMemory, func(a, b *engine) int { return cmp.Compare(a.contextTokens, b.contextTokens) })
+	i := slices.IndexFunc(byFreeMemory, func(e *engine) bool { return s.accepts(now, e, j) })
 	if i < 0 {
 		return nil, nil
 	}
-	first := roomiest[i]
-	var holders []holding
-	need := j.PromptTokens + j.MaxOutputTokens - s.free(first)
-	for _, e := range roomiest {
-		if need <= 0 || len(holders) >= s.params.MaxHelpers {
+	answering := byFreeMemory[i]
+	var reservations []reservation
+	missing := j.PromptTokens + j.MaxOutputTokens - s.freeTokens(answering)
+	for _, e := range byFreeMemory {
+		if missing <= 0 || len(reservations) >= s.params.MaxHelpers {
 			break
 		}
-		if e == first || !s.reaches(j.Domain, e) || !s.reaches(first.Domain, e) || s.free(e) < leastHolding || s.now < e.noHelp {
+		if e == answering || !s.canReach(j.Domain, e) || !s.canReach(answering.Domain, e) || s.freeTokens(e) < minFreeToReserve || s.now < e.noHelpUntil {
 			continue
 		}
-		h := holding{e, min(need, s.free(e))}
-		holders = append(holders, h)
-		need -= h.tokens
+		r := reservation{e, min(missing, s.freeTokens(e))}
+		reservations = append(reservations, r)
+		missing -= r.tokens
 	}
-	if need > 0 {
+	if missing > 0 {
 		return nil, nil
 	}
-	return first, holders
+	return answering, reservations
 }
 
-// slack tells whether so much of the fleet reads nothing, and nothing else waits to be read, that a long read
-// keeps nobody else from being in time. An oversized prompt is worth a few times a usual one and costs ten
-// times as much, and one that is late anyway is worth a quarter: under load others would pay for them.
-func (s *State) slack(j *Job) bool {
-	idle := float64(len(s.order) - s.reading)
-	if idle < s.slackEngines() {
+// hasSlack reports whether enough engines have no prefill pending, and no other long prompt waits, so that a long
+// prefill makes no other job late. An oversized prompt is worth a few times as much as a usual one and costs ten times
+// as much, and a late one is worth a quarter: under load they would displace jobs that are worth more.
+func (s *State) hasSlack(j *Job) bool {
+	idle := float64(len(s.enginesByID) - s.prefillingEngines)
+	if idle < s.minIdleEngines() {
 		return false
 	}
-	others := s.longs
+	others := s.longWaiting
 	if !s.oversized(j) {
 		others-- // j itself
 	}
 	return others <= 0
 }
 
-// slackEngines is how many engines must read nothing before there is slack.
-func (s *State) slackEngines() float64 {
-	return min(s.params.SlackShare*float64(len(s.order)), float64(s.params.MaxSlackEngines))
+// minIdleEngines returns how many engines must have no prefill pending for there to be slack.
+func (s *State) minIdleEngines() float64 {
+	return min(s.params.SlackShare*float64(len(s.enginesByID)), float64(s.params.MaxSlackEngines))
 }
 
-// isLong tells whether the prompt is spread, and not packed.
-func (s *State) isLong(j *Job) bool { return s.model.read(j.PromptTokens) > s.params.ShortPrefillMs }
+// isLong reports whether the prompt is spread instead of packed.
+func (s *State) isLong(j *Job) bool {
+	return s.model.prefillMs(j.PromptTokens) > s.params.ShortPrefillMs
+}
 
-// oversized tells whether no engine has the memory for the job.
+// oversized reports whether the job exceeds the memory of one engine.
 func (s *State) oversized(j *Job) bool {
 	return float64(j.PromptTokens+j.MaxOutputTokens) > float64(s.model.KVCacheTokens)*s.params.MemoryShare
 }
 
-// free is the engine's memory that may be planned for, in tokens.
-func (s *State) free(e *engine) int {
-	return int(float64(s.model.KVCacheTokens)*s.params.MemoryShare) - e.context
+// freeTokens returns the engine's free KV cache within the share that placements may use.
+func (s *State) freeTokens(e *engine) int {
+	return int(float64(s.model.KVCacheTokens)*s.params.MemoryShare) - e.contextTokens
 }
 
-// delay is how long the engine takes to come to another part.
-func (s *State) delay(e *engine) float64 {
-	return (e.pending + s.model.pass(len(e.runs), e.context)) * e.pace(s.now)
+// delayMs returns the time until the engine starts another part of a prefill.
+func (s *State) delayMs(e *engine) float64 {
+	return (e.pendingMs + s.model.passMs(len(e.runs), e.contextTokens)) * e.slowdown(s.now)
 }
 
-// helpers chooses how many engines read parts beside first: those in must, and as many of with that the
-// last part is read soonest. It gives that time in ms; infinite if no number will do.
-func (s *State) helpers(first *engine, must, with []*engine, read float64, gap time.Duration) ([]*engine, float64) {
-	all := slices.Concat(must, with)
-	best, soonest := 0, math.Inf(1)
-	slowest, room, pace := s.delay(first), s.room(first, gap), first.pace(s.now)
+// chooseHelpers returns the engines that prefill parts besides the answering one: all required ones, and as many of
+// the candidates as let the last part complete soonest. It also returns the time of that in ms, infinite if no number
+// of helpers is possible.
+func (s *State) chooseHelpers(answering *engine, required, candidates []*engine, prefillMs float64, maxGap time.Duration) ([]*engine, float64) {
+	all := slices.Concat(required, candidates)
+	helpers, firstEventMs := 0, math.Inf(1)
+	longestDelay, roomMs, slowdown := s.delayMs(answering), s.prefillRoomMs(answering, maxGap), answering.slowdown(s.now)
 	for k := 0; k <= min(s.params.MaxHelpers, len(all)); k++ {
 		if k > 0 {
-			slowest = max(slowest, s.readDelay(all[k-1]))
-			room = min(room, s.room(all[k-1], 0))
-			pace = max(pace, all[k-1].pace(s.now))
+			longestDelay = max(longestDelay, s.prefillDelay(all[k-1]))
+			roomMs = min(roomMs, s.prefillRoomMs(all[k-1], 0))
+			slowdown = max(slowdown, all[k-1].slowdown(s.now))
 		}
-		part := read / float64(k+1)
-		if k < len(must) || part > room {
+		partMs := prefillMs / float64(k+1)
+		if k < len(required) || partMs > roomMs {
 			continue
 		}
-		if t := slowest + part*pace + s.params.MinGainPerHelperMs*float64(k); t < soonest {
-			best, soonest = k, t
+		if t := longestDelay + partMs*slowdown + s.params.MinGainPerHelperMs*float64(k); t < firstEventMs {
+			helpers, firstEventMs = k, t
 		}
 	}
-	return all[:best], soonest
+	return all[:helpers], firstEventMs
 }
--- a/internal/decide/dispatch/stall.go
+++ b/internal/decide/dispatch/stall.go
@@ -7,53 +7,53 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Work can wait beside idle upstreams because of something that is believed of them and wrong. It shows as a queue from
-// which nothing is placed although an upstream has nothing to do.
+// Jobs can wait beside idle upstreams because the dispatcher wrongly takes these for unusable. It shows as a queue from
+// which nothing is placed although an upstream has no work.
 
-// stallTime is how long that may last: some passes. A link that is taken for cut is then tried by one job.
-const stallTime = 300 * time.Millisecond
+// stallThreshold is how long that may last, a few passes. One job then probes each partitioned link.
+const stallThreshold = 300 * time.Millisecond
 
-// Stall is what keeps jobs that need one upstream from those that are idle.
+// Stall counts what keeps queued jobs from idle upstreams, for jobs that need a single upstream.
 type Stall struct {
-	Duration time.Duration // since something was last placed, or nothing waited
+	Duration time.Duration // since the last placement, or since no such job waited
 	Waiting  int
-	Idle     int // upstreams without work that may get some
-	// Of the idle ones, as the first waiting job sees them; one may be counted in several.
+	Idle     int // upstreams without work that may receive jobs
+	// Idle upstreams by the reason for which the first waiting job cannot use them; one can count for several reasons.
 	Paused, Full, Cold, Unreachable, Partitioned, Limited int
 }
 
-// Stalled tells whether work waits beside idle upstreams, and why.
+// Stalled reports whether jobs wait beside idle upstreams, and for what reasons.
 func (s *State) Stalled(now decide.Instant) (st Stall, ok bool) {
 	j := s.firstWaiting()
-	st = Stall{Duration: now.Sub(s.flowing), Waiting: len(s.queue)}
-	if j == nil || st.Duration < stallTime {
+	st = Stall{Duration: now.Sub(s.lastProgress), Waiting: len(s.queue)}
+	if j == nil || st.Duration < stallThreshold {
 		return st, false
 	}
-	for _, e := range s.order {
-		if e.gone || len(e.runs) > 0 || e.pending >= idleBelow {
+	for _, e := range s.enginesByID {
+		if e.closed || len(e.runs) > 0 || e.pendingMs >= idleBelowMs {
 			continue
 		}
 		st.Idle++
-		st.Paused += count(e.paused(now))
-		st.Full += count(now < e.full)
-		st.Cold += count(!s.warmEnough(now, e))
-		st.Limited += count(e.limited())
-		_, unreached := e.unreached[j.Domain]
-		st.Unreachable += count(unreached)
-		st.Partitioned += count(s.cuts[link{j.Domain, e.Domain}] >= cutFrom)
+		st.Paused += boolToInt(e.inHoldoff(now))
+		st.Full += boolToInt(now < e.fullUntil)
+		st.Cold += boolToInt(!s.underColdLimit(now, e))
+		st.Limited += boolToInt(e.limited())
+		_, unreachable := e.lastUnreachable[j.Domain]
+		st.Unreachable += boolToInt(unreachable)
+		st.Partitioned += boolToInt(s.unreachableCounts[link{j.Domain, e.Domain}] >= partitionThreshold)
 	}
 	return st, st.Idle > 0
 }
 
-func count(is bool) int {
-	if is {
+func boolToInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// firstWaiting gives the most urgent job that any idle upstream could take; nil: none waits. Long prompts wait for several
-// upstreams, and may have to.
+// firstWaiting returns the most urgent queued job that a single upstream could take, nil if there is none. Long
+// prompts are left out, as they may rightly wait until several upstreams are free.
 func (s *State) firstWaiting() *Job {
 	for _, j := range s.queue {
 		if s.model == nil || !s.isLong(j) {
@@ -63,39 +63,40 @@
 	return nil
 }
 
-// probe lets one job try each link that is taken for cut, and the upstream that was out of reach first, where nothing else
-// can be placed.
+// probe lets one job try each link with unreachable upstreams, and one job the upstream that has been unreachable for
+// longest, if jobs wait and nothing else can be placed.
 func (s *State) probe(now decide.Instant) {
-	if now.Sub(s.probed) < stallTime {
+	if now.Sub(s.lastProbe) < stallThreshold {
 		return
 	}
 	st, stalled := s.Stalled(now)
 	if !stalled || st.Partitioned+st.Unreachable == 0 {
 		return
 	}
-	s.probed = now
-	for way := range s.cuts {
-		s.probing[way] = true
+	s.lastProbe = now
+	for l := range s.unreachableCounts {
+		s.probeLinks[l] = true
 	}
-	s.retrying = s.firstUnreached(s.firstWaiting().Domain)
+	s.probeEngine = s.longestUnreachable(s.firstWaiting().Domain)
 }
 
-// firstUnreached gives the idle upstream that has been out of a domain's reach for longest, or nil.
-func (s *State) firstUnreached(from fleet.DomainID) *engine {
-	var first *engine
-	for _, e := range s.order {
-		at, unreached := e.unreached[from]
-		if unreached && !e.gone && len(e.runs) == 0 && (first == nil || at < first.unreached[from]) {
-			first = e
+// longestUnreachable returns the idle upstream that has been unreachable from the domain for longest, or nil.
+func (s *State) longestUnreachable(domain fleet.DomainID) *engine {
+	var longest *engine
+	for _, e := range s.enginesByID {
+		at, unreachable := e.lastUnreachable[domain]
+		if unreachable && !e.closed && len(e.runs) == 0 && (longest == nil || at < longest.lastUnreachable[domain]) {
+			longest = e
 		}
 	}
-	return first
+	return longest
 }
 
-// triedFrom takes that a job of a domain was placed on the upstream.
-func (s *State) triedFrom(from fleet.DomainID, e *engine) {
-	delete(s.probing, link{from, e.Domain})
-	if e == s.retrying {
-		s.retrying = nil
+// clearProbes ends the probes of the upstream and of the link to it, as a job from the domain was placed on the
+// upstream.
+func (s *State) clearProbes(domain fleet.DomainID, e *engine) {
+	delete(s.probeLinks, link{domain, e.Domain})
+	if e == s.probeEngine {
+		s.probeEngine = nil
 	}
 }
--- a/internal/decide/dispatch/step_test.go
+++ b/internal/decide/dispatch/step_test.go
@@ -8,12 +8,13 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/dispatch"
 )
 
-// BenchmarkPlace is what the dispatcher spends on a short prompt that is placed, read and answered, with as many engines
-// half full of streams; and on one step with as many prompts waiting that find no place.
+// BenchmarkPlace measures the dispatcher's work for a short prompt that is placed, prefilled and answered, by the
+// number of engines, with half of the slots taken by streams; and its work for a step in which none of many queued
+// prompts can be placed.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{45, 172, 1000} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
-			s := busy(n, 0.5)
+			s := newBusyState(n, 0.5)
 			b.ReportAllocs()
 			now := 10.0
 			for b.Loop() {
@@ -28,7 +29,7 @@
 	}
 	for _, waiting := range []int{100, 1000} {
 		b.Run(fmt.Sprintf("engines=172,waiting=%d", waiting), func(b *testing.B) {
-			s := busy(172, 1)
+			s := newBusyState(172, 1)
 			for i := range waiting {
 				j := newJob(fmt.Sprint("w", i), 1000+i)
 				j.FirstEventTarget, j.FirstEventDeadline, j.Deadline = at(1e9), at(1e9), at(1e9)
@@ -46,11 +47,11 @@
 	}
 }
 
-// busy gives a dispatcher's state with engines of which a share of the places is taken by streams.
-func busy(engines int, share float64) *dispatch.State {
+// newBusyState returns the state of a service with engines of which the given share of the slots is taken by streams.
+func newBusyState(engines int, share float64) *dispatch.State {
 	m := passes.CoteauShifted.Model
 	s := dispatch.New(&m, dispatch.DefaultParams())
-	all := upstreams(engines, "a")
+	all := newUpstreams(engines, "a")
 	for i := range all {
 		all[i].Slots = m.Slots
 	}
--- a/internal/decide/dispatch/survey.go
+++ b/internal/decide/dispatch/survey.go
@@ -8,61 +8,64 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// survey looks at the upstreams once for a step: the mean pass of busy engines, links that are cut, and limits.
+// survey computes, at the beginning of a step, the figures over all upstreams and queued jobs: the mean pass of
+// engines with runs, unreachable upstreams by link, rate limits, and long prompts that wait.
 func (s *State) survey(now decide.Instant) {
-	s.cuts, s.limits = map[link]int{}, limitSurvey{}
+	s.unreachableCounts, s.limitTotals = map[link]int{}, limitTotals{}
 	total, busy := 0.0, 0
-	for _, e := range s.order {
+	for _, e := range s.enginesByID {
 		e.refillLimit(now)
-		if !e.gone {
-			s.limits.take(e)
+		if !e.closed {
+			s.limitTotals.add(e)
 		}
-		for from, at := range e.unreached {
-			switch way := (link{from, e.Domain}); {
-			case now.Sub(at) >= unreachedTime:
-				delete(e.unreached, from)
-			case at > s.heard[way]:
-				s.cuts[way]++
+		for domain, at := range e.lastUnreachable {
+			switch l := (link{domain, e.Domain}); {
+			case now.Sub(at) >= unreachableHoldoff:
+				delete(e.lastUnreachable, domain)
+			case at > s.lastAnswer[l]:
+				s.unreachableCounts[l]++
 			}
 		}
 		if s.model != nil && len(e.runs) > 0 {
-			total += s.model.pass(len(e.runs), e.context)
+			total += s.model.passMs(len(e.runs), e.contextTokens)
 			busy++
 		}
 	}
-	s.tried, s.unpacked, s.longs = 0, map[fleet.DomainID]packing{}, 0
+	s.unplacedLong, s.unplacedShort, s.longWaiting = 0, map[fleet.DomainID]requirement{}, 0
 	if s.model != nil {
 		for _, j := range s.queue {
 			if s.isLong(j) && !s.oversized(j) {
-				s.longs++
+				s.longWaiting++
 			}
 		}
 	}
-	s.meanPass = 0
+	s.meanPassMs = 0
 	if busy > 0 {
-		s.meanPass = total / float64(busy)
+		s.meanPassMs = total / float64(busy)
 	}
 }
 
-// link is the way from one failure domain to another.
+// link is the network path from instances in one failure domain to upstreams in another.
 type link struct{ from, to fleet.DomainID }
 
-// reaches tells whether instances of a domain can connect to the upstream, as far as is known. A link is taken for cut
-// by what has failed since an answer last came over it: upstreams that end together are out of reach as well, from
-// everywhere, and to take the links to the others of their domains for cut leaves the fleet without a place.
-func (s *State) reaches(from fleet.DomainID, e *engine) bool {
-	if _, unreached := e.unreached[from]; unreached && e != s.retrying {
+// canReach reports whether instances of a domain are expected to be able to connect to the upstream.
+//
+// A link counts as partitioned only by connection failures since the last answer over it. Upstreams of all domains
+// that exit at the same time are unreachable from everywhere, and without this condition all links to their domains
+// would count as partitioned and leave no upstream to use.
+func (s *State) canReach(domain fleet.DomainID, e *engine) bool {
+	if _, unreachable := e.lastUnreachable[domain]; unreachable && e != s.probeEngine {
 		return false
 	}
-	way := link{from, e.Domain}
-	return s.cuts[way] < cutFrom || s.probing[way]
+	l := link{domain, e.Domain}
+	return s.unreachableCounts[l] < partitionThreshold || s.probeLinks[l]
 }
 
-// sort puts the jobs in the order in which they get places: streams that go on first, since what their
-// callers have is lost without the rest; by priority; those that can still be in time before those that are
-// late anyway, and of those what is over its workspace's share last; the least reading first, as that serves most
+// sortQueue sorts the queue into the order of placement: resumed streams, as what their callers have received is
+// worthless without the rest; then by priority; then jobs that can still meet their target before late ones; then jobs
+// within their workspace's share before excess; then by prefillCost, as the least prefill first serves the most
 // callers soonest.
-func (s *State) sort(now decide.Instant) {
+func (s *State) sortQueue(now decide.Instant) {
 	slices.SortStableFunc(s.queue, func(a, b *Job) int {
 		if a.Resumed != b.Resumed {
 			if b.Resumed {
@@ -73,7 +76,7 @@
 		if c := cmp.Compare(a.Priority, b.Priority); c != 0 {
 			return c
 		}
-		lateA, lateB := s.late(now, a), s.late(now, b)
+		lateA, lateB := s.missesTarget(now, a), s.missesTarget(now, b)
 		if lateA != lateB {
 			if lateA {
 				return 1
@@ -86,7 +89,7 @@
 			}
 			return -1
 		}
-		if c := cmp.Compare(s.cost(now, a), s.cost(now, b)); c != 0 {
+		if c := cmp.Compare(s.prefillCost(now, a), s.prefillCost(now, b)); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.ID, b.ID)
