--- a/internal/decide/pace/pace.go
+++ b/internal/decide/pace/pace.go
@@ -1,6 +1,5 @@
-// Package pace decides when to ask an engine for its next load report. Engines renew their reports at an
-// interval of their own; asking right after each renewal gets every report while it is fresh, with one call
-// a report.
+// Package pace decides when to ask an engine for its next load report. Engines renew their reports at an interval of
+// their own. A call right after each renewal receives every report while it is fresh, with one call per report.
 package pace
 
 import (
@@ -10,39 +9,39 @@
 )
 
 const (
-	margin   = 20 * time.Millisecond // after the expected renewal, for its own unsteadiness
-	shortest = 10 * time.Millisecond // between two calls
-	spread   = 5                     // part of the interval over which instances are spread
-	longest  = time.Second           // so that a silent engine is noticed whatever its interval
+	renewalMargin = 20 * time.Millisecond // after the expected renewal, for its jitter
+	minWait       = 10 * time.Millisecond // between two calls
+	phaseDivisor  = 5                     // the calls of instances are spread over this part of the renewal interval
+	maxWait       = time.Second           // so that an engine that stops answering is noticed whatever its interval
 )
 
-// Pace follows one engine's reports. The zero value knows none.
+// Schedule plans the calls to one engine by its reports. The zero value has seen none.
 type Schedule struct {
-	// Phase in [0, 1) delays each call by that part of a fifth of the interval. It differs between instances,
-	// so that they don't all act on the same report at the same moment.
+	// Phase in [0, 1) delays each call by that part of a fifth of the renewal interval. It differs between instances,
+	// so that they do not all act on the same report at the same moment.
 	Phase float64
 
-	seq    uint64
-	made   decide.Instant
-	period time.Duration // between two renewals; 0: not known yet
+	seq           uint64
+	madeAt        decide.Instant
+	renewalPeriod time.Duration // between two renewals; 0: not known yet
 }
 
-// Next takes the report that came at now, with its sequence number and the instant its figures were made,
-// and gives the time to wait until the next call. fallback is the wait while the interval is not known, and
-// after a report that was asked for too early. A lower sequence number is a new boot's.
-func (p *Schedule) Next(seq uint64, made, now decide.Instant, fallback time.Duration) time.Duration {
+// Next records the report that was received at now, with its sequence number and the time at which it was made, and
+// returns the time to wait until the next call. fallback is the wait while the renewal interval is not known, and
+// after a report that had not been renewed yet. A lower sequence number means that the engine rebooted.
+func (p *Schedule) Next(seq uint64, madeAt, now decide.Instant, fallback time.Duration) time.Duration {
 	switch {
 	case seq == p.seq:
-		return max(shortest, min(fallback, longest))
+		return max(minWait, min(fallback, maxWait))
 	case p.seq > 0 && seq > p.seq:
-		p.period = made.Sub(p.made) / time.Duration(seq-p.seq)
+		p.renewalPeriod = madeAt.Sub(p.madeAt) / time.Duration(seq-p.seq)
 	default:
-		p.period = 0
+		p.renewalPeriod = 0
 	}
-	p.seq, p.made = seq, made
-	if p.period <= 0 {
-		return max(shortest, min(fallback, longest))
+	p.seq, p.madeAt = seq, madeAt
+	if p.renewalPeriod <= 0 {
+		return max(minWait, min(fallback, maxWait))
 	}
-	due := made.Add(p.period + margin + time.Duration(p.Phase*float64(p.period)/spread))
-	return max(shortest, min(due.Sub(now), longest))
+	nextCall := madeAt.Add(p.renewalPeriod + renewalMargin + time.Duration(p.Phase*float64(p.renewalPeriod)/phaseDivisor))
+	return max(minWait, min(nextCall.Sub(now), maxWait))
 }
