--- a/internal/decide/pause/pause.go
+++ b/internal/decide/pause/pause.go
@@ -1,5 +1,5 @@
-// Package pause lets an instance find out that it was paused (stopped process, frozen machine, starved
-// scheduler) before it acts on what it knew before.
+// Package pause lets an instance detect that it was paused (stopped process, frozen machine, starved scheduler) before
+// it acts on outdated state.
 package pause
 
 import (
@@ -18,33 +18,33 @@
 // Reasons lists every reason of this package.
 var Reasons = []decide.Reason{Running, Paused}
 
-// Guard compares now with the owner's last tick. The failure it guards against: a holder of old knowledge
-// wakes up and acts on it, as if no time had passed; it shows as work for an upstream that left or as a
-// lease used after its end. The guard holds because the monotonic clock runs on while the process is
-// paused, and because whoever acts asks with its own now: no tick has to run first.
+// Guard compares the current time with its owner's last tick. It guards against an instance that resumes after a pause
+// and acts on outdated state as if no time had passed, which shows as work for an upstream that has left, or as use of
+// a lease after its end. It works because the monotonic clock advances while the process is paused, and because the
+// code that acts calls Check with its own time, so that no tick has to run first.
 //
-// Ask and Mark may be called from several goroutines.
+// Check and Tick may be called from several goroutines.
 type Guard struct {
-	bound time.Duration
-	last  atomic.Int64
+	threshold time.Duration
+	lastTick  atomic.Int64
 }
 
-// New gives a guard whose owner ticks more often than bound.
-func New(now decide.Instant, bound time.Duration) *Guard {
-	g := &Guard{bound: bound}
+// New returns a guard whose owner ticks more often than threshold.
+func New(now decide.Instant, threshold time.Duration) *Guard {
+	g := &Guard{threshold: threshold}
 	g.Tick(now)
 	return g
 }
 
-// Ask tells whether the instance was paused since the last mark, and for how long it was not heard of.
+// Check reports whether the instance was paused since the last tick, and the time since that tick.
 func (g *Guard) Check(now decide.Instant) (time.Duration, decide.Reason) {
-	gap := now.Sub(decide.Instant(g.last.Load()))
-	if gap > g.bound {
+	gap := now.Sub(decide.Instant(g.lastTick.Load()))
+	if gap > g.threshold {
 		return gap, Paused
 	}
 	return gap, Running
 }
 
-// Mark notes a tick of the owner. After a pause the owner drops its old knowledge before it marks:
-// the other way round, a request between the two would still find that knowledge valid.
-func (g *Guard) Tick(now decide.Instant) { g.last.Store(int64(now)) }
+// Tick records a tick of the owner. After a pause the owner drops its outdated state before it calls Tick. In the
+// other order a request between the two would still find that state valid.
+func (g *Guard) Tick(now decide.Instant) { g.lastTick.Store(int64(now)) }
