--- a/internal/decide/advertised/limits.go
+++ b/internal/decide/advertised/limits.go
@@ -1,5 +1,6 @@
-// Package advertised keeps what upstreams say on their answers of how many requests they take. An answer arrives at one
-// instance and binds all: each tells the others what it heard, and what is told comes in any order and late.
+// Package advertised keeps the rate limits that upstreams advertise on their answers. An answer reaches one instance,
+// but its limit applies to all. Each instance sends its observations to the others, where they arrive late and in any
+// order.
 package advertised
 
 import (
@@ -13,163 +14,170 @@
 )
 
 const (
-	// settleTime is how long after a limit was named a request must have been sent for its answer to end the limit. An
-	// answer of before can come behind one that names it, and ages that are told are late by a trip.
+	// settleTime is how long after a limit was last advertised a request must be sent for its answer to end the limit.
+	// An answer that was made earlier can arrive after one that advertises the limit, and the ages in the other
+	// instances' messages are off by the time in transit.
 	settleTime = 500 * time.Millisecond
-	// renewEvery is how often the others are told that a limit is still named, or still over.
-	renewEvery = time.Second
-	// overTime is for how long after it was last named the others are told that a limit is over: one that had just heard it
-	// named takes no end, and would keep the limit for good.
-	overTime = time.Minute
-	// maxProcesses bounds what is kept; the one that was heard of longest ago goes first.
+	// renewInterval is how often the other instances are told that a limit is still advertised, or still ended.
+	renewInterval = time.Second
+	// endRepeatTime is how long after a limit was last advertised its end is sent again. An instance that received the
+	// limit just before ignores the end, and would keep the limit forever.
+	endRepeatTime = time.Minute
+	// maxProcesses bounds the limits that are kept. The one whose latest observation is oldest is evicted first.
 	maxProcesses = 10_000
 )
 
-// Statement is what an answer said of its upstream's limit. It ends with the upstream's process.
+// Observation is what one answer said of its upstream's rate limit. It applies to the process of the upstream and ends
+// with it.
 type Observation struct {
 	fleet.Process
 	Limited    bool
-	Rate       float64          // requests a second that the process takes from all instances together
+	Rate       float64          // requests per second that the process accepts from all instances together
 	SentAt     decide.Instant   // when the answered request was sent
-	ReceivedAt decide.Instant   // when the head of the answer came
-	ReceivedBy fleet.InstanceID // that heard it
+	ReceivedAt decide.Instant   // when the head of the answer was received
+	ReceivedBy fleet.InstanceID // received the answer
 }
 
-// Reasons of this package: what a statement changed. None is no news to anybody.
+// Reasons of this package: what an observation changed. Unchanged ones need not be sent to the other instances.
 const (
 	Unchanged decide.Reason = ""
 	Named     decide.Reason = "limit_named"
 	Changed   decide.Reason = "limit_changed"
-	Renewed   decide.Reason = "limit_renewed" // as before, and the others have not heard so for a while
+	Renewed   decide.Reason = "limit_renewed" // unchanged, but not sent to the other instances for a while
 	Ended     decide.Reason = "limit_ended"
 )
 
-// Reasons lists all of them.
+// Reasons lists every reason of this package.
 var Reasons = []decide.Reason{Unchanged, Named, Changed, Renewed, Ended}
 
-// Limits are the limits in force, as far as one instance knows. They are not safe for concurrent use.
+// Limits holds the rate limits that are known to one instance. It is not safe for concurrent use.
 type Limits struct {
-	all     map[fleet.Process]*limit
+	limits  map[fleet.Process]*limit
 	inForce int
 }
 
 type limit struct {
-	last  Observation    // that named it
-	ended decide.Instant // a request sent then was answered without a limit
-	told  decide.Instant // when the others were last told
-	over  bool
+	lastAdvertised Observation    // that advertised the limit
+	endedAt        decide.Instant // latest SentAt of an observation that ended the limit or confirmed its end
+	sharedAt       decide.Instant // when an observation was last sent to the other instances
+	ended          bool
 }
 
-// New gives Limits of which none is in force.
-func New() *Limits { return &Limits{all: map[fleet.Process]*limit{}} }
+// New returns Limits without any limit.
+func New() *Limits { return &Limits{limits: map[fleet.Process]*limit{}} }
 
-// InForce is the number of limits in force.
+// InForce returns the number of limits in force.
 func (l *Limits) InForce() int { return l.inForce }
 
-// Known is the number of processes that are known to have named a limit.
-func (l *Limits) Tracked() int { return len(l.all) }
+// Tracked returns the number of processes that are known to have advertised a limit, ended ones included.
+func (l *Limits) Tracked() int { return len(l.limits) }
 
-// Of gives the limit of a process in requests a second; ok is false if it has none.
+// Rate returns the limit of a process in requests per second; ok is false if it has none.
 func (l *Limits) Rate(p fleet.Process) (rate float64, ok bool) {
-	one := l.all[p]
-	if one == nil || one.over {
+	lim := l.limits[p]
+	if lim == nil || lim.ended {
 		return 0, false
 	}
-	return one.last.Rate, true
+	return lim.lastAdvertised.Rate, true
 }
 
-// Take takes a statement and tells what is new with it.
-func (l *Limits) Apply(s Observation) decide.Reason {
-	if s.Limited {
-		return l.named(s)
+// Apply records an observation and returns what it changed.
+func (l *Limits) Apply(o Observation) decide.Reason {
+	if o.Limited {
+		return l.applyLimit(o)
 	}
-	return l.unnamed(s)
+	return l.applyNoLimit(o)
 }
 
-func (l *Limits) named(s Observation) decide.Reason {
-	one := l.all[s.Process]
+func (l *Limits) applyLimit(o Observation) decide.Reason {
+	// The answer advertised a limit: it starts, changes or renews the limit of its process.
+	lim := l.limits[o.Process]
 	switch {
-	case one == nil:
-		l.makeRoom()
-		one = &limit{over: true, ended: math.MinInt64}
-		l.all[s.Process] = one
-	case s.ReceivedAt < one.ended:
-		return Unchanged // of before its end
-	case !one.over && s.ReceivedAt < one.last.ReceivedAt:
-		return Unchanged // of before what is known
+	case lim == nil:
+		l.evictOldest()
+		lim = &limit{ended: true, endedAt: math.MinInt64}
+		l.limits[o.Process] = lim
+	case o.ReceivedAt < lim.endedAt:
+		return Unchanged // received before the limit ended
+	case !lim.ended && o.ReceivedAt < lim.lastAdvertised.ReceivedAt:
+		return Unchanged // older than the latest observation
 	}
-	news := Named
+	change := Named
 	switch {
-	case one.over:
-		one.over = false
+	case lim.ended:
+		lim.ended = false
 		l.inForce++
-	case one.last.Rate != s.Rate:
-		news = Changed
-	case s.ReceivedAt.Sub(one.told) >= renewEvery:
-		news = Renewed
+	case lim.lastAdvertised.Rate != o.Rate:
+		change = Changed
+	case o.ReceivedAt.Sub(lim.sharedAt) >= renewInterval:
+		change = Renewed
 	default:
-		news = Unchanged
+		change = Unchanged
 	}
-	one.last = s
-	if news != Unchanged {
-		one.told = s.ReceivedAt
+	lim.lastAdvertised = o
+	if change != Unchanged {
+		lim.sharedAt = o.ReceivedAt
 	}
-	return news
+	return change
 }
 
-func (l *Limits) unnamed(s Observation) decide.Reason {
-	one := l.all[s.Process]
+func (l *Limits) applyNoLimit(o Observation) decide.Reason {
+	// The answer advertised no limit: it ends the limit of its process, or repeats the end for other instances.
+	lim := l.limits[o.Process]
 	switch {
-	case one == nil:
+	case lim == nil:
 		return Unchanged
-	case one.over:
-		one.ended = max(one.ended, s.SentAt)
-		if s.ReceivedAt.Sub(one.told) < renewEvery || s.ReceivedAt.Sub(one.last.ReceivedAt) > overTime {
+	case lim.ended:
+		lim.endedAt = max(lim.endedAt, o.SentAt)
+		if o.ReceivedAt.Sub(lim.sharedAt) < renewInterval || o.ReceivedAt.Sub(lim.lastAdvertised.ReceivedAt) > endRepeatTime {
 			return Unchanged
 		}
-		one.told = s.ReceivedAt
+		lim.sharedAt = o.ReceivedAt
 		return Renewed
-	case s.SentAt < one.last.ReceivedAt.Add(settleTime):
-		return Unchanged // it may be an answer of before
+	case o.SentAt < lim.lastAdvertised.ReceivedAt.Add(settleTime):
+		return Unchanged // the answer may have been made before the limit was advertised
 	}
-	one.over, one.ended, one.told = true, s.SentAt, s.ReceivedAt
+	lim.ended, lim.endedAt, lim.sharedAt = true, o.SentAt, o.ReceivedAt
 	l.inForce--
 	return Ended
 }
 
-// makeRoom drops the process that was heard of longest ago where there are too many.
-func (l *Limits) makeRoom() {
-	if len(l.all) < maxProcesses {
+// evictOldest removes the limit whose latest observation is oldest if there is no room for another one.
+func (l *Limits) evictOldest() {
+	if len(l.limits) < maxProcesses {
 		return
 	}
 	var oldest *limit
-	for _, one := range l.all {
-		if oldest == nil || one.heard() < oldest.heard() {
-			oldest = one
+	for _, lim := range l.limits {
+		if oldest == nil || lim.lastReceived() < oldest.lastReceived() {
+			oldest = lim
 		}
 	}
-	if !oldest.over {
+	if !oldest.ended {
 		l.inForce--
 	}
-	delete(l.all, oldest.last.Process)
+	delete(l.limits, oldest.lastAdvertised.Process)
 }
 
-func (one *limit) heard() decide.Instant { return max(one.last.ReceivedAt, one.ended) }
+func (lim *limit) lastReceived() decide.Instant {
+	// Time of the latest observation, with or without a limit.
+	return max(lim.lastAdvertised.ReceivedAt, lim.endedAt)
+}
 
-// Statements gives the statements by which another one knows the same: of limits in force, and of those that ended after
-// a moment.
+// Observations returns the observations from which another instance derives the same limits: of limits in force, and
+// of those that ended at or after the given time.
 func (l *Limits) Observations(after decide.Instant) []Observation {
-	var all []Observation
-	for _, one := range l.all {
+	var observations []Observation
+	for _, lim := range l.limits {
 		switch {
-		case !one.over:
-			all = append(all, one.last)
-		case one.ended >= after:
-			all = append(all, Observation{Process: one.last.Process, SentAt: one.ended, ReceivedAt: one.ended, ReceivedBy: one.last.ReceivedBy})
+		case !lim.ended:
+			observations = append(observations, lim.lastAdvertised)
+		case lim.endedAt >= after:
+			observations = append(observations, Observation{Process: lim.lastAdvertised.Process, SentAt: lim.endedAt, ReceivedAt: lim.endedAt, ReceivedBy: lim.lastAdvertised.ReceivedBy})
 		}
 	}
-	slices.SortFunc(all, func(a, b Observation) int {
+	slices.SortFunc(observations, func(a, b Observation) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born))
 	})
-	return all
+	return observations
 }
