--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -1,5 +1,5 @@
-// Package limit keeps a workspace's limit of requests at once over the whole fleet without a message:
-// each instance holds its own share of it.
+// Package limit enforces a workspace's limit of concurrent requests over the whole fleet without messages between the
+// instances: each enforces its own share.
 package limit
 
 import (
@@ -13,15 +13,15 @@
 	OverLimit decide.Reason = "workspace_over_limit"
 )
 
-// Reasons lists all of them.
+// Reasons lists every reason of this package.
 var Reasons = []decide.Reason{OverLimit}
 
-// Unlimited is the limit of a workspace that has none.
+// Unlimited is the limit of a workspace without one.
 const Unlimited = 0
 
-// Share is one instance's part of a fleet-wide limit: the limit over the instances, rounded up, since an
-// instance with no part at all would refuse the workspace each time the balancer chose it. The fleet's sum
-// is over the limit by less than the number of instances.
+// Share returns one instance's share of a fleet-wide limit: the limit divided by the number of instances, rounded up.
+// An instance without any share would refuse the workspace whenever the load balancer chose it. The sum of the shares
+// exceeds the limit by less than the number of instances.
 func Share(limit, instances int) int {
 	if limit <= 0 {
 		return Unlimited
@@ -30,26 +30,26 @@
 	return (limit + n - 1) / n
 }
 
-// InFlight counts a workspace's requests on this instance. It is one atomic counter.
+// InFlight counts a workspace's requests in flight on this instance in one atomic counter.
 type InFlight struct {
-	now atomic.Int64
+	count atomic.Int64
 }
 
-// Acquire counts a request in, unless that would go over share.
+// Acquire counts a new request and returns true, unless the count would exceed share.
 func (f *InFlight) Acquire(share int) bool {
 	if share == Unlimited {
-		f.now.Add(1)
+		f.count.Add(1)
 		return true
 	}
-	if f.now.Add(1) > int64(share) {
-		f.now.Add(-1)
+	if f.count.Add(1) > int64(share) {
+		f.count.Add(-1)
 		return false
 	}
 	return true
 }
 
-// Release counts a request out. Each Acquire that succeeded has exactly one.
-func (f *InFlight) Release() { f.now.Add(-1) }
+// Release uncounts a request. It is called once for each Acquire that returned true.
+func (f *InFlight) Release() { f.count.Add(-1) }
 
-// Count is the number of requests in flight.
-func (f *InFlight) Count() int { return int(f.now.Load()) }
+// Count returns the number of requests in flight.
+func (f *InFlight) Count() int { return int(f.count.Load()) }
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -19,32 +19,31 @@
 			is.True(sum < max+instances)
 		}
 	}
-	is.Equal(limit.Share(10, 0), 10) // an instance that knows of none counts itself
+	is.Equal(limit.Share(10, 0), 10) // an instance that knows of no instances counts itself
 }
 
-// A workspace gets more requests at once than its limit when many arrive in the same instant.
-// Order: two requests read the counter below the limit, both go in.
-// Cause: test and increment are two steps.
-func TestRequestsAtTheSameInstantStayWithinTheLimit(t *testing.T) {
+// Guards against more requests in flight than the limit when many arrive at the same time. If test and increment are
+// two steps, two requests can both read a count below the limit and both be admitted.
+func TestConcurrentRequestsStayWithinLimit(t *testing.T) {
 	is := is.New(t)
 	const share, callers = 7, 64
 	var f limit.InFlight
-	var group sync.WaitGroup
-	got := make(chan bool, callers)
+	var wg sync.WaitGroup
+	results := make(chan bool, callers)
 	for range callers {
-		group.Go(func() { got <- f.Acquire(share) })
+		wg.Go(func() { results <- f.Acquire(share) })
 	}
-	group.Wait()
-	close(got)
-	in := 0
-	for ok := range got {
+	wg.Wait()
+	close(results)
+	acquired := 0
+	for ok := range results {
 		if ok {
-			in++
+			acquired++
 		}
 	}
-	is.True(in <= share)
-	is.Equal(f.Count(), in)
-	for range in {
+	is.True(acquired <= share)
+	is.Equal(f.Count(), acquired)
+	for range acquired {
 		f.Release()
 	}
 	is.Equal(f.Count(), 0)
