--- a/internal/bench/entry.go
+++ b/internal/bench/entry.go
@@ -130,8 +130,8 @@
 	return views, order
 }
 
-func (g *gated) world() *admit.World {
-	return &admit.World{Pool: g.pool, Entries: g.e.sim.config.Entries, Now: g.e.sim.clock.Now(), Rand: g.e.rng}
+func (g *gated) world() *admit.View {
+	return &admit.View{Pool: g.pool, Instances: g.e.sim.config.Entries, Now: g.e.sim.clock.Now(), Rand: g.e.rng}
 }
 
 func (g *gated) offer(r *request) {
@@ -139,13 +139,13 @@
 	r.gated = r.gate(g.number*100 + g.e.number)
 	r.priority = g.profile.Priority[r.class]
 	if r.class.UsesLanes() {
-		g.demand.Add(laneWork(&r.prompt, r.class, g.e.sim.model(), r.gated.Decode), g.e.sim.clock.Now())
+		g.demand.Add(laneWork(&r.prompt, r.class, g.e.sim.model(), r.gated.DecodeTime), g.e.sim.clock.Now())
 	}
 	g.waiting[r.gated] = r
 	w := g.world()
-	d, ok := g.gate.Direct(r.gated, w)
+	d, ok := g.gate.TryDispatch(r.gated, w)
 	if !ok {
-		d = g.gate.Offer(r.gated, w)
+		d = g.gate.Admit(r.gated, w)
 	}
 	g.carry(d)
 }
@@ -153,7 +153,7 @@
 func (g *gated) carry(d admit.Decision) {
 	r := g.waiting[d.Request]
 	switch d.Verb {
-	case admit.Queued:
+	case admit.Enqueue:
 	case admit.Refuse:
 		r.refusal = d.Reason
 		r.finish(refused)
@@ -167,7 +167,7 @@
 
 func (g *gated) reserved(r *request, granted bool) {
 	plan := pick.Plan{Parts: r.parts}
-	d := g.gate.Reserved(r.gated, &plan, granted, g.world())
+	d := g.gate.ReservationResult(r.gated, &plan, granted, g.world())
 	if !granted {
 		r.group, r.parts = nil, nil
 		g.carry(d)
@@ -190,10 +190,10 @@
 }
 
 func (g *gated) wake() {
-	if g.gate.Waiting(cost.Short)+g.gate.Waiting(cost.Medium)+g.gate.Waiting(cost.Long) == 0 {
+	if g.gate.QueueLength(cost.Short)+g.gate.QueueLength(cost.Medium)+g.gate.QueueLength(cost.Long) == 0 {
 		return
 	}
-	decisions := g.gate.Wake(g.world(), g.out[:0])
+	decisions := g.gate.ProcessQueues(g.world(), g.out[:0])
 	g.out = nil // carrying a decision out may wake the gate again
 	for _, d := range decisions {
 		g.carry(d)
--- a/internal/bench/request.go
+++ b/internal/bench/request.go
@@ -159,7 +159,7 @@
 	for i, p := range parts {
 		list = append(list, reserve.Part{ID: fmt.Sprint(i), Upstream: p.Engine.ID, Tokens: p.Tokens})
 	}
-	r.group = reserve.New(list, reserveWait, r.deadline.Add(reserve.Grace))
+	r.group = reserve.New(list, reserveWait, r.deadline.Add(reserve.ReleaseGrace))
 	r.carry(r.group.Start(r.sim.clock.Now()))
 }
 
@@ -168,10 +168,10 @@
 	g := r.group
 	for _, f := range effects {
 		switch f.Verb {
-		case reserve.Ask:
-			r.sim.clock.After(f.After+messageDelay, func() { r.ask(g, f.Part) })
+		case reserve.Reserve:
+			r.sim.clock.After(f.Delay+messageDelay, func() { r.ask(g, f.Part) })
 		case reserve.Release:
-			r.sim.clock.After(f.After+messageDelay, func() {
+			r.sim.clock.After(f.Delay+messageDelay, func() {
 				r.sim.byID[g.Part(f.Part).Upstream].release(r)
 				r.carryFor(g, g.Released(f.Part))
 			})
@@ -210,7 +210,7 @@
 		ID:        fleet.RequestID(fmt.Sprintf("r%07d", number)),
 		Workspace: r.workspace, Prompt: r.prompt, Class: r.class,
 		Arrived: r.at, Deadline: r.deadline,
-		Decode: time.Duration(r.prompt.MaxAnswerTokens) * expectedInterval,
+		DecodeTime: time.Duration(r.prompt.MaxAnswerTokens) * expectedInterval,
 	}
 }
 
--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -36,7 +36,7 @@
 type bench struct {
 	gate   *admit.Gate
 	engine *pick.Engine
-	world  admit.World
+	world  admit.View
 	number int
 }
 
@@ -45,8 +45,8 @@
 	e := pick.NewEngine("e", nil)
 	b := &bench{
 		gate: admit.NewGate(&profile, pick.Default(), length), engine: e,
-		world: admit.World{
-			Pool: pick.NewPool([]*pick.Engine{e}, nil, memory), Entries: 1,
+		world: admit.View{
+			Pool: pick.NewPool([]*pick.Engine{e}, nil, memory), Instances: 1,
 			Now: decide.Instant(0).Add(time.Minute), Rand: rand.New(rand.NewPCG(1, 1)),
 		},
 	}
@@ -68,7 +68,7 @@
 	return &admit.Request{
 		ID: fleet.RequestID(fmt.Sprintf("r%05d", b.number)), Workspace: fleet.WorkspaceID(workspace),
 		Prompt: cost.Prompt{Tokens: tokens, MaxAnswerTokens: 100}, Class: cost.ClassOf(tokens, 100, memory),
-		Arrived: b.world.Now, Deadline: b.world.Now.Add(timeout), Decode: time.Second,
+		Arrived: b.world.Now, Deadline: b.world.Now.Add(timeout), DecodeTime: time.Second,
 	}
 }
 
@@ -77,7 +77,7 @@
 func TestIdleEngineGetsThePromptAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := newBench(10)
-	d, ok := b.gate.Direct(b.request("w", 2000, 10*time.Second), &b.world)
+	d, ok := b.gate.TryDispatch(b.request("w", 2000, 10*time.Second), &b.world)
 	is.True(ok)
 	is.Equal(d.Verb, admit.Dispatch)
 	is.Equal(d.Choice.Engine, b.engine)
@@ -88,26 +88,26 @@
 	b := newBench(10)
 	b.report(busy, 0)
 	r := b.request("w", 2000, 20*time.Second)
-	_, ok := b.gate.Direct(r, &b.world)
+	_, ok := b.gate.TryDispatch(r, &b.world)
 	is.True(!ok)
-	d := b.gate.Offer(r, &b.world)
-	is.Equal(d.Verb, admit.Queued)
-	is.Equal(d.Reason, admit.WaitsForEngine)
-	is.Equal(b.gate.Waiting(cost.Short), 1)
+	d := b.gate.Admit(r, &b.world)
+	is.Equal(d.Verb, admit.Enqueue)
+	is.Equal(d.Reason, admit.EnginesBusy)
+	is.Equal(b.gate.QueueLength(cost.Short), 1)
 
 	next := b.request("w", 2000, 20*time.Second)
-	d = b.gate.Offer(next, &b.world)
-	is.Equal(d.Reason, admit.WaitsItsTurn)
-	is.Equal(d.Ahead, 1)
-	is.Equal(d.Wait, 100*time.Millisecond) // 2000 tokens at 20000 a second
-	is.Equal(len(b.gate.Wake(&b.world, nil)), 0)
+	d = b.gate.Admit(next, &b.world)
+	is.Equal(d.Reason, admit.BehindOthers)
+	is.Equal(d.OthersQueued, 1)
+	is.Equal(d.EstimatedWait, 100*time.Millisecond) // 2000 tokens at 20000 a second
+	is.Equal(len(b.gate.ProcessQueues(&b.world, nil)), 0)
 
 	b.report(0, 0)
-	out := b.gate.Wake(&b.world, nil)
+	out := b.gate.ProcessQueues(&b.world, nil)
 	is.Equal(len(out), 2)
 	is.Equal(out[0].Request, r)
 	is.Equal(out[0].Verb, admit.Dispatch)
-	is.Equal(b.gate.Waiting(cost.Short), 0)
+	is.Equal(b.gate.QueueLength(cost.Short), 0)
 }
 
 // A caller waits out its whole deadline for a refusal that was certain when it came, and has no time left
@@ -115,16 +115,16 @@
 func TestWhatCannotFinishIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := newBench(10)
-	d := b.gate.Offer(b.request("w", 80_000, 4*time.Second), &b.world) // 4 s of prefill, 1 s of answer
+	d := b.gate.Admit(b.request("w", 80_000, 4*time.Second), &b.world) // 4 s of prefill, 1 s of answer
 	is.Equal(d.Verb, admit.Refuse)
 	is.Equal(d.Kind, fault.Infeasible)
 	is.Equal(d.Reason, admit.TooLate)
 
 	b.report(busy, 0)
 	for range 5 { // 20 s of queue
-		is.Equal(b.gate.Offer(b.request("w", 80_000, time.Minute), &b.world).Verb, admit.Queued)
+		is.Equal(b.gate.Admit(b.request("w", 80_000, time.Minute), &b.world).Verb, admit.Enqueue)
 	}
-	d = b.gate.Offer(b.request("w", 80_000, 15*time.Second), &b.world)
+	d = b.gate.Admit(b.request("w", 80_000, 15*time.Second), &b.world)
 	is.Equal(d.Verb, admit.Refuse)
 	is.Equal(d.RetryAfter, 10*time.Second) // 20 s to wait, 15 s less 4 s and 1 s there are
 }
@@ -134,15 +134,15 @@
 	b := newBench(10)
 	b.report(busy, 0)
 	r := b.request("w", 2000, 3*time.Second)
-	b.gate.Offer(r, &b.world)
+	b.gate.Admit(r, &b.world)
 	at, ok := b.gate.NextExpiry()
 	is.True(ok)
 	is.Equal(at, r.Deadline.Add(-1100*time.Millisecond)) // its own 0.1 s of prefill and 1 s of answer
 	b.world.Now = at.Add(time.Millisecond)
-	out := b.gate.Wake(&b.world, nil)
+	out := b.gate.ProcessQueues(&b.world, nil)
 	is.Equal(len(out), 1)
 	is.Equal(out[0].Reason, admit.Expired)
-	is.Equal(b.gate.Waiting(cost.Short), 0)
+	is.Equal(b.gate.QueueLength(cost.Short), 0)
 }
 
 func TestEarliestLatestStartGoesFirstWithinAWorkspace(t *testing.T) {
@@ -151,10 +151,10 @@
 	b.report(busy, 0)
 	late := b.request("w", 2000, 30*time.Second)
 	soon := b.request("w", 2000, 10*time.Second)
-	b.gate.Offer(late, &b.world)
-	b.gate.Offer(soon, &b.world)
+	b.gate.Admit(late, &b.world)
+	b.gate.Admit(soon, &b.world)
 	b.report(0, 0)
-	out := b.gate.Wake(&b.world, nil)
+	out := b.gate.ProcessQueues(&b.world, nil)
 	is.Equal(out[0].Request, soon)
 	is.Equal(out[1].Request, late)
 }
@@ -166,23 +166,23 @@
 	b := newBench(1000)
 	b.report(busy, 0)
 	for range 100 {
-		b.gate.Offer(b.request("large", 4000, time.Minute), &b.world)
+		b.gate.Admit(b.request("large", 4000, time.Minute), &b.world)
 	}
 	heavy := b.request("heavy", 4000, time.Minute)
 	heavy.Weight = 2
-	b.gate.Offer(heavy, &b.world)
+	b.gate.Admit(heavy, &b.world)
 	for range 9 {
 		r := b.request("heavy", 4000, time.Minute)
 		r.Weight = 2
-		b.gate.Offer(r, &b.world)
+		b.gate.Admit(r, &b.world)
 	}
 	for range 10 {
-		b.gate.Offer(b.request("small", 4000, time.Minute), &b.world)
+		b.gate.Admit(b.request("small", 4000, time.Minute), &b.world)
 	}
 	served := map[fleet.WorkspaceID]int{}
 	for range 20 { // each report lets one or two prompts through
 		b.report(0, 0)
-		for _, d := range b.gate.Wake(&b.world, nil) {
+		for _, d := range b.gate.ProcessQueues(&b.world, nil) {
 			if served["large"]+served["small"]+served["heavy"] < 12 {
 				served[d.Request.Workspace]++
 			}
@@ -200,16 +200,16 @@
 	b := newBench(20)
 	b.report(busy, 0)
 	for range 20 {
-		b.gate.Offer(b.request("large", 1000, 30*time.Second), &b.world)
+		b.gate.Admit(b.request("large", 1000, 30*time.Second), &b.world)
 	}
-	d := b.gate.Offer(b.request("large", 1000, 30*time.Second), &b.world)
-	is.Equal(d.Reason, admit.Full)
+	d := b.gate.Admit(b.request("large", 1000, 30*time.Second), &b.world)
+	is.Equal(d.Reason, admit.QueueFull)
 	is.Equal(d.Kind, fault.QueueFull)
 	small := b.request("small", 1000, 30*time.Second)
-	d = b.gate.Offer(small, &b.world)
-	is.Equal(d.Reason, admit.PushedOut)
+	d = b.gate.Admit(small, &b.world)
+	is.Equal(d.Reason, admit.Evicted)
 	is.Equal(d.Request.Workspace, fleet.WorkspaceID("large"))
-	is.Equal(b.gate.Waiting(cost.Short), 20)
+	is.Equal(b.gate.QueueLength(cost.Short), 20)
 	is.True(b.gate.Cancel(small.ID)) // it waits
 }
 
@@ -220,19 +220,19 @@
 	b := newBench(100)
 	b.report(0, memory/2)
 	large := b.request("a", 300_000, 10*time.Minute)
-	is.Equal(b.gate.Offer(large, &b.world).Reason, admit.WaitsForMemory)
-	b.gate.Offer(b.request("b", 110_000, 10*time.Minute), &b.world)
-	out := b.gate.Wake(&b.world, nil)
+	is.Equal(b.gate.Admit(large, &b.world).Reason, admit.MemoryBusy)
+	b.gate.Admit(b.request("b", 110_000, 10*time.Minute), &b.world)
+	out := b.gate.ProcessQueues(&b.world, nil)
 	is.Equal(len(out), 1) // the smaller one passes
 	is.Equal(out[0].Verb, admit.Reserve)
-	b.gate.Reserved(out[0].Request, &out[0].Plan, true, &b.world)
+	b.gate.ReservationResult(out[0].Request, &out[0].Plan, true, &b.world)
 
 	b.world.Now = b.world.Now.Add(6 * time.Second)
 	b.report(0, memory/2)
-	b.gate.Offer(b.request("c", 110_000, 10*time.Minute), &b.world)
-	is.Equal(len(b.gate.Wake(&b.world, nil)), 0) // not any more
+	b.gate.Admit(b.request("c", 110_000, 10*time.Minute), &b.world)
+	is.Equal(len(b.gate.ProcessQueues(&b.world, nil)), 0) // not any more
 	b.report(0, 0)
-	out = b.gate.Wake(&b.world, nil)
+	out = b.gate.ProcessQueues(&b.world, nil)
 	is.Equal(out[0].Request, large)
 }
 
@@ -240,25 +240,25 @@
 	is := is.New(t)
 	b := newBench(100)
 	r := b.request("w", 200_000, time.Minute)
-	d := b.gate.Offer(r, &b.world)
+	d := b.gate.Admit(r, &b.world)
 	is.Equal(d.Verb, admit.Reserve)
-	back := b.gate.Reserved(r, &d.Plan, false, &b.world)
-	is.Equal(back.Verb, admit.Queued)
-	is.Equal(len(b.gate.Wake(&b.world, nil)), 0) // not at once
+	back := b.gate.ReservationResult(r, &d.Plan, false, &b.world)
+	is.Equal(back.Verb, admit.Enqueue)
+	is.Equal(len(b.gate.ProcessQueues(&b.world, nil)), 0) // not at once
 	b.world.Now = b.world.Now.Add(300 * time.Millisecond)
-	out := b.gate.Wake(&b.world, nil)
+	out := b.gate.ProcessQueues(&b.world, nil)
 	is.Equal(out[0].Verb, admit.Reserve)
 	b.world.Now = r.Deadline
-	is.Equal(b.gate.Reserved(r, &out[0].Plan, false, &b.world).Reason, admit.Expired)
+	is.Equal(b.gate.ReservationResult(r, &out[0].Plan, false, &b.world).Reason, admit.Expired)
 }
 
 func TestPromptThatNoEnginesCanHoldIsRefused(t *testing.T) {
 	is := is.New(t)
 	b := newBench(100)
-	d := b.gate.Offer(b.request("w", 900_000, time.Hour), &b.world)
+	d := b.gate.Admit(b.request("w", 900_000, time.Hour), &b.world)
 	is.Equal(d.Kind, fault.NoMemory)
 	b.world.Pool = pick.NewPool(nil, nil, memory)
-	is.Equal(b.gate.Offer(b.request("w", 1000, time.Hour), &b.world).Kind, fault.NoUpstream)
+	is.Equal(b.gate.Admit(b.request("w", 1000, time.Hour), &b.world).Kind, fault.NoUpstream)
 }
 
 // Whatever comes in which order: each request gets exactly one last decision, the queue stays within its
@@ -273,10 +273,10 @@
 			switch d.Verb {
 			case admit.Reserve:
 				granted := rapid.Bool().Draw(t, "granted")
-				d = b.gate.Reserved(d.Request, &d.Plan, granted, &b.world)
-			case admit.Queued:
+				d = b.gate.ReservationResult(d.Request, &d.Plan, granted, &b.world)
+			case admit.Enqueue:
 			}
-			if d.Verb != admit.Queued {
+			if d.Verb != admit.Enqueue {
 				last[d.Request]++
 			}
 		}
@@ -287,10 +287,10 @@
 					rapid.SampledFrom([]int{1000, 20_000, 150_000, 300_000}).Draw(t, "tokens"),
 					time.Duration(rapid.IntRange(1, 60).Draw(t, "timeout"))*time.Second)
 				open = append(open, r)
-				settle(b.gate.Offer(r, &b.world))
+				settle(b.gate.Admit(r, &b.world))
 			case 2:
 				b.report(rapid.Int64Range(0, 100_000).Draw(t, "queued"), rapid.Int64Range(0, memory).Draw(t, "used"))
-				for _, d := range b.gate.Wake(&b.world, nil) {
+				for _, d := range b.gate.ProcessQueues(&b.world, nil) {
 					settle(d)
 				}
 			case 3:
@@ -302,12 +302,12 @@
 					}
 				}
 			}
-			if n := b.gate.Waiting(cost.Short) + b.gate.Waiting(cost.Medium) + b.gate.Waiting(cost.Long); n > length {
+			if n := b.gate.QueueLength(cost.Short) + b.gate.QueueLength(cost.Medium) + b.gate.QueueLength(cost.Long); n > length {
 				t.Fatalf("%d wait in a queue of %d", n, length)
 			}
 		}
 		b.world.Now = b.world.Now.Add(time.Hour)
-		for _, d := range b.gate.Wake(&b.world, nil) {
+		for _, d := range b.gate.ProcessQueues(&b.world, nil) {
 			settle(d)
 		}
 		for _, r := range open {
@@ -323,7 +323,7 @@
 	b := newBench(10)
 	r := b.request("w", 10, time.Hour)
 	is.Equal(testing.AllocsPerRun(100, func() {
-		d, ok := b.gate.Direct(r, &b.world)
+		d, ok := b.gate.TryDispatch(r, &b.world)
 		if !ok {
 			t.Fatal(d.Reason)
 		}
--- a/internal/decide/admit/gate.go
+++ b/internal/decide/admit/gate.go
@@ -31,11 +31,11 @@
 func queueOf(c cost.Class) int { return min(int(c), queueCount-1) }
 
 // World is what a decision sees: all of it immutable or atomic.
-type World struct {
-	Pool    *pick.Pool
-	Entries int // instances that send to the pool, this one included
-	Now     decide.Instant
-	Rand    decide.Rand
+type View struct {
+	Pool      *pick.Pool
+	Instances int // instances that send to the pool, this one included
+	Now       decide.Instant
+	Rand      decide.Rand
 }
 
 // Gate decides for one model on one instance. Direct may be called by any number of requests at once;
@@ -54,12 +54,12 @@
 }
 
 // Waiting is the number of requests that wait in the class's queue.
-func (g *Gate) Waiting(class cost.Class) int { return int(g.waiting[queueOf(class)].Load()) }
+func (g *Gate) QueueLength(class cost.Class) int { return int(g.waiting[queueOf(class)].Load()) }
 
 // Direct decides for a request that need not wait, on atomic counters alone. It leaves the request alone
 // (ok is false) where others wait in its queue, where it is for the lanes, or where it has to wait: then
 // Offer decides.
-func (g *Gate) Direct(r *Request, w *World) (d Decision, ok bool) {
+func (g *Gate) TryDispatch(r *Request, w *View) (d Decision, ok bool) {
 	if r.Class.UsesLanes() || g.waiting[queueOf(r.Class)].Load() > 0 {
 		return Decision{}, false
 	}
@@ -68,12 +68,12 @@
 }
 
 // Offer decides for a request that has just come.
-func (g *Gate) Offer(r *Request, w *World) Decision {
+func (g *Gate) Admit(r *Request, w *View) Decision {
 	q := &g.queues[queueOf(r.Class)]
-	d := Decision{Verb: Queued, Request: r, Reason: WaitsItsTurn}
+	d := Decision{Verb: Enqueue, Request: r, Reason: BehindOthers}
 	if q.length == 0 {
 		d = g.place(r, w)
-		if d.Verb != Queued {
+		if d.Verb != Enqueue {
 			return d
 		}
 	}
@@ -81,11 +81,11 @@
 }
 
 // place tries to find an engine for the request now. Queued means that there is none.
-func (g *Gate) place(r *Request, w *World) Decision {
+func (g *Gate) place(r *Request, w *View) Decision {
 	r.ask(g.profile, w)
 	candidates := w.Pool.ForClass(r.Class)
 	if len(candidates) == 0 {
-		return refuse(r, fault.NoUpstream, NothingThere, 0)
+		return refuse(r, fault.NoUpstream, NoEngine, 0)
 	}
 	if r.Class.UsesLanes() {
 		return g.plan(r, w, candidates)
@@ -93,42 +93,42 @@
 	return g.choose(r, w, candidates)
 }
 
-func (r *Request) ask(profile *pick.Profile, w *World) {
+func (r *Request) ask(profile *pick.Profile, w *View) {
 	r.query = pick.Query{
-		Prompt: &r.Prompt, Class: r.Class, Now: w.Now, Rand: w.Rand, Instances: w.Entries,
+		Prompt: &r.Prompt, Class: r.Class, Now: w.Now, Rand: w.Rand, Instances: w.Instances,
 		Exclude: r.Exclude, Profile: profile,
 	}
 }
 
-func (g *Gate) choose(r *Request, w *World, candidates []pick.Candidate) Decision {
+func (g *Gate) choose(r *Request, w *View, candidates []pick.Candidate) Decision {
 	choice := g.pipeline.Pick(&r.query, candidates)
 	switch {
 	case choice.Engine == nil && choice.Reason == pick.NoEngine:
-		return refuse(r, fault.NoUpstream, NothingThere, 0)
+		return refuse(r, fault.NoUpstream, NoEngine, 0)
 	case choice.Engine == nil: // no room now, or the caller's gate is shut for now
-		return Decision{Verb: Queued, Request: r, Reason: choice.Reason}
-	case w.Now.Add(choice.Estimate.FirstToken-choice.Estimate.Wait+r.Decode).Sub(r.Deadline) > 0:
+		return Decision{Verb: Enqueue, Request: r, Reason: choice.Reason}
+	case w.Now.Add(choice.Estimate.FirstToken-choice.Estimate.Wait+r.DecodeTime).Sub(r.Deadline) > 0:
 		return refuse(r, fault.Infeasible, TooLate, 0)
 	case choice.Estimate.Wait > g.profile.MaxWait[r.Class]:
-		return Decision{Verb: Queued, Request: r, Choice: choice, Reason: WaitsForEngine}
-	case w.Now.Add(choice.Estimate.FirstToken+r.Decode).Sub(r.Deadline) > 0:
+		return Decision{Verb: Enqueue, Request: r, Choice: choice, Reason: EnginesBusy}
+	case w.Now.Add(choice.Estimate.FirstToken+r.DecodeTime).Sub(r.Deadline) > 0:
 		return refuse(r, fault.Infeasible, TooLate, choice.Estimate.Wait)
 	}
 	choice.Engine.RecordDispatch(r.Class, int64(choice.Estimate.Cost), r.Prompt.MemoryTokens(), w.Now)
 	return Decision{Verb: Dispatch, Request: r, Choice: choice, Reason: choice.Reason}
 }
 
-func (g *Gate) plan(r *Request, w *World, candidates []pick.Candidate) Decision {
+func (g *Gate) plan(r *Request, w *View, candidates []pick.Candidate) Decision {
 	if tooBig(r, candidates) {
 		return refuse(r, fault.NoMemory, pick.NoMemory, 0)
 	}
 	plan := pick.PlanLong(&r.query, candidates, g.pipeline.Gates)
 	switch {
 	case len(plan.Parts) == 0:
-		return Decision{Verb: Queued, Request: r, Reason: WaitsForMemory}
+		return Decision{Verb: Enqueue, Request: r, Reason: MemoryBusy}
 	case plan.Estimate.Wait > g.profile.MaxWait[r.Class]:
-		return Decision{Verb: Queued, Request: r, Plan: plan, Reason: WaitsForEngine}
-	case w.Now.Add(plan.Estimate.FirstToken+r.Decode).Sub(r.Deadline) > 0:
+		return Decision{Verb: Enqueue, Request: r, Plan: plan, Reason: EnginesBusy}
+	case w.Now.Add(plan.Estimate.FirstToken+r.DecodeTime).Sub(r.Deadline) > 0:
 		return refuse(r, fault.Infeasible, TooLate, 0)
 	}
 	return Decision{Verb: Reserve, Request: r, Plan: plan, Reason: plan.Reason}
@@ -148,12 +148,12 @@
 }
 
 // enqueue keeps the request, unless it could not finish in its time or the queue is full.
-func (g *Gate) enqueue(q *queue, r *Request, w *World, why decide.Reason) Decision {
+func (g *Gate) enqueue(q *queue, r *Request, w *View, why decide.Reason) Decision {
 	if q.length == 0 {
 		q.drain.begin(capacity(w, r.Class), w.Now)
 	}
 	own := g.service(r, w)
-	r.latest = r.Deadline.Add(-own - r.Decode)
+	r.latest = r.Deadline.Add(-own - r.DecodeTime)
 	wait := q.wait(r)
 	if over := w.Now.Add(wait).Sub(r.latest); over > 0 {
 		return refuse(r, fault.Infeasible, TooLate, over)
@@ -167,20 +167,20 @@
 func (g *Gate) admit(q *queue, r *Request, wait time.Duration, why decide.Reason) Decision {
 	q.push(r)
 	g.waiting[queueOf(r.Class)].Add(1)
-	return Decision{Verb: Queued, Request: r, Wait: wait, Ahead: q.length - 1, Reason: why}
+	return Decision{Verb: Enqueue, Request: r, EstimatedWait: wait, OthersQueued: q.length - 1, Reason: why}
 }
 
 // pushOut makes place in a full queue for a workspace that holds less than the largest one: the request
 // that is then refused is the largest workspace's. Without that, one workspace that fills the queue would
 // have all others refused. The refused one is the Decision's Request, so it may not be r.
-func (g *Gate) pushOut(q *queue, r *Request, w *World, why decide.Reason) Decision {
+func (g *Gate) pushOut(q *queue, r *Request, w *View, why decide.Reason) Decision {
 	most := q.largest()
 	if most == nil || most.workspace == r.Workspace || most.load() <= q.flow(r).load1(r) {
-		return refuse(r, fault.QueueFull, Full, q.wait(r))
+		return refuse(r, fault.QueueFull, QueueFull, q.wait(r))
 	}
 	out := g.take(q, most, most.lastOf())
 	g.admit(q, r, q.wait(r), why)
-	return refuse(out, fault.QueueFull, PushedOut, q.wait(out))
+	return refuse(out, fault.QueueFull, Evicted, q.wait(out))
 }
 
 // load1 is the flow's load with the request added.
@@ -203,7 +203,7 @@
 }
 
 // service is the least time that an idle engine or group needs for the prompt.
-func (g *Gate) service(r *Request, w *World) time.Duration {
+func (g *Gate) service(r *Request, w *View) time.Duration {
 	rate, members := int64(0), int64(1)
 	for _, c := range w.Pool.ForClass(r.Class) {
 		rate = max(rate, c.PrefillRate())
@@ -215,12 +215,12 @@
 }
 
 // capacity is this instance's part of the engines' rate, in tokens a second.
-func capacity(w *World, class cost.Class) float64 {
+func capacity(w *View, class cost.Class) float64 {
 	var sum int64
 	for _, c := range w.Pool.ForClass(class) {
 		sum += c.PrefillRate()
 	}
-	return float64(sum) / float64(max(w.Entries, 1))
+	return float64(sum) / float64(max(w.Instances, 1))
 }
 
 func refuse(r *Request, kind fault.Kind, why decide.Reason, over time.Duration) Decision {
@@ -230,7 +230,7 @@
 
 // Wake goes through the queues after something changed (a report, an answer's end, time) and appends the
 // decisions that can be taken now to out.
-func (g *Gate) Wake(w *World, out []Decision) []Decision {
+func (g *Gate) ProcessQueues(w *View, out []Decision) []Decision {
 	for i := range g.queues {
 		q := &g.queues[i]
 		out = g.expire(q, w, out)
@@ -242,7 +242,7 @@
 
 // expire refuses what can't finish any more, at once: it has not run, and its caller can still turn
 // elsewhere.
-func (g *Gate) expire(q *queue, w *World, out []Decision) []Decision {
+func (g *Gate) expire(q *queue, w *View, out []Decision) []Decision {
 	for _, f := range q.flows {
 		for len(f.waiting) > 0 && f.waiting[0].latest.Before(w.Now) {
 			r := g.take(q, f, 0)
@@ -252,7 +252,7 @@
 	return out
 }
 
-func (g *Gate) drain(q *queue, w *World, out []Decision) []Decision {
+func (g *Gate) drain(q *queue, w *View, out []Decision) []Decision {
 	var tried []*flow
 	for len(tried) <= bypassers {
 		f := q.next(func(f *flow) bool { return !has(tried, f) })
@@ -260,11 +260,11 @@
 			return out
 		}
 		r := f.waiting[0]
-		d := Decision{Verb: Queued}
+		d := Decision{Verb: Enqueue}
 		if !w.Now.Before(r.again) {
 			d = g.place(r, w)
 		}
-		if d.Verb == Queued {
+		if d.Verb == Enqueue {
 			if !r.Class.UsesLanes() || w.Now.Sub(r.Arrived) > bypass {
 				return out
 			}
@@ -293,7 +293,7 @@
 
 // Reserved takes the outcome of a Reserve in. A granted one is counted as sent. One that was not granted
 // goes back to its place in the queue, unless its time is over.
-func (g *Gate) Reserved(r *Request, plan *pick.Plan, granted bool, w *World) Decision {
+func (g *Gate) ReservationResult(r *Request, plan *pick.Plan, granted bool, w *View) Decision {
 	if granted {
 		for _, p := range plan.Parts {
 			p.Engine.RecordDispatch(r.Class, p.Tokens, p.Tokens, w.Now)
@@ -309,15 +309,15 @@
 	if q.length == 0 {
 		q.drain.begin(capacity(w, r.Class), w.Now)
 	}
-	r.latest = r.Deadline.Add(-g.service(r, w) - r.Decode)
+	r.latest = r.Deadline.Add(-g.service(r, w) - r.DecodeTime)
 	if r.latest.Before(w.Now) {
 		return refuse(r, fault.Infeasible, Expired, 0)
 	}
-	return g.admit(q, r, q.wait(r), WaitsForMemory)
+	return g.admit(q, r, q.wait(r), MemoryBusy)
 }
 
 // Latest is the instant after which a waiting request can't finish in its time any more.
-func (r *Request) Latest() decide.Instant { return r.latest }
+func (r *Request) LatestStart() decide.Instant { return r.latest }
 
 // Cancel takes a waiting request out, as its caller has left; false where it does not wait.
 func (g *Gate) Cancel(id fleet.RequestID) bool {
--- a/internal/decide/admit/request.go
+++ b/internal/decide/admit/request.go
@@ -19,15 +19,15 @@
 
 // Request is one prompt at the gate.
 type Request struct {
-	ID        fleet.RequestID
-	Workspace fleet.WorkspaceID
-	Weight    float64 // of the workspace; 0: 1
-	Prompt    cost.Prompt
-	Class     cost.Class
-	Arrived   decide.Instant
-	Deadline  decide.Instant     // by which its last token is due
-	Decode    time.Duration      // expected time from its first token to its last
-	Exclude   []fleet.UpstreamID // engines that failed or refused it before
+	ID         fleet.RequestID
+	Workspace  fleet.WorkspaceID
+	Weight     float64 // of the workspace; 0: 1
+	Prompt     cost.Prompt
+	Class      cost.Class
+	Arrived    decide.Instant
+	Deadline   decide.Instant     // by which its last token is due
+	DecodeTime time.Duration      // expected time from its first token to its last
+	Exclude    []fleet.UpstreamID // engines that failed or refused it before
 
 	latest decide.Instant // latest start: Deadline less its own work
 	again  decide.Instant // no new try before
@@ -42,7 +42,7 @@
 const (
 	Dispatch Verb = iota // send it to Choice.Engine
 	Reserve              // reserve Plan's parts, then send it; feed the outcome back by Reserved
-	Queued               // keep it; a later Wake decides
+	Enqueue              // keep it; a later Wake decides
 	Refuse               // answer Kind with "not run" and RetryAfter, at once
 )
 
@@ -53,31 +53,31 @@
 
 // Decision is the outcome for one request.
 type Decision struct {
-	Verb       Verb
-	Request    *Request
-	Choice     pick.Choice   // of Dispatch
-	Plan       pick.Plan     // of Reserve
-	Kind       fault.Kind    // of Refuse
-	RetryAfter time.Duration // of Refuse
-	Wait       time.Duration // estimate of its wait in the queue
-	Ahead      int           // requests in its queue
-	Reason     decide.Reason
+	Verb          Verb
+	Request       *Request
+	Choice        pick.Choice   // of Dispatch
+	Plan          pick.Plan     // of Reserve
+	Kind          fault.Kind    // of Refuse
+	RetryAfter    time.Duration // of Refuse
+	EstimatedWait time.Duration // estimate of its wait in the queue
+	OthersQueued  int           // requests in its queue
+	Reason        decide.Reason
 }
 
 // Reasons of a decision besides those of package pick.
 const (
-	WaitsForEngine decide.Reason = "engines_busy"    // every engine looked at is over the wait window
-	WaitsForMemory decide.Reason = "memory_busy"     // no engine or group has the memory now
-	WaitsItsTurn   decide.Reason = "behind_others"   // others of its class were there first
-	TooLate        decide.Reason = "too_late"        // it can't finish in its time
-	Expired        decide.Reason = "expired_waiting" // it waited until it could not finish any more
-	Full           decide.Reason = "queue_full"
-	PushedOut      decide.Reason = "pushed_out" // its workspace held more than its share of a full queue
-	NothingThere   decide.Reason = "no_engine"  // no engine serves it now
+	EnginesBusy  decide.Reason = "engines_busy"    // every engine looked at is over the wait window
+	MemoryBusy   decide.Reason = "memory_busy"     // no engine or group has the memory now
+	BehindOthers decide.Reason = "behind_others"   // others of its class were there first
+	TooLate      decide.Reason = "too_late"        // it can't finish in its time
+	Expired      decide.Reason = "expired_waiting" // it waited until it could not finish any more
+	QueueFull    decide.Reason = "queue_full"
+	Evicted      decide.Reason = "pushed_out" // its workspace held more than its share of a full queue
+	NoEngine     decide.Reason = "no_engine"  // no engine serves it now
 )
 
 // Reasons lists all of them.
 var Reasons = append([]decide.Reason{
-	WaitsForEngine, WaitsForMemory, WaitsItsTurn, TooLate, Expired, Full, PushedOut,
+	EnginesBusy, MemoryBusy, BehindOthers, TooLate, Expired, QueueFull, Evicted,
 	pick.OneEngine, pick.EngineGroup, pick.Split,
 }, pick.Reasons...)
--- a/internal/decide/reserve/group.go
+++ b/internal/decide/reserve/group.go
@@ -31,31 +31,31 @@
 
 // The verbs.
 const (
-	Ask     Verb = iota // send the part's reservation after After; feed Granted, Refused or Unknown
+	Reserve Verb = iota // send the part's reservation after After; feed Granted, Refused or Unknown
 	Release             // release the part after After; feed Released or ReleaseLost
 	Ready               // all parts are held: the request may be sent
 	Failed              // the request gets no reservation; parts that it had are being released
-	Over                // nothing is left to do
+	Done                // nothing is left to do
 )
 
 // Effect is one thing to do. Part is the index for Ask and Release.
 type Effect struct {
 	Verb   Verb
 	Part   int
-	After  time.Duration
+	Delay  time.Duration
 	Reason decide.Reason
 }
 
 // Reasons of a group's outcome.
 const (
-	AllHeld    decide.Reason = "all_parts_held"
-	NoMemory   decide.Reason = "part_refused"        // an engine had no memory for as long as the group may wait
-	AnswerLost decide.Reason = "reserve_answer_lost" // it may stand or not, so all is given back
-	Ended      decide.Reason = "request_ended"
+	AllHeld      decide.Reason = "all_parts_held"
+	NoMemory     decide.Reason = "part_refused"        // an engine had no memory for as long as the group may wait
+	AnswerLost   decide.Reason = "reserve_answer_lost" // it may stand or not, so all is given back
+	RequestEnded decide.Reason = "request_ended"
 )
 
 // Reasons lists all of them.
-var Reasons = []decide.Reason{AllHeld, NoMemory, AnswerLost, Ended, DeadlinePassed, HolderGone}
+var Reasons = []decide.Reason{AllHeld, NoMemory, AnswerLost, RequestEnded, DeadlinePassed, HolderGone}
 
 const (
 	// askAgain is the time between two tries at an engine without memory.
@@ -121,7 +121,7 @@
 func (g *Group) Len() int { return len(g.parts) }
 
 // Held tells whether the request may use its reservations.
-func (g *Group) Held() bool { return g.phase == ready }
+func (g *Group) Ready() bool { return g.phase == ready }
 
 // Start asks the first engine.
 func (g *Group) Start(now decide.Instant) []Effect {
@@ -131,7 +131,7 @@
 
 func (g *Group) ask(i int, after time.Duration) []Effect {
 	g.parts[i].state = asking
-	return []Effect{{Verb: Ask, Part: i, After: after}}
+	return []Effect{{Verb: Reserve, Part: i, Delay: after}}
 }
 
 // Granted tells that the engine holds the part.
@@ -174,7 +174,7 @@
 // Failure guarded against: the reservation stands on the engine, and nobody knows. It is released by its
 // id, at once and once more after settle: the lost call may still be on its way and arrive behind the
 // first release. Expiry and sweeper stand behind that.
-func (g *Group) Unknown(i int) []Effect {
+func (g *Group) ReserveUnknown(i int) []Effect {
 	p := &g.parts[i]
 	if p.state != asking {
 		return nil
@@ -191,7 +191,7 @@
 	if g.phase == ending || g.phase == over {
 		return nil
 	}
-	return g.end(Ended, g.phase == acquiring)
+	return g.end(RequestEnded, g.phase == acquiring)
 }
 
 // end releases the parts held. A part whose answer is still on its way is released when that comes: sent
@@ -215,7 +215,7 @@
 
 func (g *Group) release(i int, after time.Duration) []Effect {
 	g.parts[i].state = releasing
-	return []Effect{{Verb: Release, Part: i, After: after}}
+	return []Effect{{Verb: Release, Part: i, Delay: after}}
 }
 
 // Released tells that the engine does not hold the part any more.
@@ -234,7 +234,7 @@
 
 // ReleaseLost tells that the release's outcome is not known. It is repeated, since releasing twice does
 // no harm, until the request's deadline and grace are over.
-func (g *Group) ReleaseLost(i int, now decide.Instant) []Effect {
+func (g *Group) ReleaseUnknown(i int, now decide.Instant) []Effect {
 	p := &g.parts[i]
 	if p.state != releasing {
 		return nil
@@ -258,5 +258,5 @@
 		}
 	}
 	g.phase = over
-	return []Effect{{Verb: Over}}
+	return []Effect{{Verb: Done}}
 }
--- a/internal/decide/reserve/model_test.go
+++ b/internal/decide/reserve/model_test.go
@@ -113,7 +113,7 @@
 	for i, e := range engines {
 		parts = append(parts, reserve.Part{ID: fmt.Sprintf("%s/%d", name, i), Upstream: e, Tokens: tokens})
 	}
-	h.group = reserve.New(parts, time.Second, m.now.Add(deadline+reserve.Grace))
+	h.group = reserve.New(parts, time.Second, m.now.Add(deadline+reserve.ReleaseGrace))
 	return h
 }
 
@@ -126,7 +126,7 @@
 			h.ready = true
 		case reserve.Failed:
 			h.failed = true
-		case reserve.Over:
+		case reserve.Done:
 			h.over = true
 		default:
 			h.send(f)
@@ -138,12 +138,12 @@
 // comes back.
 func (h *holder) send(f reserve.Effect) {
 	p := h.group.Part(f.Part)
-	c := &call{at: h.m.now.Add(f.After + time.Millisecond), to: p.Upstream, id: p.ID}
+	c := &call{at: h.m.now.Add(f.Delay + time.Millisecond), to: p.Upstream, id: p.ID}
 	c.arm = func() bool { return !h.dead }
 	c.apply = func() {
 		h.step(f, false)
 		granted := true
-		if f.Verb == reserve.Ask {
+		if f.Verb == reserve.Reserve {
 			granted = h.m.reserve(p.Upstream, wire.Reservation{
 				ID: p.ID, Holder: string(h.me.Instance), Incarnation: h.me.Incarnation,
 				Tokens: p.Tokens, DeadlineMs: h.deadline.Milliseconds(),
@@ -168,14 +168,14 @@
 func (h *holder) answer(f reserve.Effect, granted bool) []reserve.Effect {
 	lost := h.lose != nil && h.lose(f.Verb, f.Part)
 	switch {
-	case f.Verb == reserve.Ask && lost:
-		return h.group.Unknown(f.Part)
-	case f.Verb == reserve.Ask && granted:
+	case f.Verb == reserve.Reserve && lost:
+		return h.group.ReserveUnknown(f.Part)
+	case f.Verb == reserve.Reserve && granted:
 		return h.group.Granted(f.Part)
-	case f.Verb == reserve.Ask:
+	case f.Verb == reserve.Reserve:
 		return h.group.Refused(f.Part, h.m.now)
 	case lost:
-		return h.group.ReleaseLost(f.Part, h.m.now)
+		return h.group.ReleaseUnknown(f.Part, h.m.now)
 	default:
 		return h.group.Released(f.Part)
 	}
@@ -209,7 +209,7 @@
 // sweep lets a sweeper look at every engine, and releases what it says.
 func (m *fleetModel) sweep(s *reserve.Sweeper, presence func(reserve.Holder) reserve.Presence) {
 	for e := range m.held {
-		for _, swept := range s.Judge(m.list(e), presence, m.now) {
+		for _, swept := range s.FindOrphans(m.list(e), presence, m.now) {
 			m.release(e, swept.ID)
 		}
 	}
--- a/internal/decide/reserve/reserve_test.go
+++ b/internal/decide/reserve/reserve_test.go
@@ -15,7 +15,7 @@
 
 func present(reserve.Holder) reserve.Presence { return reserve.Present }
 func missing(reserve.Holder) reserve.Presence { return reserve.Missing }
-func unsure(reserve.Holder) reserve.Presence  { return reserve.Unsure }
+func unsure(reserve.Holder) reserve.Presence  { return reserve.Undetermined }
 
 func TestGroupHoldsAllPartsAndGivesThemBack(t *testing.T) {
 	is := is.New(t)
@@ -80,7 +80,7 @@
 	}
 	steps := []step{}
 	for part := range 3 {
-		for _, verb := range []reserve.Verb{reserve.Ask, reserve.Release} {
+		for _, verb := range []reserve.Verb{reserve.Reserve, reserve.Release} {
 			steps = append(steps, step{verb, part, false}, step{verb, part, true})
 		}
 	}
@@ -109,7 +109,7 @@
 				m.sweep(&sweeper, missing)
 				m.advance(time.Second)
 			}
-			if s.verb == reserve.Ask {
+			if s.verb == reserve.Reserve {
 				is.True(left > 0 || !s.answered && s.part == 0) // there was something to sweep
 			}
 			is.Equal(m.total(), 0)
@@ -124,7 +124,7 @@
 		is := is.New(t)
 		m := newModel("a", "b", "c")
 		h := m.holder("h", 60, "a", "b", "c")
-		h.lose = func(v reserve.Verb, p int) bool { return v == reserve.Ask && p == part }
+		h.lose = func(v reserve.Verb, p int) bool { return v == reserve.Reserve && p == part }
 		h.start()
 		m.advance(time.Second)
 		is.True(h.failed)
@@ -142,7 +142,7 @@
 	h.start()
 	held := m.pending[0]
 	m.pending = nil // on its way, for two seconds
-	h.carry(h.group.Unknown(0))
+	h.carry(h.group.ReserveUnknown(0))
 	m.advance(2 * time.Second) // the release was there and found nothing
 	m.reserve("a", wire.Reservation{ID: held.id, Holder: "h", Incarnation: "h-1", Tokens: 60})
 	m.advance(10 * time.Second)
@@ -187,10 +187,10 @@
 		return v == reserve.Release
 	}
 	h.carry(h.group.End())
-	m.advance(deadline + reserve.Grace + 3*time.Second)
+	m.advance(deadline + reserve.ReleaseGrace + 3*time.Second)
 	is.True(h.over) // it does not try for ever
 	is.Equal(m.total(), 1)
-	m.advance(deadline + reserve.Grace)
+	m.advance(deadline + reserve.ReleaseGrace)
 	var sweeper reserve.Sweeper
 	m.sweep(&sweeper, present) // the deadline alone is enough
 	is.Equal(m.total(), 0)
@@ -205,12 +205,12 @@
 	m.reserve("a", wire.Reservation{ID: "dead", Holder: "gone", Incarnation: "gone-1", Tokens: 60})
 	var s1, s2 reserve.Sweeper
 	for range 16 {
-		s1.Judge(m.list("a"), missing, m.now)
-		s2.Judge(m.list("a"), missing, m.now)
+		s1.FindOrphans(m.list("a"), missing, m.now)
+		s2.FindOrphans(m.list("a"), missing, m.now)
 		m.advance(time.Second)
 	}
-	first := s1.Judge(m.list("a"), missing, m.now)
-	second := s2.Judge(m.list("a"), missing, m.now)
+	first := s1.FindOrphans(m.list("a"), missing, m.now)
+	second := s2.FindOrphans(m.list("a"), missing, m.now)
 	is.Equal(len(first), 1)
 	is.Equal(second, first)
 	is.Equal(first[0].Reason, reserve.HolderGone)
@@ -229,7 +229,7 @@
 	paused := m.holder("paused", 60, "a")
 	paused.start()
 	m.advance(time.Second)
-	is.True(paused.group.Held())
+	is.True(paused.group.Ready())
 	paused.dead = true
 	var sweeper reserve.Sweeper
 	for range 20 {
@@ -328,7 +328,7 @@
 	for _, h := range holders {
 		for i := range h.group.Len() {
 			p := h.group.Part(i)
-			if held := m.run(p.Upstream, p.ID); held != true && h.group.Held() {
+			if held := m.run(p.Upstream, p.ID); held != true && h.group.Ready() {
 				t.Fatalf("%s is ready without part %d", h.me.Instance, i)
 			} else if held && h.over {
 				t.Fatalf("%s is over and holds part %d", h.me.Instance, i)
--- a/internal/decide/reserve/sweep.go
+++ b/internal/decide/reserve/sweep.go
@@ -18,10 +18,10 @@
 
 const (
 	// Grace is how long after its request's deadline a reservation is left to its holder's release.
-	Grace = 5 * time.Second
+	ReleaseGrace = 5 * time.Second
 	// GoneFor is how long a holder must have been missing, without a break, in what the sweeper sees. It
 	// is above the lag of the instance list, which does not show a holder that has just started.
-	GoneFor = 15 * time.Second
+	MinAbsence = 15 * time.Second
 )
 
 // Holder is one life of an instance.
@@ -35,13 +35,13 @@
 
 // The presences.
 const (
-	Present Presence = iota
-	Missing          // not in the list, or the list or its heartbeat shows another incarnation
-	Unsure           // what the sweeper sees is itself too old to tell
+	Present      Presence = iota
+	Missing               // not in the list, or the list or its heartbeat shows another incarnation
+	Undetermined          // what the sweeper sees is itself too old to tell
 )
 
 // Sweep is one reservation to be released.
-type Sweep struct {
+type Orphan struct {
 	ID     string
 	Holder Holder
 	Reason decide.Reason
@@ -66,16 +66,16 @@
 // compared. Failure guarded against by GoneFor: a list that lags does not show a holder that is there. It
 // shows as a young instance's reservations being swept. The absence must last, and is forgotten when the
 // sweeper itself has not looked for as long: a sweeper that was paused begins anew.
-func (s *Sweeper) Judge(list *wire.Reservations, presence func(Holder) Presence, now decide.Instant) []Sweep {
-	var swept []Sweep
+func (s *Sweeper) FindOrphans(list *wire.Reservations, presence func(Holder) Presence, now decide.Instant) []Orphan {
+	var swept []Orphan
 	for i := range list.Reservations {
 		r := &list.Reservations[i]
 		h := Holder{fleet.InstanceID(r.Holder), r.Incarnation}
 		switch {
 		case overdue(r):
-			swept = append(swept, Sweep{r.ID, h, DeadlinePassed})
+			swept = append(swept, Orphan{r.ID, h, DeadlinePassed})
 		case s.gone(h, presence(h), now):
-			swept = append(swept, Sweep{r.ID, h, HolderGone})
+			swept = append(swept, Orphan{r.ID, h, HolderGone})
 		}
 	}
 	return swept
@@ -84,7 +84,7 @@
 func overdue(r *wire.Reservation) bool {
 	age := time.Duration(r.AgeMs) * time.Millisecond
 	deadline := time.Duration(r.DeadlineMs) * time.Millisecond
-	return r.DeadlineMs > 0 && age > deadline+Grace
+	return r.DeadlineMs > 0 && age > deadline+ReleaseGrace
 }
 
 func (s *Sweeper) gone(h Holder, p Presence, now decide.Instant) bool {
@@ -100,11 +100,11 @@
 		return false
 	}
 	a := &s.missing[at]
-	if now.Sub(a.last) >= GoneFor {
+	if now.Sub(a.last) >= MinAbsence {
 		a.since = now
 	}
 	a.last = now
-	return now.Sub(a.since) >= GoneFor
+	return now.Sub(a.since) >= MinAbsence
 }
 
 func compare(a, b Holder) int {
@@ -115,6 +115,6 @@
 }
 
 // Forget drops holders that were not seen missing for long: they have no reservations left.
-func (s *Sweeper) Forget(now decide.Instant) {
-	s.missing = slices.DeleteFunc(s.missing, func(a absence) bool { return now.Sub(a.last) > 4*GoneFor })
+func (s *Sweeper) Prune(now decide.Instant) {
+	s.missing = slices.DeleteFunc(s.missing, func(a absence) bool { return now.Sub(a.last) > 4*MinAbsence })
 }
--- a/internal/decide/retry/budget.go
+++ b/internal/decide/retry/budget.go
@@ -66,7 +66,7 @@
 func NewBudget(percent, least int64) *Budget {
 	b := &Budget{}
 	b.SetPercent(percent)
-	b.SetLeast(least)
+	b.SetMinRetries(least)
 	return b
 }
 
@@ -74,18 +74,18 @@
 func (b *Budget) SetPercent(n int64) { b.percent.Store(n) }
 
 // SetLeast changes the number of retries that are always allowed in a Window.
-func (b *Budget) SetLeast(n int64) { b.least.Store(n) }
+func (b *Budget) SetMinRetries(n int64) { b.least.Store(n) }
 
 // Request counts a request's first dispatch.
-func (b *Budget) Request(now decide.Instant) { b.requests.add(now) }
+func (b *Budget) RecordRequest(now decide.Instant) { b.requests.add(now) }
 
 // Left is the number of retries that may follow now. Requests are counted over a bit less than the window
 // and retries over a bit more, so that the bound holds for every ten seconds and not just for those that
 // begin with a bucket.
-func (b *Budget) Left(now decide.Instant) int64 {
+func (b *Budget) Remaining(now decide.Instant) int64 {
 	allowed := max(b.least.Load(), b.requests.since(now, inWindow-2)*b.percent.Load()/100)
 	return allowed - b.retries.since(now, inWindow)
 }
 
 // Retry counts a retry.
-func (b *Budget) Retry(now decide.Instant) { b.retries.add(now) }
+func (b *Budget) RecordRetry(now decide.Instant) { b.retries.add(now) }
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -14,19 +14,19 @@
 
 func budgets(requests int, now decide.Instant) retry.Budgets {
 	b := retry.Budgets{
-		retry.NewBudget(retry.InstancePercent, retry.InstanceLeast(9)),
-		retry.NewBudget(retry.UpstreamPercent, retry.UpstreamLeast),
-		retry.NewBudget(retry.WorkspacePercent, retry.WorkspaceLeast),
+		retry.NewBudget(retry.InstancePercent, retry.InstanceMinRetries(9)),
+		retry.NewBudget(retry.UpstreamPercent, retry.UpstreamMinRetries),
+		retry.NewBudget(retry.WorkspacePercent, retry.WorkspaceMinRetries),
 	}
 	for range requests {
-		b.Request(now)
+		b.RecordRequest(now)
 	}
 	return b
 }
 
 func TestAfter(t *testing.T) {
 	const now = decide.Instant(100 * time.Second)
-	ok := retry.Failure{Started: true, Idempotent: true, Attempts: 1, Left: time.Minute, Elsewhere: true}
+	ok := retry.Failure{Started: true, Idempotent: true, Attempts: 1, TimeLeft: time.Minute, OtherUpstream: true}
 	with := func(change func(*retry.Failure)) retry.Failure {
 		f := ok
 		change(&f)
@@ -42,24 +42,24 @@
 		{"booking that may have run", with(func(f *retry.Failure) { f.Idempotent = false }), false, retry.ReasonMayHaveRun},
 		{"booking that did not start", with(func(f *retry.Failure) { f.Idempotent, f.Started = false, false }), false, retry.ReasonNotStarted},
 		{"did not start, budget spent", with(func(f *retry.Failure) { f.Started = false }), true, retry.ReasonNotStarted},
-		{"attempts spent", with(func(f *retry.Failure) { f.Attempts = 4 }), false, retry.ReasonAttempts},
-		{"no time", with(func(f *retry.Failure) { f.Left = 40 * time.Millisecond }), false, retry.ReasonNoTime},
-		{"no time for what the upstream asks", with(func(f *retry.Failure) { f.Left, f.RetryAfter, f.Elsewhere = time.Second, 2*time.Second, false }), false, retry.ReasonNoTime},
+		{"attempts spent", with(func(f *retry.Failure) { f.Attempts = 4 }), false, retry.ReasonAttemptsSpent},
+		{"no time", with(func(f *retry.Failure) { f.TimeLeft = 40 * time.Millisecond }), false, retry.ReasonNoTime},
+		{"no time for what the upstream asks", with(func(f *retry.Failure) { f.TimeLeft, f.RetryAfter, f.OtherUpstream = time.Second, 2*time.Second, false }), false, retry.ReasonNoTime},
 		{"budget spent", ok, true, retry.ReasonBudgetWait},
-		{"budget spent for long", with(func(f *retry.Failure) { f.Waited = 3900 * time.Millisecond }), true, retry.ReasonBudget},
-		{"budget spent and little time", with(func(f *retry.Failure) { f.Left = 200 * time.Millisecond }), true, retry.ReasonBudget},
+		{"budget spent for long", with(func(f *retry.Failure) { f.BudgetWait = 3900 * time.Millisecond }), true, retry.ReasonBudgetSpent},
+		{"budget spent and little time", with(func(f *retry.Failure) { f.TimeLeft = 200 * time.Millisecond }), true, retry.ReasonBudgetSpent},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			b := budgets(100, now)
-			for row.spent && b[0].Left(now) > 0 {
-				b[0].Retry(now)
+			for row.spent && b[0].Remaining(now) > 0 {
+				b[0].RecordRetry(now)
 			}
-			v := retry.DefaultParams().After(row.f, b, rand.New(rand.NewPCG(1, 1)), now)
+			v := retry.DefaultParams().Decide(row.f, b, rand.New(rand.NewPCG(1, 1)), now)
 			is.Equal(v.Reason, row.reason)
-			is.True(!v.Again || v.Wait+retry.DefaultParams().LeastTime <= row.f.Left) // the wait fits in the time left
-			is.True(!(v.Again && v.Ask))
+			is.True(!v.Retry || v.Wait+retry.DefaultParams().MinTimeLeft <= row.f.TimeLeft) // the wait fits in the time left
+			is.True(!(v.Retry && v.WaitForBudget))
 		})
 	}
 }
@@ -69,12 +69,12 @@
 func TestBackoffSpreads(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 2))
-	f := retry.Failure{Idempotent: true, Attempts: 3, Left: time.Minute}
+	f := retry.Failure{Idempotent: true, Attempts: 3, TimeLeft: time.Minute}
 	buckets := map[time.Duration]int{}
 	const n, width = 1000, 16 * time.Millisecond
 	for range n {
-		v := retry.DefaultParams().After(f, retry.Budgets{}, r, 0)
-		is.True(v.Again)
+		v := retry.DefaultParams().Decide(f, retry.Budgets{}, r, 0)
+		is.True(v.Retry)
 		buckets[v.Wait/width]++
 	}
 	is.Equal(len(buckets), 10) // 160 ms: 20 ms doubled three times
@@ -94,30 +94,30 @@
 		if i%20 == 0 {
 			b[2] = noisy
 		}
-		b.Request(now)
+		b.RecordRequest(now)
 	}
-	f := retry.Failure{Started: true, Idempotent: true, Attempts: 1, Left: time.Minute, Elsewhere: true}
+	f := retry.Failure{Started: true, Idempotent: true, Attempts: 1, TimeLeft: time.Minute, OtherUpstream: true}
 	r := rand.New(rand.NewPCG(1, 3))
 	taken := 0
-	for retry.DefaultParams().After(f, retry.Budgets{instance, up, noisy}, r, now).Again {
+	for retry.DefaultParams().Decide(f, retry.Budgets{instance, up, noisy}, r, now).Retry {
 		taken++
 	}
 	is.Equal(taken, 15)
-	is.True(retry.DefaultParams().After(f, retry.Budgets{instance, up, quiet}, r, now).Again)
+	is.True(retry.DefaultParams().Decide(f, retry.Budgets{instance, up, quiet}, r, now).Retry)
 }
 
 func TestBudgetForgets(t *testing.T) {
 	is := is.New(t)
 	b := retry.NewBudget(10, 0)
-	is.Equal(b.Left(decide.Instant(time.Second)), int64(0))
+	is.Equal(b.Remaining(decide.Instant(time.Second)), int64(0))
 	for i := range 100 {
-		b.Request(decide.Instant(time.Duration(i) * 50 * time.Millisecond))
+		b.RecordRequest(decide.Instant(time.Duration(i) * 50 * time.Millisecond))
 	}
-	is.Equal(b.Left(decide.Instant(5*time.Second)), int64(10))
-	b.Retry(decide.Instant(5 * time.Second))
-	is.Equal(b.Left(decide.Instant(5*time.Second)), int64(9))
-	is.Equal(b.Left(decide.Instant(15*time.Second)), int64(-1)) // the requests are forgotten before the retries
-	is.Equal(b.Left(decide.Instant(16*time.Second)), int64(0))
+	is.Equal(b.Remaining(decide.Instant(5*time.Second)), int64(10))
+	b.RecordRetry(decide.Instant(5 * time.Second))
+	is.Equal(b.Remaining(decide.Instant(5*time.Second)), int64(9))
+	is.Equal(b.Remaining(decide.Instant(15*time.Second)), int64(-1)) // the requests are forgotten before the retries
+	is.Equal(b.Remaining(decide.Instant(16*time.Second)), int64(0))
 }
 
 func TestBudgetIsSafeForConcurrentUse(t *testing.T) {
@@ -127,10 +127,10 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 1000 {
-				b.Request(decide.Instant(time.Second))
+				b.RecordRequest(decide.Instant(time.Second))
 			}
 		})
 	}
 	wg.Wait()
-	is.Equal(b.Left(decide.Instant(time.Second)), int64(8000))
+	is.Equal(b.Remaining(decide.Instant(time.Second)), int64(8000))
 }
--- a/internal/decide/retry/share.go
+++ b/internal/decide/retry/share.go
@@ -23,7 +23,7 @@
 }
 
 // Request counts a request's first dispatch.
-func (s *Share) Request(now decide.Instant) { s.requests.add(now) }
+func (s *Share) RecordRequest(now decide.Instant) { s.requests.add(now) }
 
 // left is the number of retries that may follow now. As in Budget, requests are counted over a bit less than the
 // window and retries over a bit more.
@@ -33,11 +33,11 @@
 }
 
 // Has tells whether a retry may follow now.
-func (s *Share) Has(now decide.Instant) bool { return s.left(now) >= 1 }
+func (s *Share) Allows(now decide.Instant) bool { return s.left(now) >= 1 }
 
 // Take counts a retry if it may follow now.
 func (s *Share) Take(now decide.Instant) bool {
-	if !s.Has(now) {
+	if !s.Allows(now) {
 		return false
 	}
 	s.retries.add(now)
--- a/internal/decide/retry/storm_test.go
+++ b/internal/decide/retry/storm_test.go
@@ -46,12 +46,12 @@
 		random: rand.New(rand.NewPCG(9, 9)), params: retry.DefaultParams(), free: free, service: service, fails: fails,
 	}
 	for range 9 {
-		n := &instance{all: retry.NewBudget(retry.InstancePercent, retry.InstanceLeast(9))}
+		n := &instance{all: retry.NewBudget(retry.InstancePercent, retry.InstanceMinRetries(9))}
 		for i := range n.workspaces {
-			n.workspaces[i] = retry.NewBudget(retry.WorkspacePercent, retry.WorkspaceLeast)
+			n.workspaces[i] = retry.NewBudget(retry.WorkspacePercent, retry.WorkspaceMinRetries)
 		}
 		for i := range n.upstreams {
-			n.upstreams[i] = retry.NewBudget(retry.UpstreamPercent, retry.UpstreamLeast)
+			n.upstreams[i] = retry.NewBudget(retry.UpstreamPercent, retry.UpstreamMinRetries)
 		}
 		s.instances = append(s.instances, n)
 	}
@@ -84,12 +84,12 @@
 	e := s.choose(n)
 	b := retry.Budgets{n.all, n.upstreams[e], n.workspaces[w]}
 	if attempt == 1 {
-		b.Request(now)
+		b.RecordRequest(now)
 	}
 	fail := func(started bool) {
 		n.suspect[e] = s.loop.Now().Add(time.Second)
 		s.ended(n, w, retry.Failure{
-			Started: started, Idempotent: true, Attempts: attempt, Left: deadline.Sub(s.loop.Now()), Elsewhere: true,
+			Started: started, Idempotent: true, Attempts: attempt, TimeLeft: deadline.Sub(s.loop.Now()), OtherUpstream: true,
 		}, b, deadline)
 	}
 	if s.fails(e/domainEngines, now) == refuses {
@@ -124,16 +124,16 @@
 }
 
 func (s *storm) ended(n *instance, w int, f retry.Failure, b retry.Budgets, deadline decide.Instant) {
-	v := s.params.After(f, b, s.random, s.loop.Now())
-	if s.free && f.Attempts < s.params.Attempts {
-		v = retry.Verdict{Again: true}
+	v := s.params.Decide(f, b, s.random, s.loop.Now())
+	if s.free && f.Attempts < s.params.MaxAttempts {
+		v = retry.Verdict{Retry: true}
 	}
 	switch {
-	case v.Again:
+	case v.Retry:
 		s.loop.After(v.Wait, func() { s.dispatch(n, w, f.Attempts+1, deadline) })
-	case v.Ask:
-		f.Waited += v.Wait
-		f.Left -= v.Wait
+	case v.WaitForBudget:
+		f.BudgetWait += v.Wait
+		f.TimeLeft -= v.Wait
 		s.loop.After(v.Wait, func() { s.ended(n, w, f, b, deadline) })
 	default:
 		s.failed++
--- a/internal/decide/storebudget/storebudget.go
+++ b/internal/decide/storebudget/storebudget.go
@@ -81,7 +81,7 @@
 }
 
 // Instances takes the number of instances that share the limits.
-func (b *Budget) Instances(now decide.Instant, n int) {
+func (b *Budget) SetInstances(now decide.Instant, n int) {
 	for i := range b.buckets {
 		b.refill(now, Call(i))
 	}
@@ -133,10 +133,10 @@
 }
 
 // Lost tells whether the store was unavailable at the last call.
-func (b *Budget) Lost() bool { return b.failures > 0 }
+func (b *Budget) StoreUnavailable() bool { return b.failures > 0 }
 
 // Failed takes that a call found the store unavailable. Calls that fail together count as one.
-func (b *Budget) Failed(now decide.Instant, r decide.Rand) {
+func (b *Budget) RecordFailure(now decide.Instant, r decide.Rand) {
 	if b.failures > 0 && !b.probing {
 		return
 	}
@@ -147,7 +147,7 @@
 
 // Succeeded takes that the store answered. After an outage the buckets start empty: what piled up goes
 // out at the refill's pace, and not in the moment of the return.
-func (b *Budget) Succeeded(now decide.Instant) {
+func (b *Budget) RecordSuccess(now decide.Instant) {
 	if b.failures == 0 {
 		return
 	}
--- a/internal/decide/storebudget/storebudget_test.go
+++ b/internal/decide/storebudget/storebudget_test.go
@@ -37,9 +37,9 @@
 			}
 			perSecond[now.Sub(from)/time.Second]++
 			if up {
-				c.budget.Succeeded(now)
+				c.budget.RecordSuccess(now)
 			} else {
-				c.budget.Failed(now, c.rand)
+				c.budget.RecordFailure(now, c.rand)
 			}
 		}
 	}
@@ -111,9 +111,9 @@
 				made = append(made, now)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "fails") == 0 {
-				b.Failed(now, r)
+				b.RecordFailure(now, r)
 			} else {
-				b.Succeeded(now)
+				b.RecordSuccess(now)
 			}
 		}
 		for i := range made {
--- a/internal/decide/stream/assembly.go
+++ b/internal/decide/stream/assembly.go
@@ -13,19 +13,19 @@
 )
 
 // Drop says why a part was not delivered.
-type Drop uint8
+type DropReason uint8
 
 // The drops. Ahead is no loss yet: the part is held until the hole before it is filled.
 const (
-	Kept      Drop = iota
-	Foreign        // of another request
-	Late           // of an earlier dispatch, of which a later one took the place
-	Doubled        // all of it was delivered before
-	Overlap        // part of it was delivered before; it can't be cut at a token
-	Ahead          // parts before it are missing
-	AfterEnd       // after the end mark
-	Malformed      // offset or length out of range, or text without tokens
-	Overflow       // ahead, with too many others held
+	Delivered    DropReason = iota
+	Foreign                 // of another request
+	StaleAttempt            // of an earlier dispatch, of which a later one took the place
+	Duplicate               // all of it was delivered before
+	Overlap                 // part of it was delivered before; it can't be cut at a token
+	Ahead                   // parts before it are missing
+	AfterEnd                // after the end mark
+	Malformed               // offset or length out of range, or text without tokens
+	Overflow                // ahead, with too many others held
 	dropCount
 )
 
@@ -34,7 +34,7 @@
 }
 
 // String gives the drop's name as it stands in metrics and logs.
-func (d Drop) String() string { return dropNames[d] }
+func (d DropReason) String() string { return dropNames[d] }
 
 // FinishError ends a failed stream; it is the end of its dispatch and not of the answer.
 const FinishError = "error"
@@ -58,30 +58,30 @@
 func NewAssembly(id string) *Assembly { return &Assembly{id: id} }
 
 // Next is the first token still needed: a resume begins there.
-func (a *Assembly) Next() int { return a.next }
+func (a *Assembly) NextToken() int { return a.next }
 
 // Ended tells whether the answer is complete.
-func (a *Assembly) Ended() bool { return a.ended }
+func (a *Assembly) Complete() bool { return a.ended }
 
 // Hole tells whether parts are held that wait for missing ones.
-func (a *Assembly) Hole() bool { return len(a.held) > 0 }
+func (a *Assembly) HasHeldParts() bool { return len(a.held) > 0 }
 
 // Dispatched begins a dispatch; parts of earlier ones are late from now on.
-func (a *Assembly) Dispatched(attempt int) {
+func (a *Assembly) BeginAttempt(attempt int) {
 	a.attempt = attempt
 	a.held = nil
 }
 
 // Add takes a part that came on the stream of that attempt. It gives what can be delivered now, in order;
 // a part with a FinishReason is the last one.
-func (a *Assembly) Add(attempt int, p wire.Part) ([]wire.Part, Drop) {
+func (a *Assembly) Add(attempt int, p wire.Part) ([]wire.Part, DropReason) {
 	switch {
 	case a.ended:
 		return nil, AfterEnd
 	case p.ID != a.id:
 		return nil, Foreign
 	case attempt != a.attempt:
-		return nil, Late
+		return nil, StaleAttempt
 	case p.Offset < 0 || p.Tokens < 0 || p.Offset > maxTokens || p.Tokens > maxTokens || (p.Tokens == 0 && p.Text != ""):
 		return nil, Malformed
 	case p.Offset > a.next:
@@ -89,9 +89,9 @@
 	case p.Offset < a.next && p.Offset+p.Tokens > a.next:
 		return nil, Overlap
 	case p.Offset < a.next:
-		return nil, Doubled
+		return nil, Duplicate
 	}
-	return a.deliver(p), Kept
+	return a.deliver(p), Delivered
 }
 
 func (a *Assembly) deliver(p wire.Part) []wire.Part {
@@ -116,11 +116,11 @@
 	a.ended = p.FinishReason != ""
 }
 
-func (a *Assembly) hold(p wire.Part) Drop {
+func (a *Assembly) hold(p wire.Part) DropReason {
 	at, found := slices.BinarySearchFunc(a.held, p.Offset, func(h wire.Part, offset int) int { return h.Offset - offset })
 	switch {
 	case found && a.held[at].Tokens > 0:
-		return Doubled
+		return Duplicate
 	case len(a.held) >= maxHeld:
 		return Overflow
 	}
--- a/internal/decide/stream/stream_test.go
+++ b/internal/decide/stream/stream_test.go
@@ -30,33 +30,33 @@
 		name    string
 		attempt int
 		p       wire.Part
-		drop    stream.Drop
+		drop    stream.DropReason
 		next    int
 	}{
-		{"next", 2, part(4, 6, ""), stream.Kept, 6},
+		{"next", 2, part(4, 6, ""), stream.Delivered, 6},
 		{"foreign", 2, foreign, stream.Foreign, 4},
-		{"of an earlier dispatch", 1, part(4, 6, ""), stream.Late, 4},
-		{"doubled", 2, part(2, 4, ""), stream.Doubled, 4},
+		{"of an earlier dispatch", 1, part(4, 6, ""), stream.StaleAttempt, 4},
+		{"doubled", 2, part(2, 4, ""), stream.Duplicate, 4},
 		{"overlapping", 2, part(3, 5, ""), stream.Overlap, 4},
 		{"ahead", 2, part(5, 6, ""), stream.Ahead, 4},
 		{"text without tokens", 2, empty, stream.Malformed, 4},
 		{"negative", 2, wire.Part{ID: "a", Offset: -1, Tokens: 1}, stream.Malformed, 4},
-		{"end mark without tokens", 2, part(4, 4, "stop"), stream.Kept, 4},
-		{"doubled end mark of the past", 2, part(3, 3, "stop"), stream.Doubled, 4},
+		{"end mark without tokens", 2, part(4, 4, "stop"), stream.Delivered, 4},
+		{"doubled end mark of the past", 2, part(3, 3, "stop"), stream.Duplicate, 4},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			a := stream.NewAssembly("a")
-			a.Dispatched(1)
+			a.BeginAttempt(1)
 			_, drop := a.Add(1, part(0, 4, ""))
-			is.Equal(drop, stream.Kept)
-			a.Dispatched(2)
+			is.Equal(drop, stream.Delivered)
+			a.BeginAttempt(2)
 			out, drop := a.Add(row.attempt, row.p)
 			is.Equal(drop, row.drop)
-			is.Equal(len(out) > 0, drop == stream.Kept)
-			is.Equal(a.Next(), row.next)
-			is.Equal(a.Ended(), row.drop == stream.Kept && row.p.FinishReason != "")
+			is.Equal(len(out) > 0, drop == stream.Delivered)
+			is.Equal(a.NextToken(), row.next)
+			is.Equal(a.Complete(), row.drop == stream.Delivered && row.p.FinishReason != "")
 			is.True(drop.String() != "")
 		})
 	}
@@ -67,14 +67,14 @@
 func TestSwappedPartsAreDeliveredInOrder(t *testing.T) {
 	is := is.New(t)
 	a := stream.NewAssembly("a")
-	a.Dispatched(1)
+	a.BeginAttempt(1)
 	out, _ := a.Add(1, part(2, 4, "stop"))
 	is.Equal(len(out), 0)
-	is.True(a.Hole())
-	is.True(!a.Ended()) // an end mark behind a hole ends nothing
+	is.True(a.HasHeldParts())
+	is.True(!a.Complete()) // an end mark behind a hole ends nothing
 	out, _ = a.Add(1, part(0, 2, ""))
 	is.Equal(out, []wire.Part{part(0, 2, ""), part(2, 4, "stop")})
-	is.True(a.Ended())
+	is.True(a.Complete())
 	_, drop := a.Add(1, part(4, 5, ""))
 	is.Equal(drop, stream.AfterEnd)
 }
@@ -82,7 +82,7 @@
 func TestHeldPartsAreBounded(t *testing.T) {
 	is := is.New(t)
 	a := stream.NewAssembly("a")
-	a.Dispatched(1)
+	a.BeginAttempt(1)
 	overflow := 0
 	for i := range 100 {
 		if _, drop := a.Add(1, part(i+1, i+2, "")); drop == stream.Overflow {
@@ -90,8 +90,8 @@
 		}
 	}
 	is.Equal(overflow, 36)
-	a.Dispatched(2) // what was held of a dispatch that failed is not mixed with the next one's
-	is.True(!a.Hole())
+	a.BeginAttempt(2) // what was held of a dispatch that failed is not mixed with the next one's
+	is.True(!a.HasHeldParts())
 }
 
 // Engines double, swap, delay and cut parts, mix in those of others, and end without a mark. Whatever
@@ -107,9 +107,9 @@
 		whole := part(0, length, "").Text
 		a := stream.NewAssembly("a")
 		var got strings.Builder
-		for attempt := 1; attempt <= 4 && !a.Ended(); attempt++ {
-			a.Dispatched(attempt)
-			for _, m := range mangled(t, a.Next(), length, attempt) {
+		for attempt := 1; attempt <= 4 && !a.Complete(); attempt++ {
+			a.BeginAttempt(attempt)
+			for _, m := range mangled(t, a.NextToken(), length, attempt) {
 				out, _ := a.Add(m.attempt, m.p)
 				for _, p := range out {
 					got.WriteString(p.Text)
@@ -119,7 +119,7 @@
 		if !strings.HasPrefix(whole, got.String()) {
 			t.Fatalf("delivered %q of %q", got.String(), whole)
 		}
-		if a.Ended() && got.String() != whole {
+		if a.Complete() && got.String() != whole {
 			t.Fatalf("ended with %q of %q", got.String(), whole)
 		}
 	})
@@ -172,7 +172,7 @@
 	f.Add("b", -1, 1<<62, "", "error", "a", 1<<62, 1<<62, "", "stop")
 	f.Fuzz(func(t *testing.T, id1 string, o1, n1 int, t1, f1, id2 string, o2, n2 int, t2, f2 string) {
 		a := stream.NewAssembly("a")
-		a.Dispatched(1)
+		a.BeginAttempt(1)
 		next := 0
 		for _, p := range []wire.Part{
 			{ID: id1, Offset: o1, Tokens: n1, Text: t1, FinishReason: f1},
@@ -186,8 +186,8 @@
 				}
 				next += d.Tokens
 			}
-			if next != a.Next() {
-				t.Fatalf("next is %d after %d delivered tokens", a.Next(), next)
+			if next != a.NextToken() {
+				t.Fatalf("next is %d after %d delivered tokens", a.NextToken(), next)
 			}
 		}
 	})
--- a/internal/decide/stream/watch.go
+++ b/internal/decide/stream/watch.go
@@ -8,26 +8,26 @@
 
 // Reasons of what follows silence.
 const (
-	ReasonProbe     decide.Reason = "silent_probe"     // silence; ask the upstream over a new connection
-	ReasonCondemned decide.Reason = "silent_condemned" // the upstream answers, its old connection doesn't
-	ReasonDead      decide.Reason = "silent_dead"      // the upstream doesn't answer either
-	ReasonOverdue   decide.Reason = "silent_overdue"   // the request's time ran out
+	ReasonProbe          decide.Reason = "silent_probe"     // silence; ask the upstream over a new connection
+	ReasonConnectionDead decide.Reason = "silent_condemned" // the upstream answers, its old connection doesn't
+	ReasonUpstreamDead   decide.Reason = "silent_dead"      // the upstream doesn't answer either
+	ReasonDeadlinePassed decide.Reason = "silent_overdue"   // the request's time ran out
 )
 
 // Reasons lists every reason of this package.
-var Reasons = []decide.Reason{ReasonProbe, ReasonCondemned, ReasonDead, ReasonOverdue}
+var Reasons = []decide.Reason{ReasonProbe, ReasonConnectionDead, ReasonUpstreamDead, ReasonDeadlinePassed}
 
 // Params are the bounds of silence.
 type Params struct {
-	Gap       time.Duration // longest silence that condemns a connection whose upstream answers
-	LeastSoft time.Duration // shortest silence that is worth a probe
-	ProbeWait time.Duration // for one probe
+	MaxSilence      time.Duration // longest silence that condemns a connection whose upstream answers
+	MinProbeSilence time.Duration // shortest silence that is worth a probe
+	ProbeTimeout    time.Duration // for one probe
 }
 
 // NewParams gives the defaults around the setting stream_gap. An engine writes something at least every
 // half second, so that silence doesn't depend on the prompt's length.
 func NewParams(gap time.Duration) Params {
-	return Params{Gap: gap, LeastSoft: gap / 8, ProbeWait: gap / 4}
+	return Params{MaxSilence: gap, MinProbeSilence: gap / 8, ProbeTimeout: gap / 4}
 }
 
 // Factors from what is usual to what is silence.
@@ -47,11 +47,11 @@
 
 // The actions.
 const (
-	Wait      Action = iota // for bytes, until Watch.Until
-	Probe                   // the upstream over a new connection, and go on reading; then OnProbe
-	Resume                  // condemn the upstream's connections, dispatch there again over a new one
-	Elsewhere               // dispatch to another upstream
-	Overdue                 // give up: no time is left
+	Wait       Action = iota // for bytes, until Watch.Until
+	Probe                    // the upstream over a new connection, and go on reading; then OnProbe
+	Resume                   // condemn the upstream's connections, dispatch there again over a new one
+	Redispatch               // dispatch to another upstream
+	GiveUp                   // give up: no time is left
 )
 
 // phase is how far a dispatch has come.
@@ -66,7 +66,7 @@
 // Watch finds silence on one dispatch's connection. A slow engine is told from a dead connection in two
 // steps: a short silence costs a probe and nothing else; only a long one, with an upstream that answers
 // over a new connection, condemns the old one. An upstream that doesn't answer at all by then is left.
-type Watch struct {
+type SilenceDetector struct {
 	params   Params
 	deadline decide.Instant
 	last     decide.Instant // of the dispatch's start or latest bytes
@@ -81,8 +81,8 @@
 // NewWatch begins a dispatch. reused tells that its connection had been idle: the likeliest to be dead
 // without anybody knowing, so that its first bytes are waited for less long. size is the request's bytes,
 // which the upstream reads before it answers.
-func NewWatch(p Params, reused bool, size int, now, deadline decide.Instant) *Watch {
-	w := &Watch{params: p, deadline: deadline, last: now, phase: opening}
+func NewSilenceDetector(p Params, reused bool, size int, now, deadline decide.Instant) *SilenceDetector {
+	w := &SilenceDetector{params: p, deadline: deadline, last: now, phase: opening}
 	w.reading = time.Duration(size) * time.Second / readRate
 	if reused {
 		w.phase = idle
@@ -91,7 +91,7 @@
 }
 
 // OnBytes notes that something came on the connection. Whatever it was, the connection is alive.
-func (w *Watch) OnBytes(now decide.Instant) {
+func (w *SilenceDetector) OnBytes(now decide.Instant) {
 	if w.phase == flowing {
 		w.usual += (now.Sub(w.last) - w.usual) / smooth
 	}
@@ -100,10 +100,10 @@
 }
 
 // OnWritten notes that a piece of the request went out.
-func (w *Watch) OnWritten(now decide.Instant) { w.last = now }
+func (w *SilenceDetector) OnWritten(now decide.Instant) { w.last = now }
 
 // Until is when to call OnTime if nothing comes.
-func (w *Watch) Until() decide.Instant {
+func (w *SilenceDetector) NextCheck() decide.Instant {
 	soft, hard := w.bounds()
 	switch {
 	case w.probing: // its result comes within ProbeWait
@@ -116,8 +116,8 @@
 }
 
 // bounds are the silences that are worth a probe and that condemn.
-func (w *Watch) bounds() (soft, hard time.Duration) {
-	gap := w.params.Gap
+func (w *SilenceDetector) bounds() (soft, hard time.Duration) {
+	gap := w.params.MaxSilence
 	least := min(max(gap/2, leastHard), gap)
 	switch w.phase {
 	case idle:
@@ -126,14 +126,14 @@
 		return gap/2 + w.reading, 2*gap + w.reading
 	default:
 		hard = min(max(hardFactor*w.usual, least), gap)
-		return min(max(softFactor*w.usual, w.params.LeastSoft), hard), hard
+		return min(max(softFactor*w.usual, w.params.MinProbeSilence), hard), hard
 	}
 }
 
 // OnTime decides at Until.
-func (w *Watch) OnTime(now decide.Instant) (Action, decide.Reason) {
+func (w *SilenceDetector) OnTimer(now decide.Instant) (Action, decide.Reason) {
 	if now >= w.deadline {
-		return Overdue, ReasonOverdue
+		return GiveUp, ReasonDeadlinePassed
 	}
 	soft, hard := w.bounds()
 	silence := now.Sub(w.last)
@@ -141,9 +141,9 @@
 	case w.probing || silence < soft:
 		return Wait, ReasonProbe
 	case silence >= hard && w.answered:
-		return Resume, ReasonCondemned
+		return Resume, ReasonConnectionDead
 	case silence >= hard && w.probed:
-		return Elsewhere, ReasonDead
+		return Redispatch, ReasonUpstreamDead
 	case w.answered:
 		return Wait, ReasonProbe
 	default:
@@ -154,8 +154,8 @@
 
 // OnProbe takes a probe's result. One that was not answered is followed by another until the silence is long
 // enough to leave the upstream. A probe that was sent before something came on the connection says nothing.
-func (w *Watch) OnProbe(answered bool, now decide.Instant) (Action, decide.Reason) {
+func (w *SilenceDetector) OnProbeResult(answered bool, now decide.Instant) (Action, decide.Reason) {
 	w.probing = false
 	w.answered = answered && w.probed
-	return w.OnTime(now)
+	return w.OnTimer(now)
 }
--- a/internal/decide/stream/watch_test.go
+++ b/internal/decide/stream/watch_test.go
@@ -21,28 +21,28 @@
 func TestStepsOfSilence(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		is := is.New(t)
-		w := stream.NewWatch(stream.NewParams(gap), false, 0, 0, instant(time.Minute))
+		w := stream.NewSilenceDetector(stream.NewParams(gap), false, 0, 0, instant(time.Minute))
 		for i := 1; i <= 50; i++ {
 			w.OnBytes(instant(time.Duration(i) * 50 * time.Millisecond))
 		}
 		silent := instant(2500 * time.Millisecond)
 		probes := 0
-		for now := w.Until(); ; now = w.Until() {
-			action, reason := w.OnTime(now)
+		for now := w.NextCheck(); ; now = w.NextCheck() {
+			action, reason := w.OnTimer(now)
 			for action == stream.Probe {
 				probes++
 				is.Equal(reason, stream.ReasonProbe)
 				now = now.Add(probeWait)
-				action, reason = w.OnProbe(answers, now)
+				action, reason = w.OnProbeResult(answers, now)
 			}
 			if action == stream.Wait {
 				continue
 			}
 			is.Equal(now.Sub(silent) >= gap/2, true) // a short silence is never the end
 			is.Equal(now.Sub(silent) <= gap, true)
-			want := map[bool]stream.Action{true: stream.Resume, false: stream.Elsewhere}[answers]
+			want := map[bool]stream.Action{true: stream.Resume, false: stream.Redispatch}[answers]
 			is.Equal(action, want)
-			is.True(reason == stream.ReasonCondemned || reason == stream.ReasonDead)
+			is.True(reason == stream.ReasonConnectionDead || reason == stream.ReasonUpstreamDead)
 			is.Equal(probes == 1, answers) // an answered probe is enough; one that is not is repeated
 			break
 		}
@@ -55,25 +55,25 @@
 // part comes: the stream goes on, and the next silence is judged anew.
 func TestStallIsNoSilence(t *testing.T) {
 	is := is.New(t)
-	w := stream.NewWatch(stream.NewParams(gap), false, 0, 0, instant(time.Minute))
+	w := stream.NewSilenceDetector(stream.NewParams(gap), false, 0, 0, instant(time.Minute))
 	w.OnBytes(instant(100 * time.Millisecond))
 	w.OnBytes(instant(150 * time.Millisecond))
-	action, _ := w.OnTime(w.Until())
+	action, _ := w.OnTimer(w.NextCheck())
 	is.Equal(action, stream.Probe)
 	w.OnBytes(instant(900 * time.Millisecond)) // before the probe's result
-	action, _ = w.OnProbe(true, instant(910*time.Millisecond))
+	action, _ = w.OnProbeResult(true, instant(910*time.Millisecond))
 	is.Equal(action, stream.Wait)
-	action, _ = w.OnTime(w.Until())
+	action, _ = w.OnTimer(w.NextCheck())
 	is.Equal(action, stream.Probe) // the old answer does not condemn
 }
 
 func TestDeadlineEndsTheWait(t *testing.T) {
 	is := is.New(t)
-	w := stream.NewWatch(stream.NewParams(gap), false, 0, 0, instant(500*time.Millisecond))
-	is.Equal(w.Until(), instant(500*time.Millisecond))
-	action, reason := w.OnTime(instant(500 * time.Millisecond))
-	is.Equal(action, stream.Overdue)
-	is.Equal(reason, stream.ReasonOverdue)
+	w := stream.NewSilenceDetector(stream.NewParams(gap), false, 0, 0, instant(500*time.Millisecond))
+	is.Equal(w.NextCheck(), instant(500*time.Millisecond))
+	action, reason := w.OnTimer(instant(500 * time.Millisecond))
+	is.Equal(action, stream.GiveUp)
+	is.Equal(reason, stream.ReasonDeadlinePassed)
 }
 
 // silence runs one stream whose connection goes silent for good at a drawn moment, and gives the time from
@@ -85,7 +85,7 @@
 		resumeBy = 150 * time.Millisecond // first bytes of the resumed stream
 	)
 	params := stream.NewParams(gap)
-	w := stream.NewWatch(params, reused, 0, 0, instant(5*time.Minute))
+	w := stream.NewSilenceDetector(params, reused, 0, 0, instant(5*time.Minute))
 	silentAt := instant(0)
 	if between > 0 {
 		silentAt = instant(time.Second + time.Duration(r.Float64()*float64(10*time.Second)))
@@ -96,10 +96,10 @@
 	var found decide.Instant
 	var act func(stream.Action)
 	wake := func() {
-		at := w.Until()
+		at := w.NextCheck()
 		loop.At(at, func() {
-			if found == 0 && loop.Now() >= w.Until() {
-				a, _ := w.OnTime(loop.Now())
+			if found == 0 && loop.Now() >= w.NextCheck() {
+				a, _ := w.OnTimer(loop.Now())
 				act(a)
 			}
 		})
@@ -109,13 +109,13 @@
 		case stream.Probe:
 			took := probe
 			if !upstreamAnswers {
-				took = params.ProbeWait
+				took = params.ProbeTimeout
 			}
 			loop.After(took, func() {
-				next, _ := w.OnProbe(upstreamAnswers, loop.Now())
+				next, _ := w.OnProbeResult(upstreamAnswers, loop.Now())
 				act(next)
 			})
-		case stream.Resume, stream.Elsewhere:
+		case stream.Resume, stream.Redispatch:
 			found = loop.Now()
 		default:
 			wake()
--- a/internal/entry/again/again.go
+++ b/internal/entry/again/again.go
@@ -27,7 +27,7 @@
 func New(p retry.Params, instances func() int) *Retrier {
 	return &Retrier{
 		params: p, start: time.Now(), instances: instances,
-		all: retry.NewBudget(retry.InstancePercent, retry.InstanceLeast(1)),
+		all: retry.NewBudget(retry.InstancePercent, retry.InstanceMinRetries(1)),
 	}
 }
 
@@ -41,8 +41,8 @@
 func (r *Retrier) budgets(w fleet.WorkspaceID, u fleet.UpstreamID) retry.Budgets {
 	return retry.Budgets{
 		r.all,
-		budget(&r.upstreams, u, retry.UpstreamPercent, retry.UpstreamLeast),
-		budget(&r.workspaces, w, retry.WorkspacePercent, retry.WorkspaceLeast),
+		budget(&r.upstreams, u, retry.UpstreamPercent, retry.UpstreamMinRetries),
+		budget(&r.workspaces, w, retry.WorkspacePercent, retry.WorkspaceMinRetries),
 	}
 }
 
@@ -55,25 +55,27 @@
 }
 
 // First counts a request's first dispatch.
-func (r *Retrier) First(w fleet.WorkspaceID, u fleet.UpstreamID) { r.budgets(w, u).Request(r.now()) }
+func (r *Retrier) First(w fleet.WorkspaceID, u fleet.UpstreamID) {
+	r.budgets(w, u).RecordRequest(r.now())
+}
 
 // After waits until the request may be dispatched again after the failure of a dispatch to u, and gives
 // true; or it gives false as soon as that is known never to be, with the reason.
 func (r *Retrier) After(ctx context.Context, f retry.Failure, w fleet.WorkspaceID, u fleet.UpstreamID) (bool, decide.Reason) {
-	r.all.SetLeast(retry.InstanceLeast(r.instances()))
+	r.all.SetMinRetries(retry.InstanceMinRetries(r.instances()))
 	b := r.budgets(w, u)
 	for {
-		v := r.params.After(f, b, random{}, r.now())
-		if !v.Again && !v.Ask {
+		v := r.params.Decide(f, b, random{}, r.now())
+		if !v.Retry && !v.WaitForBudget {
 			return false, v.Reason
 		}
 		if !wait.For(ctx, v.Wait) {
 			return false, retry.ReasonNoTime
 		}
-		if v.Again {
+		if v.Retry {
 			return true, v.Reason
 		}
-		f.Waited += v.Wait
-		f.Left -= v.Wait
+		f.BudgetWait += v.Wait
+		f.TimeLeft -= v.Wait
 	}
 }
--- a/internal/entry/query/answer.go
+++ b/internal/entry/query/answer.go
@@ -43,7 +43,7 @@
 // *fault.Error and final.
 func (a *answer) next() (wire.Part, error) {
 	for len(a.ready) == 0 {
-		if a.parts.Ended() {
+		if a.parts.Complete() {
 			return wire.Part{}, io.EOF
 		}
 		if err := a.pull(); err != nil {
@@ -78,7 +78,7 @@
 	}
 	ready, drop := a.parts.Add(a.attempt, p)
 	switch drop {
-	case stream.Kept:
+	case stream.Delivered:
 		a.run = fault.RunYes
 		a.begin()
 		a.ready = append(a.ready, ready...)
@@ -88,7 +88,7 @@
 	default:
 		a.h.count("parts_dropped", "why", drop.String())
 	}
-	if a.parts.Ended() {
+	if a.parts.Complete() {
 		a.finish()
 	}
 	return nil
@@ -128,7 +128,7 @@
 		return a.refused(err)
 	}
 	a.grant, a.began, a.sentAt = grant, false, time.Now()
-	a.parts.Dispatched(a.attempt)
+	a.parts.BeginAttempt(a.attempt)
 	if a.attempt == 1 {
 		a.h.retrier.First(p.meta.Workspace, grant.Upstream.ID)
 	}
@@ -136,7 +136,7 @@
 	s, err := a.h.client.Complete(a.ctx, grant.Upstream.Addr, upstream.Completion{
 		RequestID: string(p.meta.ID), Workspace: string(p.meta.Workspace), Priority: grant.Priority,
 		Attempt: a.attempt, Remaining: time.Until(a.until), Reservation: grant.Reservation, Group: grant.Group,
-		ResumeOffset: a.parts.Next(), Body: p.raw,
+		ResumeOffset: a.parts.NextToken(), Body: p.raw,
 	}, silence)
 	if err != nil {
 		return a.failed(err)
@@ -195,7 +195,7 @@
 	if errors.Is(context.Cause(a.ctx), errStopped) {
 		return fault.Ran(fault.Cancelled, a.run, "the instance's planned stop reached its limit")
 	}
-	return fault.Ran(fault.DeadlineExceeded, a.run, "%d tokens came in time", a.parts.Next())
+	return fault.Ran(fault.DeadlineExceeded, a.run, "%d tokens came in time", a.parts.NextToken())
 }
 
 // failed ends the current dispatch and gives nil when another may follow, or the final error.
@@ -233,11 +233,11 @@
 // again waits until the request may be dispatched again, or gives the final error.
 func (a *answer) again(u *fleet.Upstream, ce *upstream.CallError) error {
 	again, reason := a.h.retrier.After(a.ctx, retry.Failure{
-		Started: ce.Ran(), Idempotent: true, Attempts: a.vain, Left: a.left(),
-		RetryAfter: ce.RetryAfter, Elsewhere: true,
+		Started: ce.Ran(), Idempotent: true, Attempts: a.vain, TimeLeft: a.left(),
+		RetryAfter: ce.RetryAfter, OtherUpstream: true,
 	}, a.prompt.meta.Workspace, u.ID)
 	a.h.explain.Record("retry", string(a.prompt.meta.ID), reason,
-		"upstream", u.ID, "again", again, "attempt", a.attempt, "offset", a.parts.Next(), "error", ce)
+		"upstream", u.ID, "again", again, "attempt", a.attempt, "offset", a.parts.NextToken(), "error", ce)
 	if again {
 		return nil
 	}
--- a/internal/entry/query/handler.go
+++ b/internal/entry/query/handler.go
@@ -236,7 +236,7 @@
 	}
 	if finish != "" {
 		c.Choices[0].FinishReason = &finish
-		c.Usage = &usage{PromptTokens: s.prompt.tokens, CompletionTokens: s.parts.Next()}
+		c.Usage = &usage{PromptTokens: s.prompt.tokens, CompletionTokens: s.parts.NextToken()}
 	}
 	return c
 }
--- a/internal/entry/query/read.go
+++ b/internal/entry/query/read.go
@@ -84,8 +84,8 @@
 	}
 	r.tried = append(r.tried, g.Upstream.ID)
 	again, reason := r.h.retrier.After(r.ctx, retry.Failure{
-		Started: failed.Ran(), Idempotent: true, Attempts: r.attempt, Left: time.Until(r.meta.Deadline),
-		RetryAfter: failed.RetryAfter, Elsewhere: true,
+		Started: failed.Ran(), Idempotent: true, Attempts: r.attempt, TimeLeft: time.Until(r.meta.Deadline),
+		RetryAfter: failed.RetryAfter, OtherUpstream: true,
 	}, r.meta.Workspace, g.Upstream.ID)
 	r.h.explain.Record("retry", string(r.meta.ID), reason,
 		"upstream", g.Upstream.ID, "again", again, "attempt", r.attempt, "error", failed)
--- a/internal/objects/client/budget.go
+++ b/internal/objects/client/budget.go
@@ -83,7 +83,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	b.budget.Instances(now, n)
+	b.budget.SetInstances(now, n)
 	reason, wait := b.budget.Take(now, c)
 	if reason == storebudget.Granted || reason == storebudget.Probe {
 		if c == storebudget.Write {
@@ -108,14 +108,14 @@
 	defer b.mu.Unlock()
 	var conflict *objects.ConflictError
 	if err == nil || errors.As(err, &conflict) || errors.Is(err, objects.ErrNotFound) || errors.Is(err, objects.ErrTooOld) {
-		b.budget.Succeeded(b.now())
+		b.budget.RecordSuccess(b.now())
 		return
 	}
-	if errors.Is(err, context.Canceled) && !b.budget.Lost() {
+	if errors.Is(err, context.Canceled) && !b.budget.StoreUnavailable() {
 		return
 	}
 	b.counts.Failed++
-	b.budget.Failed(b.now(), b.rand)
+	b.budget.RecordFailure(b.now(), b.rand)
 }
 
 // Get implements objects.Store.
--- a/internal/route/hold.go
+++ b/internal/route/hold.go
@@ -54,7 +54,7 @@
 			h.addrs[u.ID] = u.Addr
 		}
 	}
-	h.group = reserve.New(parts, memoryWait, r.instant(a.q.Deadline.Add(reserve.Grace)))
+	h.group = reserve.New(parts, memoryWait, r.instant(a.q.Deadline.Add(reserve.ReleaseGrace)))
 	return h
 }
 
@@ -98,7 +98,7 @@
 	h.mu.Unlock()
 	for _, f := range effects {
 		switch f.Verb {
-		case reserve.Ask:
+		case reserve.Reserve:
 			go h.ask(f)
 		case reserve.Release:
 			go h.release(f)
@@ -106,7 +106,7 @@
 			h.settle(true, f)
 		case reserve.Failed:
 			h.settle(false, f)
-		case reserve.Over:
+		case reserve.Done:
 			h.router.holds.Done()
 		}
 	}
@@ -122,7 +122,7 @@
 
 // ask sends one reservation. Where the group ended in the pause before it, it is not sent at all.
 func (h *hold) ask(f reserve.Effect) {
-	time.Sleep(f.After)
+	time.Sleep(f.Delay)
 	h.mu.Lock()
 	ended, part := h.ended, h.group.Part(f.Part)
 	h.mu.Unlock()
@@ -139,7 +139,7 @@
 		case errors.As(err, &ce) && !ce.Ran():
 			return h.group.Refused(f.Part, h.router.now())
 		default:
-			return h.group.Unknown(f.Part)
+			return h.group.ReserveUnknown(f.Part)
 		}
 	})
 }
@@ -150,12 +150,12 @@
 	left := time.Until(h.deadline)
 	return h.router.memory.Reserve(ctx, h.addrs[p.Upstream], wire.Reservation{
 		ID: p.ID, Holder: h.router.self.instance, Incarnation: h.router.self.incarnation, Tokens: p.Tokens,
-		TTLMs: (left + reserve.Grace).Milliseconds(), DeadlineMs: max(left.Milliseconds(), 1),
+		TTLMs: (left + reserve.ReleaseGrace).Milliseconds(), DeadlineMs: max(left.Milliseconds(), 1),
 	})
 }
 
 func (h *hold) release(f reserve.Effect) {
-	time.Sleep(f.After)
+	time.Sleep(f.Delay)
 	h.mu.Lock()
 	part := h.group.Part(f.Part)
 	h.mu.Unlock()
@@ -164,7 +164,7 @@
 	err := h.router.memory.Release(ctx, h.addrs[part.Upstream], part.ID)
 	h.feed(func() []reserve.Effect {
 		if err != nil {
-			return h.group.ReleaseLost(f.Part, h.router.now())
+			return h.group.ReleaseUnknown(f.Part, h.router.now())
 		}
 		return h.group.Released(f.Part)
 	})
--- a/internal/route/lanes.go
+++ b/internal/route/lanes.go
@@ -25,7 +25,7 @@
 	share := float64(r.Prompt.MemoryTokens()) / float64(p.pool.EngineMemory)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.demand.Add(seconds+r.Decode.Seconds()*share, m.router.now())
+	m.demand.Add(seconds+r.DecodeTime.Seconds()*share, m.router.now())
 }
 
 // reported is called after each load report: it sizes the lanes when that is due, and wakes the queues.
--- a/internal/route/meter.go
+++ b/internal/route/meter.go
@@ -70,7 +70,7 @@
 		if c == cost.Long {
 			name = "lanes"
 		}
-		m.registry.Gauge("route_queue_length", "model", model.name, "queue", name).Update(int64(model.gate.Waiting(c)))
+		m.registry.Gauge("route_queue_length", "model", model.name, "queue", name).Update(int64(model.gate.QueueLength(c)))
 	}
 }
 
--- a/internal/route/model.go
+++ b/internal/route/model.go
@@ -65,9 +65,9 @@
 	}}
 }
 
-func (m *model) world(s *scene) (*admit.World, *pooled) {
+func (m *model) world(s *scene) (*admit.View, *pooled) {
 	p := m.pool(s.view)
-	return &admit.World{Pool: p.pool, Entries: s.entries, Now: m.router.now(), Rand: shared{}}, p
+	return &admit.View{Pool: p.pool, Instances: s.entries, Now: m.router.now(), Rand: shared{}}, p
 }
 
 // ask is one request's way through the model's gate.
@@ -86,7 +86,7 @@
 		m.demanded(a.r, p)
 	}
 	for range placeTries {
-		d, ok := m.gate.Direct(a.r, w)
+		d, ok := m.gate.TryDispatch(a.r, w)
 		if !ok {
 			var err error
 			if d, err = a.slow(ctx, w); err != nil {
@@ -117,7 +117,7 @@
 		Prompt:  cost.Prompt{Tokens: q.Tokens, MaxAnswerTokens: q.MaxTokens, Blocks: q.Blocks},
 		Class:   cost.ClassOf(q.Tokens, q.MaxTokens, p.pool.EngineMemory),
 		Arrived: now, Deadline: m.router.instant(q.Deadline),
-		Decode: time.Duration(q.MaxTokens) * time.Duration(m.pace.Load()), Exclude: q.Exclude,
+		DecodeTime: time.Duration(q.MaxTokens) * time.Duration(m.pace.Load()), Exclude: q.Exclude,
 	}
 	if len(q.Exclude) >= p.size {
 		r.Exclude = nil // all were tried: better one of them than none
@@ -126,22 +126,22 @@
 }
 
 // slow offers the request under the mutex and waits as long as the gate says so.
-func (a *ask) slow(ctx context.Context, w *admit.World) (admit.Decision, error) {
+func (a *ask) slow(ctx context.Context, w *admit.View) (admit.Decision, error) {
 	m := a.m
 	wait := &waiter{decision: make(chan admit.Decision, 1)}
 	m.mu.Lock()
-	d := m.gate.Offer(a.r, w)
+	d := m.gate.Admit(a.r, w)
 	if d.Request != a.r { // another request was pushed out for this one
 		m.deliver(d)
-		d = admit.Decision{Verb: admit.Queued, Request: a.r, Reason: admit.WaitsItsTurn}
+		d = admit.Decision{Verb: admit.Enqueue, Request: a.r, Reason: admit.BehindOthers}
 	}
-	if d.Verb == admit.Queued {
+	if d.Verb == admit.Enqueue {
 		m.waiters[a.r] = wait
 	}
 	m.mu.Unlock()
 	for {
 		switch d.Verb {
-		case admit.Queued:
+		case admit.Enqueue:
 			a.queued(&d)
 			var err error
 			if d, err = a.wait(ctx, wait); err != nil {
@@ -158,7 +158,7 @@
 // wait blocks until the gate has decided. At the request's latest start the gate is woken, so that a
 // request that can't finish any more is answered then and not later.
 func (a *ask) wait(ctx context.Context, wait *waiter) (admit.Decision, error) {
-	late := time.NewTimer(a.r.Latest().Sub(a.m.router.now()) + time.Millisecond)
+	late := time.NewTimer(a.r.LatestStart().Sub(a.m.router.now()) + time.Millisecond)
 	defer late.Stop()
 	for {
 		select {
@@ -200,8 +200,8 @@
 	a.m.mu.Lock()
 	defer a.m.mu.Unlock()
 	w, _ := a.m.world(a.m.router.scene())
-	d := a.m.gate.Reserved(a.r, &plan, granted, w)
-	if d.Verb == admit.Queued {
+	d := a.m.gate.ReservationResult(a.r, &plan, granted, w)
+	if d.Verb == admit.Enqueue {
 		a.m.waiters[a.r] = wait
 	}
 	if granted {
@@ -218,14 +218,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	w, _ := m.world(m.router.scene())
-	for _, d := range m.gate.Wake(w, nil) {
+	for _, d := range m.gate.ProcessQueues(w, nil) {
 		m.deliver(d)
 	}
 	m.router.meter.queues(m)
 }
 
 func (m *model) waiting() int {
-	return m.gate.Waiting(cost.Short) + m.gate.Waiting(cost.Medium) + m.gate.Waiting(cost.Long)
+	return m.gate.QueueLength(cost.Short) + m.gate.QueueLength(cost.Medium) + m.gate.QueueLength(cost.Long)
 }
 
 // deliver hands a decision to the request that waits for it; mu is held.
@@ -238,9 +238,9 @@
 
 // queued logs that the request waits.
 func (a *ask) queued(d *admit.Decision) {
-	a.m.router.record("queue", a.q, d.Reason, "model", a.m.name, "class", a.r.Class, "ahead", d.Ahead, "wait", d.Wait)
+	a.m.router.record("queue", a.q, d.Reason, "model", a.m.name, "class", a.r.Class, "ahead", d.OthersQueued, "wait", d.EstimatedWait)
 	a.m.router.meter.count("queue", d.Reason)
-	a.m.router.meter.waitEstimate(a.r.Class, d.Wait)
+	a.m.router.meter.waitEstimate(a.r.Class, d.EstimatedWait)
 	a.m.router.meter.queues(a.m)
 }
 
--- a/internal/routed/budget.go
+++ b/internal/routed/budget.go
@@ -58,14 +58,14 @@
 func (b *budgets) Request(s catalog.ServiceName) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(s).Request(b.now())
+	b.of(s).RecordRequest(b.now())
 }
 
 // Has implements gateway.Budget.
 func (b *budgets) Has(s catalog.ServiceName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(s).Has(b.now())
+	return b.of(s).Allows(b.now())
 }
 
 // Allow implements gateway.Budget.
--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -85,11 +85,11 @@
 			s.d.Log.Debug("reservations not listed", "upstream", l.engine.ID, "error", l.err)
 			continue
 		}
-		for _, swept := range s.state.Judge(&l.reservations, presence, now) {
+		for _, swept := range s.state.FindOrphans(&l.reservations, presence, now) {
 			s.release(ctx, l.engine, swept)
 		}
 	}
-	s.state.Forget(now)
+	s.state.Prune(now)
 }
 
 // home gives the engines whose home this instance is.
@@ -133,7 +133,7 @@
 		case h.Instance == s.d.Self.Instance && h.Incarnation != s.d.Self.Incarnation:
 			return reserve.Missing
 		case unsure:
-			return reserve.Unsure
+			return reserve.Undetermined
 		}
 		for _, i := range v.Instances {
 			if i.ID == h.Instance {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (s *Sweeper) release(ctx context.Context, u *fleet.Upstream, swept reserve.Sweep) {
+func (s *Sweeper) release(ctx context.Context, u *fleet.Upstream, swept reserve.Orphan) {
 	call, cancel := context.WithTimeout(ctx, callWait)
 	defer cancel()
 	err := s.d.Engines.Release(call, u.Addr, swept.ID)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -121,11 +121,11 @@
 	case ctx.Err() != nil:
 		e.Cause = fmt.Errorf("%w: %w", context.Cause(ctx), err)
 		return e
-	case verdict == stream.Overdue:
+	case verdict == stream.GiveUp:
 		e.Overdue = true
 		return e
-	case verdict == stream.Resume, verdict == stream.Elsewhere:
-		e.Timeout, e.Dead = true, verdict == stream.Elsewhere
+	case verdict == stream.Resume, verdict == stream.Redispatch:
+		e.Timeout, e.Dead = true, verdict == stream.Redispatch
 	default:
 		e.Timeout = timedOut(err)
 	}
--- a/internal/upstream/guard.go
+++ b/internal/upstream/guard.go
@@ -30,14 +30,14 @@
 	wg      sync.WaitGroup // of probes
 
 	mu      sync.Mutex
-	watch   *stream.Watch // guarded by mu
-	verdict stream.Action // guarded by mu: anything but Wait and Probe is final
+	watch   *stream.SilenceDetector // guarded by mu
+	verdict stream.Action           // guarded by mu: anything but Wait and Probe is final
 }
 
 func newGuard(ctx context.Context, c *Client, cn *conn, reused bool, size int, s Silence) *guard {
 	g := &guard{ctx: ctx, client: c, conn: cn, silence: s, start: time.Now()}
 	g.probes, g.cancel = context.WithCancel(ctx)
-	g.watch = stream.NewWatch(s.Params, reused, size, 0, decide.Instant(s.Deadline.Sub(g.start)))
+	g.watch = stream.NewSilenceDetector(s.Params, reused, size, 0, decide.Instant(s.Deadline.Sub(g.start)))
 	cn.guard = g
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -50,7 +50,7 @@
 // rearm sets the time of the next look; mu is held. A context that ends just now has its own deadline in
 // the past, which must not be overwritten.
 func (g *guard) rearm() {
-	at := g.start.Add(time.Duration(g.watch.Until()))
+	at := g.start.Add(time.Duration(g.watch.NextCheck()))
 	if g.final() || g.ctx.Err() != nil {
 		at = past
 	}
@@ -72,7 +72,7 @@
 	defer g.mu.Unlock()
 	g.watch.OnWritten(g.now())
 	g.rearm()
-	at := time.Now().Add(g.silence.Params.Gap)
+	at := time.Now().Add(g.silence.Params.MaxSilence)
 	if g.silence.Deadline.Before(at) {
 		at = g.silence.Deadline
 	}
@@ -97,7 +97,7 @@
 	if g.ctx.Err() != nil || g.final() {
 		return false
 	}
-	g.act(g.watch.OnTime(g.now()))
+	g.act(g.watch.OnTimer(g.now()))
 	g.rearm()
 	return !g.final()
 }
@@ -117,13 +117,13 @@
 	g.wg.Add(1)
 	go func() {
 		defer g.wg.Done()
-		err := g.client.Ping(g.probes, g.conn.addr, g.silence.Params.ProbeWait)
+		err := g.client.Ping(g.probes, g.conn.addr, g.silence.Params.ProbeTimeout)
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if g.probes.Err() != nil {
 			return
 		}
-		g.act(g.watch.OnProbe(err == nil, g.now()))
+		g.act(g.watch.OnProbeResult(err == nil, g.now()))
 		g.rearm()
 	}()
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -142,7 +142,7 @@
 	_, err = s.Next()
 	ce := callError(t, err)
 	is.True(ce.Timeout && !ce.Dead && ce.Sent)
-	is.Equal(notes, []decide.Reason{stream.ReasonProbe, stream.ReasonCondemned})
+	is.Equal(notes, []decide.Reason{stream.ReasonProbe, stream.ReasonConnectionDead})
 	is.Equal(e.conns.Load(), int32(2)) // the stream's and the probe's
 }
 
