--- a/internal/decide/storebudget/storebudget.go
+++ b/internal/decide/storebudget/storebudget.go
@@ -1,6 +1,7 @@
-// Package storebudget decides whether an instance may call the platform's store now. The store's rates are
-// the whole fleet's: each instance takes an equal cut by the number of instances that the list shows, and
-// after an outage the instances come back spread over time.
+// Package storebudget decides whether an instance may call the platform's store now.
+//
+// All instances together share the store's rate limits. Each instance may use an equal share, computed from
+// the number of instances in the instance list. After an outage the instances resume at different times.
 package storebudget
 
 import (
@@ -12,15 +13,15 @@
 // Reasons of this package.
 const (
 	Granted    decide.Reason = "granted"
-	Probe      decide.Reason = "probe"       // the one call that finds out whether the store is back
-	OverBudget decide.Reason = "over_budget" // the instance's cut is used up for now
-	BackingOff decide.Reason = "backing_off" // the store failed a moment ago
+	Probe      decide.Reason = "probe"       // a single call that checks whether the store is available again
+	OverBudget decide.Reason = "over_budget" // the instance's share is exhausted for now
+	BackingOff decide.Reason = "backing_off" // the store was unavailable at the last call
 )
 
 // Reasons lists every reason of this package.
 var Reasons = []decide.Reason{Granted, Probe, OverBudget, BackingOff}
 
-// Call is a kind of call to the store. A watch counts as a read, once.
+// Call is a kind of call to the store. Opening a watch counts as one read.
 type Call uint8
 
 // The kinds of calls.
@@ -30,57 +31,61 @@
 	callCount
 )
 
-// Limits are what the store takes from the whole fleet, in calls a second.
+// Limits are the rates that the store accepts from all instances together, in calls per second.
 type Limits struct {
 	Reads  float64
 	Writes float64
 }
 
-// DefaultLimits: the platform takes about two thousand reads and several hundred writes a second.
+// DefaultLimits are the limits of the platform's store, which accepts about two thousand reads and several
+// hundred writes per second.
 var DefaultLimits = Limits{Reads: 2000, Writes: 400}
 
 const (
-	// steady is the part of a limit that the buckets refill at. The rest is for their bursts: while every
-	// bucket holds a second of its refill, all instances together stay within the limit in any second.
-	steady = 0.5
-	// smallestBurst lets an instance make a call at all. Above Limits/2 instances the burst of the whole
-	// fleet at one moment is over the limit; docs/CAPACITY.md gives the figures.
-	smallestBurst = 1
-	// The first backoff grows with the fleet too: instances that find the store lost all at once ask again
-	// about firstRetries times a second together.
-	firstBackoff = 100 * time.Millisecond
-	firstRetries = 1000
-	// shortestCap and probesPerSecond bound the backoff: a lost store is asked by all instances together
-	// about probesPerSecond times a second at most, and found again within the cap.
-	shortestCap     = time.Second
+	// refillFraction is the fraction of a limit at which the buckets refill. The rest is left for bursts: as no
+	// bucket holds more than one second of its refill, all instances together stay within the limit in any second.
+	refillFraction = 0.5
+	// minBurst is the smallest capacity of a bucket, in calls; with less, an instance could make no call. With
+	// more than Limits/2 instances, a simultaneous burst of all of them exceeds the limit; docs/CAPACITY.md has
+	// the figures.
+	minBurst = 1
+	// firstBackoff is the smallest upper bound of the first backoff. The bound grows with the number of instances, so
+	// that instances that lose the store at the same time together retry about firstRetriesPerSecond times a second.
+	firstBackoff          = 100 * time.Millisecond
+	firstRetriesPerSecond = 1000
+	// minBackoffCap and probesPerSecond bound the backoff: all instances together probe an unavailable store at
+	// most about probesPerSecond times a second, and each detects its return within the cap.
+	minBackoffCap   = time.Second
 	probesPerSecond = 400
 )
 
-// Budget is one instance's cut. It is not safe for concurrent use.
+// Budget is one instance's share of the store's limits. It is not safe for concurrent use.
 type Budget struct {
-	limits    Limits
-	instances int
-	buckets   [callCount]bucket
-	failures  int            // outages in a row
-	until     decide.Instant // no call before it, while failures is above zero
-	probing   bool           // the probe is out
+	limits        Limits
+	instances     int
+	buckets       [callCount]bucket
+	failures      int            // consecutive failed calls, counting calls that fail together once
+	retryAt       decide.Instant // while failures is above zero: no call before this instant
+	probeInFlight bool           // a probe was granted and its outcome is not recorded yet
 }
 
+// bucket is a token bucket; one token permits one call.
 type bucket struct {
-	tokens float64
-	at     decide.Instant // when tokens was right
+	tokens     float64
+	refilledAt decide.Instant // instant at which tokens was last computed
 }
 
-// New gives the budget of one among that many instances; its buckets start with one call.
+// New returns the budget of one instance among the given number of instances. Its buckets start with enough
+// tokens for one call.
 func New(now decide.Instant, limits Limits, instances int) *Budget {
 	b := &Budget{limits: limits, instances: max(instances, 1)}
 	for i := range b.buckets {
-		b.buckets[i] = bucket{tokens: smallestBurst, at: now}
+		b.buckets[i] = bucket{tokens: minBurst, refilledAt: now}
 	}
 	return b
 }
 
-// Instances takes the number of instances that share the limits.
+// SetInstances sets the number of instances that share the limits.
 func (b *Budget) SetInstances(now decide.Instant, n int) {
 	for i := range b.buckets {
 		b.refill(now, Call(i))
@@ -88,25 +93,28 @@
 	b.instances = max(n, 1)
 }
 
-// rate is this instance's calls a second.
+// rate returns the refill rate of this instance's bucket, in calls per second.
 func (b *Budget) rate(c Call) float64 {
 	limit := b.limits.Reads
 	if c == Write {
 		limit = b.limits.Writes
 	}
-	return limit * steady / float64(b.instances)
+	return limit * refillFraction / float64(b.instances)
 }
 
+// refill adds the tokens that the bucket gained since its last refill, up to its capacity.
 func (b *Budget) refill(now decide.Instant, c Call) {
 	k := &b.buckets[c]
 	rate := b.rate(c)
-	if d := now.Sub(k.at); d > 0 {
-		k.tokens = min(k.tokens+d.Seconds()*rate, max(smallestBurst, rate))
-		k.at = now
+	if d := now.Sub(k.refilledAt); d > 0 {
+		k.tokens = min(k.tokens+d.Seconds()*rate, max(minBurst, rate))
+		k.refilledAt = now
 	}
 }
 
-// Take asks for one call. Refused, it gives how long to wait before asking again.
+// Take requests permission for one call. The call may be made if the reason is Granted or Probe; otherwise Take
+// returns the time to wait before the next request. The caller reports the outcome of a permitted call with
+// RecordSuccess or RecordFailure.
 func (b *Budget) Take(now decide.Instant, c Call) (decide.Reason, time.Duration) {
 	if b.failures > 0 {
 		return b.takeProbe(now)
@@ -121,60 +129,63 @@
 	return Granted, 0
 }
 
+// takeProbe is Take while the store is unavailable: it grants one probe at a time, each after a backoff.
 func (b *Budget) takeProbe(now decide.Instant) (decide.Reason, time.Duration) {
-	if now.Before(b.until) {
-		return BackingOff, b.until.Sub(now)
+	if now.Before(b.retryAt) {
+		return BackingOff, b.retryAt.Sub(now)
 	}
-	if b.probing {
+	if b.probeInFlight {
 		return BackingOff, firstBackoff
 	}
-	b.probing = true
+	b.probeInFlight = true
 	return Probe, 0
 }
 
-// Lost tells whether the store was unavailable at the last call.
+// StoreUnavailable reports whether the store was unavailable at the last call.
 func (b *Budget) StoreUnavailable() bool { return b.failures > 0 }
 
-// Failed takes that a call found the store unavailable. Calls that fail together count as one.
+// RecordFailure records that a call found the store unavailable, and starts the next backoff. Calls that fail
+// together count as one failure.
 func (b *Budget) RecordFailure(now decide.Instant, r decide.Rand) {
-	if b.failures > 0 && !b.probing {
+	if b.failures > 0 && !b.probeInFlight {
 		return
 	}
-	b.probing = false
+	b.probeInFlight = false
 	b.failures++
-	b.until = now.Add(Backoff(r, b.failures, b.instances))
+	b.retryAt = now.Add(Backoff(r, b.failures, b.instances))
 }
 
-// Succeeded takes that the store answered. After an outage the buckets start empty: what piled up goes
-// out at the refill's pace, and not in the moment of the return.
+// RecordSuccess records that the store answered. After an outage the buckets start empty, so that calls that
+// accumulated meanwhile are sent at the refill rate and not all at once.
 func (b *Budget) RecordSuccess(now decide.Instant) {
 	if b.failures == 0 {
 		return
 	}
-	b.failures, b.probing = 0, false
+	b.failures, b.probeInFlight = 0, false
 	for i := range b.buckets {
-		b.buckets[i] = bucket{at: now}
+		b.buckets[i] = bucket{refilledAt: now}
 	}
 }
 
-// Backoff gives a wait after that many failures in a row: exponential up to a cap that grows with the
-// fleet, the whole of it jittered, so that instances that failed together do not come back together.
+// Backoff returns the delay before the next call after the given number of consecutive failures. Its upper bound
+// grows exponentially, up to a cap that grows with the number of instances. The delay is drawn uniformly between
+// zero and that bound, so that instances that failed together do not retry together.
 func Backoff(r decide.Rand, failures, instances int) time.Duration {
-	const mostDoublings = 10
-	// The mean of a wait that is jittered as a whole is half of its top.
-	top := max(shortestCap, 2*spread(instances, probesPerSecond))
-	first := max(firstBackoff, 2*spread(instances, firstRetries))
-	wait := min(first<<min(failures-1, mostDoublings), top)
+	const maxDoublings = 10
+	// A uniformly drawn delay has a mean of half its upper bound, hence the factor 2.
+	longest := max(minBackoffCap, 2*durationAtRate(instances, probesPerSecond))
+	first := max(firstBackoff, 2*durationAtRate(instances, firstRetriesPerSecond))
+	wait := min(first<<min(failures-1, maxDoublings), longest)
 	return time.Duration(decide.Float(r) * float64(wait))
 }
 
-// spread is the time that as many calls as instances take at perSecond.
-func spread(instances, perSecond int) time.Duration {
+// durationAtRate returns the time that one call by each instance takes at perSecond calls per second.
+func durationAtRate(instances, perSecond int) time.Duration {
 	return time.Duration(instances) * time.Second / time.Duration(perSecond)
 }
 
-// ReadInterval is the time between reads of a value of that size that keeps them within bytesPerSecond,
-// and no shorter than base.
+// ReadInterval returns the interval at which a value of size bytes may be read so that the reads stay within
+// bytesPerSecond. It is never shorter than base.
 func ReadInterval(size int, base time.Duration, bytesPerSecond int) time.Duration {
 	return max(base, time.Duration(size)*time.Second/time.Duration(bytesPerSecond))
 }
--- a/internal/decide/storebudget/storebudget_test.go
+++ b/internal/decide/storebudget/storebudget_test.go
@@ -13,16 +13,16 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/storebudget"
 )
 
-// caller has a call to make at any moment, as an instance with much waiting work.
+// caller is an instance that always has another call to make, as one with a backlog does.
 type caller struct {
 	budget *storebudget.Budget
 	rand   decide.Rand
 	next   decide.Instant
 }
 
-// calls steps all callers through a time in which the store is up or down and counts the calls that
-// reach it in each second.
-func calls(callers []*caller, from, to decide.Instant, up bool) []int {
+// simulate runs all callers over a period in which the store is up or down, and returns the number of calls that
+// reach the store in each second.
+func simulate(callers []*caller, from, to decide.Instant, up bool) []int {
 	const step = 10 * time.Millisecond
 	perSecond := make([]int, int(to.Sub(from)/time.Second)+1)
 	for now := from; now.Before(to); now = now.Add(step) {
@@ -47,14 +47,14 @@
 }
 
 func peak(perSecond []int) int {
-	top := 0
+	most := 0
 	for _, n := range perSecond {
-		top = max(top, n)
+		most = max(most, n)
 	}
-	return top
+	return most
 }
 
-func fleetOf(n int) []*caller {
+func newCallers(n int) []*caller {
 	all := make([]*caller, n)
 	for i := range all {
 		all[i] = &caller{
@@ -65,9 +65,9 @@
 	return all
 }
 
-// The store comes back after a long outage and goes down again at once: every instance had work waiting
-// and sent all of it in the first second. The peak on return must stay within the store's reads, and
-// the probes during the outage must be few.
+// Guards against a store that returns from a long outage and fails again at once, because every instance sends
+// its whole backlog in the first second. The peak after the return must stay within the store's read limit, and
+// few probes may be sent during the outage.
 func TestNoThunderingHerdOnReturn(t *testing.T) {
 	const second = decide.Instant(time.Second)
 	for _, c := range []struct{ instances, outage, back, first int }{
@@ -75,30 +75,30 @@
 	} {
 		t.Run(fmt.Sprint(c.instances), func(t *testing.T) {
 			is := is.New(t)
-			all := fleetOf(c.instances)
-			calls(all, 0, 10*second, true)
-			down := calls(all, 10*second, 70*second, false)
-			back := calls(all, 70*second, 90*second, true)
+			all := newCallers(c.instances)
+			simulate(all, 0, 10*second, true)
+			down := simulate(all, 10*second, 70*second, false)
+			back := simulate(all, 70*second, 90*second, true)
 			t.Logf("calls a second with %d instances: first second of the outage %d, later at most %d, on return at most %d",
 				c.instances, down[0], peak(down[10:]), peak(back))
-			is.True(down[0] <= c.first)          // the outage begins
-			is.True(peak(down[10:]) <= c.outage) // the outage lasts
-			is.True(peak(back) <= c.back)        // the return
+			is.True(down[0] <= c.first)          // first second of the outage
+			is.True(peak(down[10:]) <= c.outage) // rest of the outage
+			is.True(peak(back) <= c.back)        // after the return
 			is.True(float64(peak(back)) <= storebudget.DefaultLimits.Reads)
 			after := back[10:20]
-			is.True(peak(after) > 850) // the budget is used again
+			is.True(peak(after) > 850) // the budget is fully used again
 		})
 	}
 }
 
-// However calls fail and succeed, one instance never makes more calls in a second than its refill and
-// its burst allow.
+// Whichever calls fail or succeed, one instance never makes more calls in a second than its refill and its burst
+// allow.
 func TestOneInstanceStaysWithinItsCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 1000).Draw(t, "instances")
 		b := storebudget.New(0, storebudget.DefaultLimits, n)
 		r := rand.New(rand.NewPCG(1, uint64(n)))
-		cut := storebudget.DefaultLimits.Writes / 2 / float64(n)
+		share := storebudget.DefaultLimits.Writes / 2 / float64(n)
 		var made []decide.Instant
 		now := decide.Instant(0)
 		for range 300 {
@@ -123,14 +123,14 @@
 					inSecond++
 				}
 			}
-			if most := cut + max(1, cut) + 1; float64(inSecond) > most {
+			if most := share + max(1, share) + 1; float64(inSecond) > most {
 				t.Fatalf("%d calls in a second, at most %.1f", inSecond, most)
 			}
 		}
 	})
 }
 
-// A value that has grown is read less often, so that reading it stays within the bytes allowed.
+// A larger value is read less often, so that the reads stay within the byte rate.
 func TestLargeValuesAreReadLessOften(t *testing.T) {
 	is := is.New(t)
 	is.Equal(storebudget.ReadInterval(1000, 2*time.Second, 4096), 2*time.Second)
