--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -1,8 +1,9 @@
-// Package retry decides whether a failed dispatch is followed by another one, and when.
+// Package retry decides whether a failed dispatch is retried, and when.
 //
-// A request is dispatched again only if it is idempotent or truly did not start. Dispatches that may have
-// started work are paid for out of budgets, so that a failure domain that goes doesn't turn into a storm
-// on the rest; those that did not start cost the upstreams nothing and are bounded by attempts alone.
+// A request is retried only if it is idempotent or certainly did not start. A retry after a dispatch that may have
+// started work consumes retry budgets, so that the loss of a failure domain does not cause a retry storm on the
+// remaining ones. A dispatch that did not start costs the upstreams nothing; its retries are limited only by the
+// number of attempts.
 package retry
 
 import (
@@ -11,16 +12,16 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide"
 )
 
-// Params are the constants of retries.
+// Params are the parameters of the retry policy.
 type Params struct {
-	MaxAttempts   int           // dispatches of one request at most
-	BackoffBase   time.Duration // of the backoff
-	BackoffCap    time.Duration // longest backoff
-	MinTimeLeft   time.Duration // a request with less time left is not dispatched again
-	MaxBudgetWait time.Duration // longest wait for a budget
+	MaxAttempts   int           // maximum number of dispatches of one request
+	BackoffBase   time.Duration // base of the exponential backoff
+	BackoffCap    time.Duration // upper bound of the backoff
+	MinTimeLeft   time.Duration // a request with less time left is not retried
+	MaxBudgetWait time.Duration // longest time that one failure may wait for a budget
 }
 
-// DefaultParams are those of the daemon.
+// DefaultParams returns the parameters that the daemon uses.
 func DefaultParams() Params {
 	return Params{
 		MaxAttempts: 4, BackoffBase: 20 * time.Millisecond, BackoffCap: time.Second,
@@ -28,47 +29,48 @@
 	}
 }
 
-// Percents and least numbers of the budgets. The instance's bounds the amplification; the others keep one
-// upstream or one workspace from spending all of it.
+// Parameters of the budgets: retries permitted per hundred requests, and retries permitted in a Window at any
+// number of requests. The instance's budget bounds the load amplification; the others prevent one upstream or one
+// workspace from consuming all of it.
 const (
 	InstancePercent                       = 9
 	UpstreamPercent, UpstreamMinRetries   = 50, 20
 	WorkspacePercent, WorkspaceMinRetries = 50, 20
 
-	fleetLeast = 10
+	totalMinRetries = 10 // of all instances together
 )
 
-// InstanceLeast is the number of retries that one of so many instances may always make in a Window. All of
-// them together make ten, which is one in ten of a fleet's requests from one request a second on; a fleet
-// with less load has no storm to fear.
-func InstanceMinRetries(instances int) int64 { return int64(max(1, fleetLeast/max(instances, 1))) }
+// InstanceMinRetries returns the number of retries that each of the given number of instances may always make in a
+// Window. Up to ten instances may make at most ten together, more instances one each. With ten instances that receive
+// one request per second each, that is one retry per ten requests; at less load a retry storm is no risk.
+func InstanceMinRetries(instances int) int64 { return int64(max(1, totalMinRetries/max(instances, 1))) }
 
-// Budgets are those that one retry is paid out of: the instance's, its workspace's, and that of the
-// upstream whose failure it follows.
+// Budgets are the budgets that one retry consumes: those of the instance, of the workspace, and of the upstream
+// whose failure is followed by the retry.
 type Budgets [3]*Budget
 
-// Request counts a request's first dispatch in each.
+// RecordRequest counts a request at its first dispatch in each budget.
 func (b Budgets) RecordRequest(now decide.Instant) {
-	for _, one := range b {
-		one.RecordRequest(now)
+	for _, budget := range b {
+		budget.RecordRequest(now)
 	}
 }
 
-// take counts a retry in each if all allow it. Two requests that ask at once may both take the last one;
-// the bound's margin covers that.
+// take counts a retry in each budget if all of them permit it, and reports whether they do. Two concurrent calls
+// may both take the last retry of a budget; the margin of the bound covers that.
 func (b Budgets) take(now decide.Instant) bool {
-	for _, one := range b {
-		if one.Remaining(now) <= 0 {
+	for _, budget := range b {
+		if budget.Remaining(now) <= 0 {
 			return false
 		}
 	}
-	for _, one := range b {
-		one.RecordRetry(now)
+	for _, budget := range b {
+		budget.RecordRetry(now)
 	}
 	return true
 }
 
-// Reasons of the decision.
+// Reasons of a decision.
 const (
 	ReasonNotStarted    decide.Reason = "retry_not_started"
 	ReasonIdempotent    decide.Reason = "retry_idempotent"
@@ -81,30 +83,31 @@
 
 // Reasons lists every reason of this package.
 var Reasons = []decide.Reason{
-	ReasonNotStarted, ReasonIdempotent, ReasonBudgetWait, ReasonMayHaveRun, ReasonAttemptsSpent, ReasonNoTime, ReasonBudgetSpent,
+	ReasonNotStarted, ReasonIdempotent, ReasonBudgetWait, ReasonMayHaveRun,
+	ReasonAttemptsSpent, ReasonNoTime, ReasonBudgetSpent,
 }
 
-// Failure is a dispatch that failed.
+// Failure describes a failed dispatch and its request.
 type Failure struct {
-	Started       bool          // it may have run
-	Idempotent    bool          // the request may run more than once
-	Attempts      int           // dispatches so far
+	Started       bool          // the dispatch may have started work
+	Idempotent    bool          // the request may be executed more than once
+	Attempts      int           // dispatches so far, the failed one included
 	TimeLeft      time.Duration // time left for the request
-	RetryAfter    time.Duration // that the upstream asked for; 0: none
-	BudgetWait    time.Duration // for a budget so far, in this failure
-	OtherUpstream bool          // another upstream can take it
+	RetryAfter    time.Duration // delay that the upstream asked for; 0: none
+	BudgetWait    time.Duration // time spent waiting for a budget since this failure
+	OtherUpstream bool          // another upstream can execute the request
 }
 
-// Verdict is what follows a failure.
+// Verdict is the decision after a failure.
 type Verdict struct {
-	Retry         bool          // dispatch again after Wait
-	WaitForBudget bool          // ask again after Wait: the budget is spent, but not the time
-	Wait          time.Duration // from now
+	Retry         bool          // dispatch the request again after Wait
+	WaitForBudget bool          // a budget is exhausted, but time is left: call Decide again after Wait
+	Wait          time.Duration // delay from now
 	Reason        decide.Reason
 }
 
-// After decides what follows f. When neither Again nor Ask is set the request's failure is final and is
-// told at once.
+// Decide decides what follows f. If neither Retry nor WaitForBudget is set, the failure is final and the caller is
+// answered at once.
 func (p Params) Decide(f Failure, b Budgets, r decide.Rand, now decide.Instant) Verdict {
 	if f.Started && !f.Idempotent {
 		return Verdict{Reason: ReasonMayHaveRun}
@@ -112,7 +115,7 @@
 	if f.Attempts >= p.MaxAttempts {
 		return Verdict{Reason: ReasonAttemptsSpent}
 	}
-	wait := p.wait(f, r)
+	wait := p.backoff(f, r)
 	if f.TimeLeft < wait+p.MinTimeLeft {
 		return Verdict{Reason: ReasonNoTime}
 	}
@@ -122,10 +125,12 @@
 	if b.take(now) {
 		return Verdict{Retry: true, Wait: wait, Reason: ReasonIdempotent}
 	}
-	return p.budgetSpent(f, r)
+	return p.waitForBudget(f, r)
 }
 
-func (p Params) budgetSpent(f Failure, r decide.Rand) Verdict {
+// waitForBudget returns the verdict while a budget is exhausted: to wait, if the failure's wait and the request's
+// time permit it.
+func (p Params) waitForBudget(f Failure, r decide.Rand) Verdict {
 	wait := p.BackoffCap/4 + jitter(p.BackoffCap/4, r)
 	if f.BudgetWait+wait > p.MaxBudgetWait || f.TimeLeft < wait+p.MinTimeLeft {
 		return Verdict{Reason: ReasonBudgetSpent}
@@ -133,9 +138,9 @@
 	return Verdict{WaitForBudget: true, Wait: wait, Reason: ReasonBudgetWait}
 }
 
-// wait is the backoff. The first dispatch to another upstream goes at once: the one that failed is not
-// asked again, so there is nothing to wait for.
-func (p Params) wait(f Failure, r decide.Rand) time.Duration {
+// backoff returns the delay before the next dispatch. The first retry on another upstream has no delay: the
+// failed upstream does not receive it, so there is nothing to wait for.
+func (p Params) backoff(f Failure, r decide.Rand) time.Duration {
 	if f.Attempts == 1 && f.OtherUpstream {
 		return 0
 	}
@@ -147,7 +152,7 @@
 	return wait
 }
 
-// jitter draws a time from 0 to longest, so that requests that failed together don't come back together.
+// jitter returns a random delay from 0 to longest, so that requests that failed together are not retried together.
 func jitter(longest time.Duration, r decide.Rand) time.Duration {
 	return time.Duration(decide.Float(r) * float64(longest))
 }
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -12,7 +12,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/retry"
 )
 
-func budgets(requests int, now decide.Instant) retry.Budgets {
+func newBudgets(requests int, now decide.Instant) retry.Budgets {
 	b := retry.Budgets{
 		retry.NewBudget(retry.InstancePercent, retry.InstanceMinRetries(9)),
 		retry.NewBudget(retry.UpstreamPercent, retry.UpstreamMinRetries),
@@ -26,34 +26,34 @@
 
 func TestAfter(t *testing.T) {
 	const now = decide.Instant(100 * time.Second)
-	ok := retry.Failure{Started: true, Idempotent: true, Attempts: 1, TimeLeft: time.Minute, OtherUpstream: true}
-	with := func(change func(*retry.Failure)) retry.Failure {
-		f := ok
+	retryable := retry.Failure{Started: true, Idempotent: true, Attempts: 1, TimeLeft: time.Minute, OtherUpstream: true}
+	modified := func(change func(*retry.Failure)) retry.Failure {
+		f := retryable
 		change(&f)
 		return f
 	}
 	rows := []struct {
-		name   string
-		f      retry.Failure
-		spent  bool
-		reason decide.Reason
+		name      string
+		f         retry.Failure
+		exhausted bool
+		reason    decide.Reason
 	}{
-		{"idempotent", ok, false, retry.ReasonIdempotent},
-		{"booking that may have run", with(func(f *retry.Failure) { f.Idempotent = false }), false, retry.ReasonMayHaveRun},
-		{"booking that did not start", with(func(f *retry.Failure) { f.Idempotent, f.Started = false, false }), false, retry.ReasonNotStarted},
-		{"did not start, budget spent", with(func(f *retry.Failure) { f.Started = false }), true, retry.ReasonNotStarted},
-		{"attempts spent", with(func(f *retry.Failure) { f.Attempts = 4 }), false, retry.ReasonAttemptsSpent},
-		{"no time", with(func(f *retry.Failure) { f.TimeLeft = 40 * time.Millisecond }), false, retry.ReasonNoTime},
-		{"no time for what the upstream asks", with(func(f *retry.Failure) { f.TimeLeft, f.RetryAfter, f.OtherUpstream = time.Second, 2*time.Second, false }), false, retry.ReasonNoTime},
-		{"budget spent", ok, true, retry.ReasonBudgetWait},
-		{"budget spent for long", with(func(f *retry.Failure) { f.BudgetWait = 3900 * time.Millisecond }), true, retry.ReasonBudgetSpent},
-		{"budget spent and little time", with(func(f *retry.Failure) { f.TimeLeft = 200 * time.Millisecond }), true, retry.ReasonBudgetSpent},
+		{"idempotent", retryable, false, retry.ReasonIdempotent},
+		{"not idempotent, may have run", modified(func(f *retry.Failure) { f.Idempotent = false }), false, retry.ReasonMayHaveRun},
+		{"not idempotent, did not start", modified(func(f *retry.Failure) { f.Idempotent, f.Started = false, false }), false, retry.ReasonNotStarted},
+		{"did not start, budget exhausted", modified(func(f *retry.Failure) { f.Started = false }), true, retry.ReasonNotStarted},
+		{"attempts exhausted", modified(func(f *retry.Failure) { f.Attempts = 4 }), false, retry.ReasonAttemptsSpent},
+		{"no time", modified(func(f *retry.Failure) { f.TimeLeft = 40 * time.Millisecond }), false, retry.ReasonNoTime},
+		{"no time for the upstream's Retry-After", modified(func(f *retry.Failure) { f.TimeLeft, f.RetryAfter, f.OtherUpstream = time.Second, 2*time.Second, false }), false, retry.ReasonNoTime},
+		{"budget exhausted", retryable, true, retry.ReasonBudgetWait},
+		{"budget exhausted for long", modified(func(f *retry.Failure) { f.BudgetWait = 3900 * time.Millisecond }), true, retry.ReasonBudgetSpent},
+		{"budget exhausted and little time", modified(func(f *retry.Failure) { f.TimeLeft = 200 * time.Millisecond }), true, retry.ReasonBudgetSpent},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			b := budgets(100, now)
-			for row.spent && b[0].Remaining(now) > 0 {
+			b := newBudgets(100, now)
+			for row.exhausted && b[0].Remaining(now) > 0 {
 				b[0].RecordRetry(now)
 			}
 			v := retry.DefaultParams().Decide(row.f, b, rand.New(rand.NewPCG(1, 1)), now)
@@ -64,9 +64,9 @@
 	}
 }
 
-// Thousands of streams break at one moment. If all came back at one moment, the engines that are left
-// would see the same burst again after each backoff.
-func TestBackoffSpreads(t *testing.T) {
+// Guards against synchronized retries: if thousands of streams that break together were retried together, the
+// remaining engines would receive the same burst after each backoff.
+func TestBackoffIsSpread(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 2))
 	f := retry.Failure{Idempotent: true, Attempts: 3, TimeLeft: time.Minute}
@@ -83,8 +83,8 @@
 	}
 }
 
-// One noisy workspace spends its own part and leaves the rest to the others.
-func TestOneWorkspaceDoesNotSpendAll(t *testing.T) {
+// A workspace with many failures exhausts its own budget and leaves the instance's budget to the others.
+func TestOneWorkspaceDoesNotExhaustTheInstanceBudget(t *testing.T) {
 	is := is.New(t)
 	const now = decide.Instant(100 * time.Second)
 	instance, up := retry.NewBudget(9, 1), retry.NewBudget(100, 1)
@@ -106,7 +106,7 @@
 	is.True(retry.DefaultParams().Decide(f, retry.Budgets{instance, up, quiet}, r, now).Retry)
 }
 
-func TestBudgetForgets(t *testing.T) {
+func TestBudgetForgetsOldRequestsAndRetries(t *testing.T) {
 	is := is.New(t)
 	b := retry.NewBudget(10, 0)
 	is.Equal(b.Remaining(decide.Instant(time.Second)), int64(0))
@@ -116,7 +116,7 @@
 	is.Equal(b.Remaining(decide.Instant(5*time.Second)), int64(10))
 	b.RecordRetry(decide.Instant(5 * time.Second))
 	is.Equal(b.Remaining(decide.Instant(5*time.Second)), int64(9))
-	is.Equal(b.Remaining(decide.Instant(15*time.Second)), int64(-1)) // the requests are forgotten before the retries
+	is.Equal(b.Remaining(decide.Instant(15*time.Second)), int64(-1)) // requests leave the count before retries do
 	is.Equal(b.Remaining(decide.Instant(16*time.Second)), int64(0))
 }
 
--- a/internal/decide/retry/share.go
+++ b/internal/decide/retry/share.go
@@ -7,35 +7,38 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide"
 )
 
-// Share is one instance's part of the retries that all instances may make together in a Window: a ratio of its
-// own requests, so that it follows what the instance sees, and a part of what the fleet may make beside the
-// ratio. Fractions of the two add up: cut in whole numbers, a few hundred instances would have nothing left. It
-// is safe for concurrent use, but for Take, which one caller may call at a time.
+// Share is one instance's share of the retries that all instances may make together in a Window. It is the sum of
+// two numbers: a ratio of the instance's own requests, which follows the instance's load, and slack, the
+// instance's part of the retries that all instances may make in addition to the ratio. Both are fractions: if they
+// were rounded down to whole retries, each of a few hundred instances would be left without any.
+//
+// Share is safe for concurrent use, except that calls of Take must not overlap.
 type Share struct {
-	ratio, slack      atomic.Uint64 // bits of a float64
+	ratio, slack      atomic.Uint64 // as the bits of a float64
 	requests, retries counter
 }
 
-// SetLimits changes the retries allowed for each request, and those allowed beside them.
+// SetLimits sets ratio, the number of retries permitted per request, and slack, the number of retries permitted in
+// a Window in addition to those.
 func (s *Share) SetLimits(ratio, slack float64) {
 	s.ratio.Store(math.Float64bits(ratio))
 	s.slack.Store(math.Float64bits(slack))
 }
 
-// Request counts a request's first dispatch.
+// RecordRequest counts a request at its first dispatch.
 func (s *Share) RecordRequest(now decide.Instant) { s.requests.add(now) }
 
-// left is the number of retries that may follow now. As in Budget, requests are counted over a bit less than the
-// window and retries over a bit more.
-func (s *Share) left(now decide.Instant) float64 {
+// remaining returns the number of retries that are permitted now. As in Budget, requests are counted over slightly
+// less than the window and retries over slightly more.
+func (s *Share) remaining(now decide.Instant) float64 {
 	ratio, slack := math.Float64frombits(s.ratio.Load()), math.Float64frombits(s.slack.Load())
-	return ratio*float64(s.requests.since(now, inWindow-2)) + slack - float64(s.retries.since(now, inWindow))
+	return ratio*float64(s.requests.recent(now, bucketsPerWindow-2)) + slack - float64(s.retries.recent(now, bucketsPerWindow))
 }
 
-// Has tells whether a retry may follow now.
-func (s *Share) Allows(now decide.Instant) bool { return s.left(now) >= 1 }
+// Allows reports whether a retry is permitted now.
+func (s *Share) Allows(now decide.Instant) bool { return s.remaining(now) >= 1 }
 
-// Take counts a retry if it may follow now.
+// Take counts a retry if one is permitted now, and reports whether it is.
 func (s *Share) Take(now decide.Instant) bool {
 	if !s.Allows(now) {
 		return false
--- a/internal/decide/retry/storm_test.go
+++ b/internal/decide/retry/storm_test.go
@@ -10,15 +10,15 @@
 	"github.com/damaskshelf/damaskshelf/internal/vtime"
 )
 
-// storm is nine instances before twelve engines in three failure domains, in virtual time.
-type storm struct {
+// simulation runs nine instances in front of twelve engines in three failure domains, in virtual time.
+type simulation struct {
 	loop      vtime.Loop
 	random    *rand.Rand
 	params    retry.Params
-	free      bool // guard off: retries cost no budget
+	noBudgets bool // guard off: retries are not limited by budgets
 	instances []*instance
 	service   time.Duration
-	fails     func(domain int, now decide.Instant) failure
+	failureAt func(domain int, now decide.Instant) failure
 
 	requests, dispatches []decide.Instant
 	ok, failed           int
@@ -27,23 +27,24 @@
 type failure uint8
 
 const (
-	works      failure = iota
-	refuses            // the connection is refused: nothing starts
-	errorsLate         // the work starts and fails
+	healthy            failure = iota
+	refusesConnections         // the engine refuses connections: no work starts
+	failsAfterStart            // work starts and then fails
 )
 
 type instance struct {
-	all        *retry.Budget
-	workspaces [10]*retry.Budget
-	upstreams  [12]*retry.Budget
-	suspect    [12]decide.Instant // not chosen until then
+	all          *retry.Budget
+	workspaces   [10]*retry.Budget
+	upstreams    [12]*retry.Budget
+	suspectUntil [12]decide.Instant // not chosen before this instant
 }
 
 const domainEngines = 4
 
-func newStorm(service time.Duration, free bool, fails func(int, decide.Instant) failure) *storm {
-	s := &storm{
-		random: rand.New(rand.NewPCG(9, 9)), params: retry.DefaultParams(), free: free, service: service, fails: fails,
+func newSimulation(service time.Duration, noBudgets bool, failureAt func(int, decide.Instant) failure) *simulation {
+	s := &simulation{
+		random: rand.New(rand.NewPCG(9, 9)), params: retry.DefaultParams(), noBudgets: noBudgets,
+		service: service, failureAt: failureAt,
 	}
 	for range 9 {
 		n := &instance{all: retry.NewBudget(retry.InstancePercent, retry.InstanceMinRetries(9))}
@@ -58,7 +59,8 @@
 	return s
 }
 
-func (s *storm) arrive(rate float64) {
+// arrive schedules the arrival of requests at the given rate per second.
+func (s *simulation) arrive(rate float64) {
 	s.loop.After(vtime.Exponential(s.random, rate), func() {
 		s.arrive(rate)
 		s.requests = append(s.requests, s.loop.Now())
@@ -67,11 +69,11 @@
 	})
 }
 
-// choose takes any engine that is not suspect, or any.
-func (s *storm) choose(n *instance) int {
+// choose returns a random engine that is not suspect, or any engine if all are.
+func (s *simulation) choose(n *instance) int {
 	e := s.random.IntN(12)
 	for range 12 {
-		if n.suspect[e] <= s.loop.Now() {
+		if n.suspectUntil[e] <= s.loop.Now() {
 			break
 		}
 		e = (e + 1) % 12
@@ -79,7 +81,8 @@
 	return e
 }
 
-func (s *storm) dispatch(n *instance, w, attempt int, deadline decide.Instant) {
+// dispatch sends the request to an engine and follows it to its outcome.
+func (s *simulation) dispatch(n *instance, w, attempt int, deadline decide.Instant) {
 	now := s.loop.Now()
 	e := s.choose(n)
 	b := retry.Budgets{n.all, n.upstreams[e], n.workspaces[w]}
@@ -87,21 +90,21 @@
 		b.RecordRequest(now)
 	}
 	fail := func(started bool) {
-		n.suspect[e] = s.loop.Now().Add(time.Second)
-		s.ended(n, w, retry.Failure{
+		n.suspectUntil[e] = s.loop.Now().Add(time.Second)
+		s.handleFailure(n, w, retry.Failure{
 			Started: started, Idempotent: true, Attempts: attempt, TimeLeft: deadline.Sub(s.loop.Now()), OtherUpstream: true,
 		}, b, deadline)
 	}
-	if s.fails(e/domainEngines, now) == refuses {
+	if s.failureAt(e/domainEngines, now) == refusesConnections {
 		s.loop.After(time.Millisecond, func() { fail(false) })
 		return
 	}
 	s.dispatches = append(s.dispatches, now)
-	took := vtime.Exponential(s.random, 1/s.service.Seconds())
-	if s.fails(e/domainEngines, now) == errorsLate {
-		took = min(took, 200*time.Millisecond)
+	duration := vtime.Exponential(s.random, 1/s.service.Seconds())
+	if s.failureAt(e/domainEngines, now) == failsAfterStart {
+		duration = min(duration, 200*time.Millisecond)
 	}
-	s.watch(e, now.Add(took), func(ok bool) {
+	s.watch(e, now.Add(duration), func(ok bool) {
 		if ok {
 			s.ok++
 			return
@@ -110,22 +113,23 @@
 	})
 }
 
-// watch ends a dispatch at its time, or as soon as its engine fails.
-func (s *storm) watch(e int, end decide.Instant, done func(ok bool)) {
+// watch ends a dispatch at the given instant, or as soon as its engine refuses connections.
+func (s *simulation) watch(e int, end decide.Instant, done func(ok bool)) {
 	now := s.loop.Now()
 	switch {
-	case s.fails(e/domainEngines, now) == refuses:
+	case s.failureAt(e/domainEngines, now) == refusesConnections:
 		done(false)
 	case now >= end:
-		done(s.fails(e/domainEngines, now) == works)
+		done(s.failureAt(e/domainEngines, now) == healthy)
 	default:
 		s.loop.At(min(end, now.Add(50*time.Millisecond)), func() { s.watch(e, end, done) })
 	}
 }
 
-func (s *storm) ended(n *instance, w int, f retry.Failure, b retry.Budgets, deadline decide.Instant) {
+// handleFailure carries out the decision that follows a failed dispatch.
+func (s *simulation) handleFailure(n *instance, w int, f retry.Failure, b retry.Budgets, deadline decide.Instant) {
 	v := s.params.Decide(f, b, s.random, s.loop.Now())
-	if s.free && f.Attempts < s.params.MaxAttempts {
+	if s.noBudgets && f.Attempts < s.params.MaxAttempts {
 		v = retry.Verdict{Retry: true}
 	}
 	switch {
@@ -134,14 +138,14 @@
 	case v.WaitForBudget:
 		f.BudgetWait += v.Wait
 		f.TimeLeft -= v.Wait
-		s.loop.After(v.Wait, func() { s.ended(n, w, f, b, deadline) })
+		s.loop.After(v.Wait, func() { s.handleFailure(n, w, f, b, deadline) })
 	default:
 		s.failed++
 	}
 }
 
-// amplification is the most dispatches for each request over any Window.
-func (s *storm) amplification() float64 {
+// amplification returns the highest number of dispatches per request over any Window.
+func (s *simulation) amplification() float64 {
 	most, from, to, q := 0.0, 0, 0, 0
 	for i, at := range s.dispatches {
 		for s.dispatches[from] <= at.Add(-retry.Window) {
@@ -160,48 +164,48 @@
 	return most
 }
 
-// A failure domain goes, or all engines begin to fail. Every request on them is dispatched again, and
-// again when that fails: the engines that are left get several times the load that the callers make, and
-// fail too. The budgets hold the sum of dispatches to 1.1 for each request over any ten seconds.
+// Guards against a retry storm: when a failure domain is lost or all engines fail, every request is retried, and
+// again if the retry fails, so that the remaining engines receive several times the callers' load and fail too.
+// The budgets limit dispatches to 1.1 per request over any ten seconds.
 func TestNoRetryStorm(t *testing.T) {
-	goes := func(domain int, now decide.Instant) failure {
+	domainFails := func(domain int, now decide.Instant) failure {
 		if domain == 0 && now > decide.Instant(30*time.Second) {
-			return refuses
+			return refusesConnections
 		}
-		return works
+		return healthy
 	}
-	all := func(_ int, now decide.Instant) failure {
+	allFail := func(_ int, now decide.Instant) failure {
 		if now > decide.Instant(30*time.Second) && now < decide.Instant(50*time.Second) {
-			return errorsLate
+			return failsAfterStart
 		}
-		return works
+		return healthy
 	}
 	rows := []struct {
-		name    string
-		rate    float64
-		service time.Duration
-		fails   func(int, decide.Instant) failure
-		storm   bool // over the bound without the budgets
+		name      string
+		rate      float64
+		service   time.Duration
+		failureAt func(int, decide.Instant) failure
+		amplified bool // amplification exceeds the bound without the budgets
 	}{
-		{"domain goes, short answers", 60, time.Second, goes, false},
-		{"domain goes, long answers", 60, 8 * time.Second, goes, true},
-		{"domain goes, little load", 10, 3 * time.Second, goes, false},
-		{"all engines fail for 20 s", 60, time.Second, all, true},
+		{"domain lost, short answers", 60, time.Second, domainFails, false},
+		{"domain lost, long answers", 60, 8 * time.Second, domainFails, true},
+		{"domain lost, little load", 10, 3 * time.Second, domainFails, false},
+		{"all engines fail for 20 s", 60, time.Second, allFail, true},
 	}
 	const bound = 1.1
 	for _, row := range rows {
-		for _, free := range []bool{true, false} {
-			s := newStorm(row.service, free, row.fails)
+		for _, noBudgets := range []bool{true, false} {
+			s := newSimulation(row.service, noBudgets, row.failureAt)
 			s.arrive(row.rate)
 			s.loop.RunUntil(decide.Instant(90 * time.Second))
 			a := s.amplification()
 			t.Logf("%-28s %-13s amplification %.3f, answered %4d, failed %4d",
-				row.name, map[bool]string{true: "no budgets", false: "with budgets"}[free], a, s.ok, s.failed)
-			if !free && a > bound {
-				t.Errorf("%s: %.3f dispatches a request", row.name, a)
+				row.name, map[bool]string{true: "no budgets", false: "with budgets"}[noBudgets], a, s.ok, s.failed)
+			if !noBudgets && a > bound {
+				t.Errorf("%s: %.3f dispatches per request with budgets", row.name, a)
 			}
-			if free && (a > bound) != row.storm {
-				t.Errorf("%s: %.3f without the budgets: the case does not show what it says", row.name, a)
+			if noBudgets && (a > bound) != row.amplified {
+				t.Errorf("%s: %.3f dispatches per request without budgets: the case does not match its amplified field", row.name, a)
 			}
 		}
 	}
