--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -20,7 +20,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// A fixed seed, so that every run of the randomized tests gives the same verdict.
+// TestMain fixes the seed of the randomized tests, so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
@@ -28,25 +28,25 @@
 }
 
 const (
-	memory = 400_000
-	rate   = 20_000
+	engineMemory = 400_000
+	prefillRate  = 20_000
 )
 
-// bench is a gate before one engine, and the instant.
-type bench struct {
-	gate   *admit.Gate
-	engine *pick.Engine
-	world  admit.View
-	number int
+// fixture is a gate in front of one engine. view holds the current instant.
+type fixture struct {
+	gate     *admit.Gate
+	engine   *pick.Engine
+	view     admit.View
+	requests int
 }
 
-func newBench(length int) *bench {
+func newFixture(length int) *fixture {
 	profile := pick.ProfileOf(api.ProfileShortFirst)
 	e := pick.NewEngine("e", nil)
-	b := &bench{
+	b := &fixture{
 		gate: admit.NewGate(&profile, pick.Default(), length), engine: e,
-		world: admit.View{
-			Pool: pick.NewPool([]*pick.Engine{e}, nil, memory), Instances: 1,
+		view: admit.View{
+			Pool: pick.NewPool([]*pick.Engine{e}, nil, engineMemory), Instances: 1,
 			Now: decide.Instant(0).Add(time.Minute), Rand: rand.New(rand.NewPCG(1, 1)),
 		},
 	}
@@ -54,30 +54,32 @@
 	return b
 }
 
-// report lets the engine say now that it has so many tokens to compute and so much memory held.
-func (b *bench) report(queued, used int64) {
+// report updates the load report of the engine, with queued tokens to prefill and used tokens of memory, and then
+// advances the time by 100 ms.
+func (b *fixture) report(queued, used int64) {
 	b.engine.UpdateReport(&pick.Report{
-		At: b.world.Now.Add(10 * time.Millisecond), QueuedTokens: queued, Queued: 1, MemoryUsed: used,
-		MemoryTotal: memory, PrefillRate: rate,
+		At: b.view.Now.Add(10 * time.Millisecond), QueuedTokens: queued, Queued: 1, MemoryUsed: used,
+		MemoryTotal: engineMemory, PrefillRate: prefillRate,
 	})
-	b.world.Now = b.world.Now.Add(100 * time.Millisecond)
+	b.view.Now = b.view.Now.Add(100 * time.Millisecond)
 }
 
-func (b *bench) request(workspace string, tokens int, timeout time.Duration) *admit.Request {
-	b.number++
+// request returns a new request that arrives now.
+func (b *fixture) request(workspace string, tokens int, timeout time.Duration) *admit.Request {
+	b.requests++
 	return &admit.Request{
-		ID: fleet.RequestID(fmt.Sprintf("r%05d", b.number)), Workspace: fleet.WorkspaceID(workspace),
-		Prompt: cost.Prompt{Tokens: tokens, MaxAnswerTokens: 100}, Class: cost.ClassOf(tokens, 100, memory),
-		Arrived: b.world.Now, Deadline: b.world.Now.Add(timeout), DecodeTime: time.Second,
+		ID: fleet.RequestID(fmt.Sprintf("r%05d", b.requests)), Workspace: fleet.WorkspaceID(workspace),
+		Prompt: cost.Prompt{Tokens: tokens, MaxAnswerTokens: 100}, Class: cost.ClassOf(tokens, 100, engineMemory),
+		Arrived: b.view.Now, Deadline: b.view.Now.Add(timeout), DecodeTime: time.Second,
 	}
 }
 
-const busy = 60_000 // 3 s of work: over every window
+const busyTokens = 60_000 // tokens, 3 s of work: more than the maximum wait of every class
 
 func TestIdleEngineGetsThePromptAtOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBench(10)
-	d, ok := b.gate.TryDispatch(b.request("w", 2000, 10*time.Second), &b.world)
+	b := newFixture(10)
+	d, ok := b.gate.TryDispatch(b.request("w", 2000, 10*time.Second), &b.view)
 	is.True(ok)
 	is.Equal(d.Verb, admit.Dispatch)
 	is.Equal(d.Choice.Engine, b.engine)
@@ -85,61 +87,61 @@
 
 func TestPromptWaitsWhileEnginesAreBusy(t *testing.T) {
 	is := is.New(t)
-	b := newBench(10)
-	b.report(busy, 0)
+	b := newFixture(10)
+	b.report(busyTokens, 0)
 	r := b.request("w", 2000, 20*time.Second)
-	_, ok := b.gate.TryDispatch(r, &b.world)
+	_, ok := b.gate.TryDispatch(r, &b.view)
 	is.True(!ok)
-	d := b.gate.Admit(r, &b.world)
+	d := b.gate.Admit(r, &b.view)
 	is.Equal(d.Verb, admit.Enqueue)
 	is.Equal(d.Reason, admit.EnginesBusy)
 	is.Equal(b.gate.QueueLength(cost.Short), 1)
 
 	next := b.request("w", 2000, 20*time.Second)
-	d = b.gate.Admit(next, &b.world)
+	d = b.gate.Admit(next, &b.view)
 	is.Equal(d.Reason, admit.BehindOthers)
 	is.Equal(d.OthersQueued, 1)
 	is.Equal(d.EstimatedWait, 100*time.Millisecond) // 2000 tokens at 20000 a second
-	is.Equal(len(b.gate.ProcessQueues(&b.world, nil)), 0)
+	is.Equal(len(b.gate.ProcessQueues(&b.view, nil)), 0)
 
 	b.report(0, 0)
-	out := b.gate.ProcessQueues(&b.world, nil)
+	out := b.gate.ProcessQueues(&b.view, nil)
 	is.Equal(len(out), 2)
 	is.Equal(out[0].Request, r)
 	is.Equal(out[0].Verb, admit.Dispatch)
 	is.Equal(b.gate.QueueLength(cost.Short), 0)
 }
 
-// A caller waits out its whole deadline for a refusal that was certain when it came, and has no time left
-// to turn elsewhere. Cause: nobody adds up the work before the prompt and its own.
-func TestWhatCannotFinishIsRefusedAtOnce(t *testing.T) {
+// Guards against a caller that waits until its deadline for a refusal that was certain on arrival, and then has no time
+// to send the request elsewhere. The gate must add up the work ahead of the prompt and the prompt's own work.
+func TestInfeasibleRequestIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBench(10)
-	d := b.gate.Admit(b.request("w", 80_000, 4*time.Second), &b.world) // 4 s of prefill, 1 s of answer
+	b := newFixture(10)
+	d := b.gate.Admit(b.request("w", 80_000, 4*time.Second), &b.view) // 4 s of prefill, 1 s of decoding
 	is.Equal(d.Verb, admit.Refuse)
 	is.Equal(d.Kind, fault.Infeasible)
 	is.Equal(d.Reason, admit.TooLate)
 
-	b.report(busy, 0)
-	for range 5 { // 20 s of queue
-		is.Equal(b.gate.Admit(b.request("w", 80_000, time.Minute), &b.world).Verb, admit.Enqueue)
+	b.report(busyTokens, 0)
+	for range 5 { // 20 s of queued work
+		is.Equal(b.gate.Admit(b.request("w", 80_000, time.Minute), &b.view).Verb, admit.Enqueue)
 	}
-	d = b.gate.Admit(b.request("w", 80_000, 15*time.Second), &b.world)
+	d = b.gate.Admit(b.request("w", 80_000, 15*time.Second), &b.view)
 	is.Equal(d.Verb, admit.Refuse)
-	is.Equal(d.RetryAfter, 10*time.Second) // 20 s to wait, 15 s less 4 s and 1 s there are
+	is.Equal(d.RetryAfter, 10*time.Second) // 20 s of waiting; 15 s less 4 s and 1 s are available
 }
 
 func TestExpiredPromptIsRefusedAtTheNextWake(t *testing.T) {
 	is := is.New(t)
-	b := newBench(10)
-	b.report(busy, 0)
+	b := newFixture(10)
+	b.report(busyTokens, 0)
 	r := b.request("w", 2000, 3*time.Second)
-	b.gate.Admit(r, &b.world)
+	b.gate.Admit(r, &b.view)
 	at, ok := b.gate.NextExpiry()
 	is.True(ok)
-	is.Equal(at, r.Deadline.Add(-1100*time.Millisecond)) // its own 0.1 s of prefill and 1 s of answer
-	b.world.Now = at.Add(time.Millisecond)
-	out := b.gate.ProcessQueues(&b.world, nil)
+	is.Equal(at, r.Deadline.Add(-1100*time.Millisecond)) // 0.1 s of prefill and 1 s of decoding
+	b.view.Now = at.Add(time.Millisecond)
+	out := b.gate.ProcessQueues(&b.view, nil)
 	is.Equal(len(out), 1)
 	is.Equal(out[0].Reason, admit.Expired)
 	is.Equal(b.gate.QueueLength(cost.Short), 0)
@@ -147,42 +149,42 @@
 
 func TestEarliestLatestStartGoesFirstWithinAWorkspace(t *testing.T) {
 	is := is.New(t)
-	b := newBench(10)
-	b.report(busy, 0)
+	b := newFixture(10)
+	b.report(busyTokens, 0)
 	late := b.request("w", 2000, 30*time.Second)
 	soon := b.request("w", 2000, 10*time.Second)
-	b.gate.Admit(late, &b.world)
-	b.gate.Admit(soon, &b.world)
+	b.gate.Admit(late, &b.view)
+	b.gate.Admit(soon, &b.view)
 	b.report(0, 0)
-	out := b.gate.ProcessQueues(&b.world, nil)
+	out := b.gate.ProcessQueues(&b.view, nil)
 	is.Equal(out[0].Request, soon)
 	is.Equal(out[1].Request, late)
 }
 
-// Nine small workspaces get no answer while a tenth sends its day's batch. Order: the batch fills the
-// queue, the others' prompts come behind it. Cause: one line for all.
+// Guards against starvation of small workspaces: with one queue in order of arrival, nine small workspaces would get no
+// answer while a tenth fills the queue with its daily batch.
 func TestLargeWorkspaceDoesNotStarveTheOthers(t *testing.T) {
 	is := is.New(t)
-	b := newBench(1000)
-	b.report(busy, 0)
+	b := newFixture(1000)
+	b.report(busyTokens, 0)
 	for range 100 {
-		b.gate.Admit(b.request("large", 4000, time.Minute), &b.world)
+		b.gate.Admit(b.request("large", 4000, time.Minute), &b.view)
 	}
 	heavy := b.request("heavy", 4000, time.Minute)
 	heavy.Weight = 2
-	b.gate.Admit(heavy, &b.world)
+	b.gate.Admit(heavy, &b.view)
 	for range 9 {
 		r := b.request("heavy", 4000, time.Minute)
 		r.Weight = 2
-		b.gate.Admit(r, &b.world)
+		b.gate.Admit(r, &b.view)
 	}
 	for range 10 {
-		b.gate.Admit(b.request("small", 4000, time.Minute), &b.world)
+		b.gate.Admit(b.request("small", 4000, time.Minute), &b.view)
 	}
 	served := map[fleet.WorkspaceID]int{}
-	for range 20 { // each report lets one or two prompts through
+	for range 20 { // one or two prompts are dispatched per report
 		b.report(0, 0)
-		for _, d := range b.gate.ProcessQueues(&b.world, nil) {
+		for _, d := range b.gate.ProcessQueues(&b.view, nil) {
 			if served["large"]+served["small"]+served["heavy"] < 12 {
 				served[d.Request.Workspace]++
 			}
@@ -193,91 +195,92 @@
 	is.Equal(served["heavy"], 6)
 }
 
-// A small workspace is told that the queue is full, each time. Order: a large one fills the queue and
-// refills it. Cause: the bound is one for all.
+// Guards against a large workspace that keeps the queue full, so that every request of a small workspace is refused
+// because of the common bound.
 func TestFullQueueMakesPlaceForASmallWorkspace(t *testing.T) {
 	is := is.New(t)
-	b := newBench(20)
-	b.report(busy, 0)
+	b := newFixture(20)
+	b.report(busyTokens, 0)
 	for range 20 {
-		b.gate.Admit(b.request("large", 1000, 30*time.Second), &b.world)
+		b.gate.Admit(b.request("large", 1000, 30*time.Second), &b.view)
 	}
-	d := b.gate.Admit(b.request("large", 1000, 30*time.Second), &b.world)
+	d := b.gate.Admit(b.request("large", 1000, 30*time.Second), &b.view)
 	is.Equal(d.Reason, admit.QueueFull)
 	is.Equal(d.Kind, fault.QueueFull)
 	small := b.request("small", 1000, 30*time.Second)
-	d = b.gate.Admit(small, &b.world)
+	d = b.gate.Admit(small, &b.view)
 	is.Equal(d.Reason, admit.Evicted)
 	is.Equal(d.Request.Workspace, fleet.WorkspaceID("large"))
 	is.Equal(b.gate.QueueLength(cost.Short), 20)
-	is.True(b.gate.Cancel(small.ID)) // it waits
+	is.True(b.gate.Cancel(small.ID)) // it is queued
 }
 
-// A prompt for a group of engines never runs while smaller long ones do. Order: memory for it is almost
-// free, and each time a smaller prompt that came later takes it. Cause: whoever fits goes first.
-func TestSmallerPromptsPassALargeOneOnlyForAWhile(t *testing.T) {
+// Guards against starvation of a prompt for a group of engines: if any prompt that fits is dispatched first, smaller long
+// prompts that arrive later take the memory each time it is almost free.
+func TestSmallerPromptsOvertakeALargeOneForALimitedTime(t *testing.T) {
 	is := is.New(t)
-	b := newBench(100)
-	b.report(0, memory/2)
+	b := newFixture(100)
+	b.report(0, engineMemory/2)
 	large := b.request("a", 300_000, 10*time.Minute)
-	is.Equal(b.gate.Admit(large, &b.world).Reason, admit.MemoryBusy)
-	b.gate.Admit(b.request("b", 110_000, 10*time.Minute), &b.world)
-	out := b.gate.ProcessQueues(&b.world, nil)
-	is.Equal(len(out), 1) // the smaller one passes
+	is.Equal(b.gate.Admit(large, &b.view).Reason, admit.MemoryBusy)
+	b.gate.Admit(b.request("b", 110_000, 10*time.Minute), &b.view)
+	out := b.gate.ProcessQueues(&b.view, nil)
+	is.Equal(len(out), 1) // the smaller prompt overtakes the large one
 	is.Equal(out[0].Verb, admit.Reserve)
-	b.gate.ReservationResult(out[0].Request, &out[0].Plan, true, &b.world)
+	b.gate.ReservationResult(out[0].Request, &out[0].Plan, true, &b.view)
 
-	b.world.Now = b.world.Now.Add(6 * time.Second)
-	b.report(0, memory/2)
-	b.gate.Admit(b.request("c", 110_000, 10*time.Minute), &b.world)
-	is.Equal(len(b.gate.ProcessQueues(&b.world, nil)), 0) // not any more
+	b.view.Now = b.view.Now.Add(6 * time.Second)
+	b.report(0, engineMemory/2)
+	b.gate.Admit(b.request("c", 110_000, 10*time.Minute), &b.view)
+	is.Equal(len(b.gate.ProcessQueues(&b.view, nil)), 0) // no longer
 	b.report(0, 0)
-	out = b.gate.ProcessQueues(&b.world, nil)
+	out = b.gate.ProcessQueues(&b.view, nil)
 	is.Equal(out[0].Request, large)
 }
 
-func TestRequestWhoseReservationFailedWaitsAgain(t *testing.T) {
+func TestRequestWhoseReservationFailedIsQueuedAgain(t *testing.T) {
 	is := is.New(t)
-	b := newBench(100)
+	b := newFixture(100)
 	r := b.request("w", 200_000, time.Minute)
-	d := b.gate.Admit(r, &b.world)
+	d := b.gate.Admit(r, &b.view)
 	is.Equal(d.Verb, admit.Reserve)
-	back := b.gate.ReservationResult(r, &d.Plan, false, &b.world)
+	back := b.gate.ReservationResult(r, &d.Plan, false, &b.view)
 	is.Equal(back.Verb, admit.Enqueue)
-	is.Equal(len(b.gate.ProcessQueues(&b.world, nil)), 0) // not at once
-	b.world.Now = b.world.Now.Add(300 * time.Millisecond)
-	out := b.gate.ProcessQueues(&b.world, nil)
+	is.Equal(len(b.gate.ProcessQueues(&b.view, nil)), 0) // not before the backoff ends
+	b.view.Now = b.view.Now.Add(300 * time.Millisecond)
+	out := b.gate.ProcessQueues(&b.view, nil)
 	is.Equal(out[0].Verb, admit.Reserve)
-	b.world.Now = r.Deadline
-	is.Equal(b.gate.ReservationResult(r, &out[0].Plan, false, &b.world).Reason, admit.Expired)
+	b.view.Now = r.Deadline
+	is.Equal(b.gate.ReservationResult(r, &out[0].Plan, false, &b.view).Reason, admit.Expired)
 }
 
-func TestPromptThatNoEnginesCanHoldIsRefused(t *testing.T) {
+func TestPromptLargerThanAllEnginesIsRefused(t *testing.T) {
 	is := is.New(t)
-	b := newBench(100)
-	d := b.gate.Admit(b.request("w", 900_000, time.Hour), &b.world)
+	b := newFixture(100)
+	d := b.gate.Admit(b.request("w", 900_000, time.Hour), &b.view)
 	is.Equal(d.Kind, fault.NoMemory)
-	b.world.Pool = pick.NewPool(nil, nil, memory)
-	is.Equal(b.gate.Admit(b.request("w", 1000, time.Hour), &b.world).Kind, fault.NoUpstream)
+	b.view.Pool = pick.NewPool(nil, nil, engineMemory)
+	is.Equal(b.gate.Admit(b.request("w", 1000, time.Hour), &b.view).Kind, fault.NoUpstream)
 }
 
-// Whatever comes in which order: each request gets exactly one last decision, the queue stays within its
-// bound, and nothing is left waiting at the end.
+// Whatever the order of events: each request gets exactly one final decision, the queues stay within their bound, and
+// no request remains queued at the end.
 func TestEveryRequestGetsOneLastDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 8
-		b := newBench(length)
-		last := map[*admit.Request]int{}
+		b := newFixture(length)
+		final := map[*admit.Request]int{}
 		var open []*admit.Request
-		settle := func(d admit.Decision) {
+		// recordFinal draws the outcome of a Reserve decision and counts the final decisions of each request.
+		recordFinal := func(d admit.Decision) {
 			switch d.Verb {
 			case admit.Reserve:
 				granted := rapid.Bool().Draw(t, "granted")
-				d = b.gate.ReservationResult(d.Request, &d.Plan, granted, &b.world)
+				d = b.gate.ReservationResult(d.Request, &d.Plan, granted, &b.view)
 			case admit.Enqueue:
 			}
 			if d.Verb != admit.Enqueue {
-				last[d.Request]++
+				final[d.Request]++
 			}
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -287,32 +290,32 @@
 					rapid.SampledFrom([]int{1000, 20_000, 150_000, 300_000}).Draw(t, "tokens"),
 					time.Duration(rapid.IntRange(1, 60).Draw(t, "timeout"))*time.Second)
 				open = append(open, r)
-				settle(b.gate.Admit(r, &b.world))
+				recordFinal(b.gate.Admit(r, &b.view))
 			case 2:
-				b.report(rapid.Int64Range(0, 100_000).Draw(t, "queued"), rapid.Int64Range(0, memory).Draw(t, "used"))
-				for _, d := range b.gate.ProcessQueues(&b.world, nil) {
-					settle(d)
+				b.report(rapid.Int64Range(0, 100_000).Draw(t, "queued"), rapid.Int64Range(0, engineMemory).Draw(t, "used"))
+				for _, d := range b.gate.ProcessQueues(&b.view, nil) {
+					recordFinal(d)
 				}
 			case 3:
-				b.world.Now = b.world.Now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
+				b.view.Now = b.view.Now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 				if len(open) > 0 {
 					r := rapid.SampledFrom(open).Draw(t, "leaver")
 					if b.gate.Cancel(r.ID) {
-						last[r]++
+						final[r]++
 					}
 				}
 			}
 			if n := b.gate.QueueLength(cost.Short) + b.gate.QueueLength(cost.Medium) + b.gate.QueueLength(cost.Long); n > length {
-				t.Fatalf("%d wait in a queue of %d", n, length)
+				t.Fatalf("%d requests are queued, the bound is %d", n, length)
 			}
 		}
-		b.world.Now = b.world.Now.Add(time.Hour)
-		for _, d := range b.gate.ProcessQueues(&b.world, nil) {
-			settle(d)
+		b.view.Now = b.view.Now.Add(time.Hour)
+		for _, d := range b.gate.ProcessQueues(&b.view, nil) {
+			recordFinal(d)
 		}
 		for _, r := range open {
-			if last[r] != 1 {
-				t.Fatalf("%s had %d last decisions", r.ID, last[r])
+			if final[r] != 1 {
+				t.Fatalf("%s got %d final decisions, want 1", r.ID, final[r])
 			}
 		}
 	})
@@ -320,10 +323,10 @@
 
 func TestDirectDecisionAllocatesNothing(t *testing.T) {
 	is := is.New(t)
-	b := newBench(10)
+	b := newFixture(10)
 	r := b.request("w", 10, time.Hour)
 	is.Equal(testing.AllocsPerRun(100, func() {
-		d, ok := b.gate.TryDispatch(r, &b.world)
+		d, ok := b.gate.TryDispatch(r, &b.view)
 		if !ok {
 			t.Fatal(d.Reason)
 		}
--- a/internal/decide/admit/queue.go
+++ b/internal/decide/admit/queue.go
@@ -8,27 +8,28 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// flow is one workspace's waiting requests in one queue, earliest latest start first.
+// flow holds the requests of one workspace in one queue, ordered by latest start, earliest first.
 type flow struct {
 	workspace fleet.WorkspaceID
 	weight    float64
-	tag       float64 // virtual time at which its next request starts
+	startTag  float64 // virtual time at which its next request starts, in prompt tokens per weight
 	tokens    int64
-	waiting   byLatest
+	waiting   byLatestStart
 }
 
-type byLatest []*Request
+// byLatestStart is a heap of requests, the earliest latest start first.
+type byLatestStart []*Request
 
-func (h byLatest) Len() int { return len(h) }
-func (h byLatest) Less(i, j int) bool {
-	if h[i].latest != h[j].latest {
-		return h[i].latest < h[j].latest
+func (h byLatestStart) Len() int { return len(h) }
+func (h byLatestStart) Less(i, j int) bool {
+	if h[i].latestStart != h[j].latestStart {
+		return h[i].latestStart < h[j].latestStart
 	}
 	return h[i].ID < h[j].ID
 }
-func (h byLatest) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *byLatest) Push(x any)   { *h = append(*h, x.(*Request)) }
-func (h *byLatest) Pop() any {
+func (h byLatestStart) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *byLatestStart) Push(x any)   { *h = append(*h, x.(*Request)) }
+func (h *byLatestStart) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -36,16 +37,17 @@
 	return last
 }
 
-// queue holds the flows of one class, in the order of their names so that nothing depends on a map.
+// queue is a start-time fair queue of the flows of one class, or of all classes of the lanes. The flows are sorted by
+// workspace, so that no decision depends on the order of a map.
 type queue struct {
-	flows   []*flow
-	virtual float64
-	length  int
-	tokens  int64
-	drain   drain
+	flows       []*flow
+	virtualTime float64
+	length      int
+	tokens      int64
+	drain       drainMeter
 }
 
-// flow gives the workspace's flow, making one where there is none.
+// flow returns the flow of the request's workspace, and creates it if it does not exist.
 func (q *queue) flow(r *Request) *flow {
 	at := 0
 	for at < len(q.flows) && q.flows[at].workspace < r.Workspace {
@@ -54,21 +56,21 @@
 	if at < len(q.flows) && q.flows[at].workspace == r.Workspace {
 		return q.flows[at]
 	}
-	f := &flow{workspace: r.Workspace, tag: q.virtual}
+	f := &flow{workspace: r.Workspace, startTag: q.virtualTime}
 	q.flows = append(q.flows, nil)
 	copy(q.flows[at+1:], q.flows[at:])
 	q.flows[at] = f
 	return f
 }
 
-// push adds the request to its workspace's flow. A flow that was idle starts at the present virtual time:
-// idleness earns nothing.
+// push adds the request to its workspace's flow. A flow that was idle continues at the current virtual time at the
+// earliest, so that a workspace gains no credit while it is idle.
 func (q *queue) push(r *Request) {
 	q.prune()
 	f := q.flow(r)
 	f.weight = weightOf(r)
 	if len(f.waiting) == 0 {
-		f.tag = max(f.tag, q.virtual)
+		f.startTag = max(f.startTag, q.virtualTime)
 	}
 	heap.Push(&f.waiting, r)
 	f.tokens += int64(r.Prompt.Tokens)
@@ -76,11 +78,12 @@
 	q.length++
 }
 
-// prune forgets idle flows that have nothing left to pay back.
+// prune removes the idle flows whose start tag the virtual time has reached. No charge of such a workspace still delays
+// its next request.
 func (q *queue) prune() {
 	kept := q.flows[:0]
 	for _, f := range q.flows {
-		if len(f.waiting) > 0 || f.tag > q.virtual {
+		if len(f.waiting) > 0 || f.startTag > q.virtualTime {
 			kept = append(kept, f)
 		}
 	}
@@ -88,6 +91,7 @@
 	q.flows = kept
 }
 
+// weightOf returns the weight of the request's workspace, 1 if it is not set.
 func weightOf(r *Request) float64 {
 	if r.Weight <= 0 {
 		return 1
@@ -95,29 +99,29 @@
 	return r.Weight
 }
 
-// next gives the flow whose turn it is among those that take says may be tried; nil where there is none.
-func (q *queue) next(take func(*flow) bool) *flow {
+// next returns the non-empty flow with the smallest start tag for which eligible returns true, or nil if there is none.
+func (q *queue) next(eligible func(*flow) bool) *flow {
 	var best *flow
 	for _, f := range q.flows {
-		if len(f.waiting) == 0 || !take(f) {
+		if len(f.waiting) == 0 || !eligible(f) {
 			continue
 		}
-		if best == nil || f.tag < best.tag {
+		if best == nil || f.startTag < best.startTag {
 			best = f
 		}
 	}
 	return best
 }
 
-// pop takes the flow's first request out as served: its workspace pays for it.
+// pop removes the flow's first request to serve it, and charges its workspace for the request's tokens.
 func (q *queue) pop(f *flow) *Request {
 	r := q.remove(f, 0)
-	q.virtual = max(q.virtual, f.tag)
-	f.tag += float64(r.Prompt.Tokens) / f.weight
+	q.virtualTime = max(q.virtualTime, f.startTag)
+	f.startTag += float64(r.Prompt.Tokens) / f.weight
 	return r
 }
 
-// remove takes a request out unserved.
+// remove removes the flow's request at index i without charging its workspace.
 func (q *queue) remove(f *flow, i int) *Request {
 	r := heap.Remove(&f.waiting, i).(*Request)
 	f.tokens -= int64(r.Prompt.Tokens)
@@ -126,15 +130,15 @@
 	return r
 }
 
-// giveBack returns what the workspace paid for a request that was popped and could not be placed.
-func (q *queue) giveBack(r *Request) {
+// refund reverses the charge for a request that was popped and got no reservation.
+func (q *queue) refund(r *Request) {
 	f := q.flow(r)
 	f.weight = weightOf(r)
-	f.tag -= float64(r.Prompt.Tokens) / f.weight
-	r.paid = false
+	f.startTag -= float64(r.Prompt.Tokens) / f.weight
+	r.charged = false
 }
 
-// find gives the place of a waiting request.
+// find returns the flow and index of a queued request, or nil if it is not queued.
 func (q *queue) find(id fleet.RequestID) (*flow, int) {
 	for _, f := range q.flows {
 		for i, r := range f.waiting {
@@ -146,8 +150,8 @@
 	return nil, 0
 }
 
-// largest gives the flow that holds the most for its weight.
-func (q *queue) largest() *flow {
+// mostLoaded returns the non-empty flow with the highest load, or nil if the queue is empty.
+func (q *queue) mostLoaded() *flow {
 	var most *flow
 	for _, f := range q.flows {
 		if len(f.waiting) == 0 {
@@ -160,23 +164,23 @@
 	return most
 }
 
-// load is the length of a flow for its weight.
+// load returns the number of requests in the flow divided by its weight.
 func (f *flow) load() float64 { return float64(len(f.waiting)) / f.weight }
 
-// lastOf gives the place of the flow's request with the latest start of all.
-func (f *flow) lastOf() int {
+// indexOfLatest returns the index of the flow's request whose latest start is last.
+func (f *flow) indexOfLatest() int {
 	last := 0
 	for i, r := range f.waiting {
-		if r.latest > f.waiting[last].latest {
+		if r.latestStart > f.waiting[last].latestStart {
 			last = i
 		}
 	}
 	return last
 }
 
-// wait estimates how long a request that joins now waits: the queue's work, or its own workspace's work
-// at its share of the queue's rate, whichever is less.
-func (q *queue) wait(r *Request) time.Duration {
+// estimateWait estimates how long a request waits if it joins the queue now. It is the time to serve either all work in
+// the queue, or the work of the request's workspace at that workspace's share of the drain rate, whichever is less.
+func (q *queue) estimateWait(r *Request) time.Duration {
 	if q.length == 0 {
 		return 0
 	}
@@ -194,48 +198,51 @@
 }
 
 const (
-	// drainSample is the time of backlog over which one sample of the drain rate is taken.
-	drainSample = time.Second
-	// drainWeight is the weight of a new sample.
-	drainWeight = 0.2
-	// slowestDrain keeps estimates finite, in tokens a second.
-	slowestDrain = 100
+	// drainSamplePeriod is the shortest period of backlog that one sample of the drain rate covers.
+	drainSamplePeriod = time.Second
+	// drainSampleWeight is the weight of a new sample in the moving average.
+	drainSampleWeight = 0.2
+	// minDrainRate is the lowest drain rate that estimates use, in tokens per second. It keeps them finite.
+	minDrainRate = 100
 )
 
-// drain measures how fast a backlogged queue is worked off.
-type drain struct {
-	rate   float64
-	tokens int64
-	since  decide.Instant
-	active bool
+// drainMeter measures the rate at which a backlogged queue is served.
+type drainMeter struct {
+	rate        float64 // moving average, in tokens per second; 0 before the first backlog
+	tokens      int64   // served since sampleStart
+	sampleStart decide.Instant
+	backlogged  bool
 }
 
-func (d *drain) tokensPerSecond() float64 { return max(d.rate, slowestDrain) }
+// tokensPerSecond returns the drain rate, at least minDrainRate.
+func (d *drainMeter) tokensPerSecond() float64 { return max(d.rate, minDrainRate) }
 
-// begin starts a backlog; seed is the rate to assume until the first sample.
-func (d *drain) begin(seed float64, now decide.Instant) {
+// begin starts a backlog; initialRate is the rate that is assumed if none has been measured yet.
+func (d *drainMeter) begin(initialRate float64, now decide.Instant) {
 	if d.rate == 0 {
-		d.rate = seed
+		d.rate = initialRate
 	}
-	d.active, d.since, d.tokens = true, now, 0
+	d.backlogged, d.sampleStart, d.tokens = true, now, 0
 }
 
-func (d *drain) served(tokens int) { d.tokens += int64(tokens) }
+// addServed counts the tokens of a request that left the queue to be served.
+func (d *drainMeter) addServed(tokens int) { d.tokens += int64(tokens) }
 
-// tick takes a sample when it is due. A backlog that ends gives no sample: its last stretch was idle.
-func (d *drain) tick(now decide.Instant, waiting int) {
-	if !d.active {
+// tick takes a sample if one is due; waiting is the length of the queue. The end of a backlog gives no sample, because
+// its last period includes idle time.
+func (d *drainMeter) tick(now decide.Instant, waiting int) {
+	if !d.backlogged {
 		return
 	}
 	if waiting == 0 {
-		d.active = false
+		d.backlogged = false
 		return
 	}
-	passed := now.Sub(d.since)
-	if passed < drainSample {
+	elapsed := now.Sub(d.sampleStart)
+	if elapsed < drainSamplePeriod {
 		return
 	}
-	sample := float64(d.tokens) / passed.Seconds()
-	d.rate += drainWeight * (sample - d.rate)
-	d.since, d.tokens = now, 0
+	sample := float64(d.tokens) / elapsed.Seconds()
+	d.rate += drainSampleWeight * (sample - d.rate)
+	d.sampleStart, d.tokens = now, 0
 }
