--- a/internal/decide/reserve/reserve_test.go
+++ b/internal/decide/reserve/reserve_test.go
@@ -13,28 +13,28 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-func present(reserve.Holder) reserve.Presence { return reserve.Present }
-func missing(reserve.Holder) reserve.Presence { return reserve.Missing }
-func unsure(reserve.Holder) reserve.Presence  { return reserve.Undetermined }
+func present(reserve.Holder) reserve.Presence      { return reserve.Present }
+func missing(reserve.Holder) reserve.Presence      { return reserve.Missing }
+func undetermined(reserve.Holder) reserve.Presence { return reserve.Undetermined }
 
-func TestGroupHoldsAllPartsAndGivesThemBack(t *testing.T) {
+func TestGroupReservesAndReleasesAllParts(t *testing.T) {
 	is := is.New(t)
 	m := newModel("a", "b", "c")
 	h := m.holder("h", 60, "c", "a", "b")
-	is.Equal(h.group.Part(0).Upstream, fleet.UpstreamID("a")) // in the order of engines, not of the plan
+	is.Equal(h.group.Part(0).Upstream, fleet.UpstreamID("a")) // sorted by engine, not in the order of the plan
 	h.start()
 	m.advance(time.Second)
 	is.True(h.ready)
-	is.Equal(m.total(), 3)
-	h.carry(h.group.End())
-	h.carry(h.group.End()) // every exit path may call it
+	is.Equal(m.reservationCount(), 3)
+	h.execute(h.group.End())
+	h.execute(h.group.End()) // every exit path calls it
 	m.advance(time.Second)
-	is.True(h.over)
-	is.Equal(m.total(), 0)
+	is.True(h.done)
+	is.Equal(m.reservationCount(), 0)
 }
 
-// Two long prompts wait for each other until both time out. Order: each holds one engine and waits for the
-// other's. Cause: groups take their engines in different orders and hold on to what they have.
+// Guards against a deadlock of two long prompts: if groups reserved their engines in different orders and kept what they
+// hold, each would hold one engine and wait for the other's until both time out.
 func TestTwoGroupsDoNotBlockEachOther(t *testing.T) {
 	is := is.New(t)
 	m := newModel("a", "b")
@@ -42,21 +42,22 @@
 	h1.start()
 	h2.start()
 	m.advance(5 * time.Second)
-	is.True(h1.ready != h2.ready) // just one got all
+	is.True(h1.ready != h2.ready) // exactly one has all parts
 	winner, loser := h1, h2
 	if h2.ready {
 		winner, loser = h2, h1
 	}
 	is.True(loser.failed)
-	is.True(loser.over)
-	is.Equal(m.total(), 2) // and the other holds nothing
-	winner.carry(winner.group.End())
+	is.True(loser.done)
+	is.Equal(m.reservationCount(), 2) // the other one holds nothing
+	winner.execute(winner.group.End())
 	m.advance(time.Second)
-	is.Equal(m.total(), 0)
+	is.Equal(m.reservationCount(), 0)
 }
 
-// A prompt for a group is refused though its memory frees up a moment later. Cause: no wait at all.
-func TestGroupWaitsAShortWhileForMemory(t *testing.T) {
+// Guards against a refusal of a prompt for a group although memory becomes free shortly afterwards, which happens if the
+// group does not wait for it.
+func TestGroupWaitsBrieflyForMemory(t *testing.T) {
 	is := is.New(t)
 	m := newModel("a", "b")
 	m.reserve("b", wire.Reservation{ID: "other", Tokens: 60})
@@ -69,9 +70,8 @@
 	is.True(h.ready)
 }
 
-// An engine's memory shrinks by one dead prompt after the other until it takes no more. Order: an entry is
-// killed at some step of reserving, using or releasing. Cause: only the dead entry knew of the reservation,
-// and this engine has no expiry.
+// Guards against a permanent loss of engine memory: an instance that is killed while it reserves, uses or releases leaves
+// a reservation that only it knew, on an engine without expiry.
 func TestHolderKilledAtEachStep(t *testing.T) {
 	type step struct {
 		verb     reserve.Verb
@@ -98,11 +98,11 @@
 			h.start()
 			m.advance(100 * time.Millisecond)
 			if !h.dead {
-				h.carry(h.group.End())
+				h.execute(h.group.End())
 			}
 			m.advance(100 * time.Millisecond)
 			is.True(killed)
-			left := m.total()
+			left := m.reservationCount()
 
 			var sweeper reserve.Sweeper
 			for range 20 {
@@ -110,68 +110,68 @@
 				m.advance(time.Second)
 			}
 			if s.verb == reserve.Reserve {
-				is.True(left > 0 || !s.answered && s.part == 0) // there was something to sweep
+				is.True(left > 0 || !s.answered && s.part == 0) // a reservation remained for the sweeper
 			}
-			is.Equal(m.total(), 0)
+			is.Equal(m.reservationCount(), 0)
 		})
 	}
 }
 
-// A prompt's reservation stands though its entry gave the prompt up. Order: the engine takes the
-// reservation, its answer is lost. Cause: the entry takes no answer for no reservation.
+// Guards against a reservation that remains after its instance abandoned the prompt: the engine grants it, the answer is
+// lost, and the instance must not conclude that there is no reservation.
 func TestAnswerToReserveLost(t *testing.T) {
 	for part := range 3 {
 		is := is.New(t)
 		m := newModel("a", "b", "c")
 		h := m.holder("h", 60, "a", "b", "c")
-		h.lose = func(v reserve.Verb, p int) bool { return v == reserve.Reserve && p == part }
+		h.answerLost = func(v reserve.Verb, p int) bool { return v == reserve.Reserve && p == part }
 		h.start()
 		m.advance(time.Second)
 		is.True(h.failed)
 		is.True(!h.ready)
-		is.Equal(m.total(), 0)
+		is.Equal(m.reservationCount(), 0)
 	}
 }
 
-// The same, but the call was held up on its way and takes effect after the release.
-// Cause: calls on two connections can overtake each other.
+// Guards against the same failure when the reservation is delayed in transit and takes effect after its release, as calls
+// on two connections can overtake each other.
 func TestReservationThatArrivesBehindItsRelease(t *testing.T) {
 	is := is.New(t)
 	m := newModel("a")
 	h := m.holder("h", 60, "a")
 	h.start()
-	held := m.pending[0]
-	m.pending = nil // on its way, for two seconds
-	h.carry(h.group.ReserveUnknown(0))
-	m.advance(2 * time.Second) // the release was there and found nothing
-	m.reserve("a", wire.Reservation{ID: held.id, Holder: "h", Incarnation: "h-1", Tokens: 60})
+	delayed := m.pending[0]
+	m.pending = nil // in transit for two seconds
+	h.execute(h.group.ReserveUnknown(0))
+	m.advance(2 * time.Second) // the release arrived and found no reservation
+	m.reserve("a", wire.Reservation{ID: delayed.id, Holder: "h", Incarnation: "h-1", Tokens: 60})
 	m.advance(10 * time.Second)
-	is.Equal(m.total(), 0)
-	is.True(h.over)
+	is.Equal(m.reservationCount(), 0)
+	is.True(h.done)
 }
 
-// An engine keeps memory for a prompt that is long answered. Order: the release's answer, or the release
-// itself, is lost. Cause: the entry does not ask again.
+// Guards against memory that stays reserved after its prompt was answered: the release or its answer is lost and the
+// instance does not repeat the release.
 func TestReleaseLost(t *testing.T) {
 	is := is.New(t)
 	m := newModel("a", "b")
 	h := m.holder("h", 60, "a", "b")
 	lost := 0
-	h.lose = func(v reserve.Verb, p int) bool {
+	h.answerLost = func(v reserve.Verb, p int) bool {
 		lose := v == reserve.Release && p == 1 && lost < 5
 		if lose {
 			lost++
-			m.reserve("b", wire.Reservation{ID: h.group.Part(1).ID, Tokens: 60}) // it did not take effect
+			m.reserve("b", wire.Reservation{ID: h.group.Part(1).ID, Tokens: 60}) // the release did not take effect
 		}
 		return lose
 	}
 	h.start()
 	m.advance(time.Second)
-	h.carry(h.group.End())
+	h.execute(h.group.End())
 	m.advance(10 * time.Second)
 	is.Equal(lost, 5)
-	is.Equal(m.total(), 0)
-	is.True(h.over)
+	is.Equal(m.reservationCount(), 0)
+	is.True(h.done)
 }
 
 func TestReleaseIsGivenUpAfterDeadlineAndGraceAndSwept(t *testing.T) {
@@ -180,25 +180,25 @@
 	h := m.holder("h", 60, "a")
 	h.start()
 	m.advance(time.Second)
-	h.lose = func(v reserve.Verb, _ int) bool {
+	h.answerLost = func(v reserve.Verb, _ int) bool {
 		if v == reserve.Release {
 			m.reserve("a", wire.Reservation{ID: h.group.Part(0).ID, Holder: "h", Tokens: 60, DeadlineMs: deadline.Milliseconds()})
 		}
 		return v == reserve.Release
 	}
-	h.carry(h.group.End())
+	h.execute(h.group.End())
 	m.advance(deadline + reserve.ReleaseGrace + 3*time.Second)
-	is.True(h.over) // it does not try for ever
-	is.Equal(m.total(), 1)
+	is.True(h.done) // releases are not repeated forever
+	is.Equal(m.reservationCount(), 1)
 	m.advance(deadline + reserve.ReleaseGrace)
 	var sweeper reserve.Sweeper
-	m.sweep(&sweeper, present) // the deadline alone is enough
-	is.Equal(m.total(), 0)
+	m.sweep(&sweeper, present) // the passed deadline suffices, although the holder is present
+	is.Equal(m.reservationCount(), 0)
 }
 
-// A prompt that just began is torn down. Order: two sweepers list the same dead reservation; one releases
-// it; a new prompt takes the memory; the other releases too. Cause: releases that name an engine or an
-// amount instead of a reservation.
+// Guards against the loss of a new prompt's reservation: two sweepers list the same orphaned reservation, one releases it,
+// a new prompt reserves the memory, and the other sweeper releases too. A release must name a reservation, not an
+// engine or an amount.
 func TestTwoSweepersAtOnce(t *testing.T) {
 	is := is.New(t)
 	m := newModel("a")
@@ -217,12 +217,12 @@
 	m.release("a", first[0].ID)
 	m.reserve("a", wire.Reservation{ID: "new", Holder: "h", Incarnation: "h-1", Tokens: 60})
 	m.release("a", second[0].ID)
-	is.True(m.run("a", "new"))
+	is.True(m.accepts("a", "new"))
 }
 
-// An entry wakes from a long pause and computes in memory that is another's by now. Order: it holds a
-// reservation, stops; the sweeper finds it missing, releases; another prompt reserves; the entry wakes and
-// goes on. Cause: it believes in a reservation that it no longer has.
+// Guards against an instance that uses another prompt's memory after a long pause: the instance holds a reservation and
+// pauses, the sweeper finds it missing and releases, another prompt reserves, and the instance continues with a
+// reservation that no longer exists.
 func TestPausedHolderWakesAfterItsReservationWasSwept(t *testing.T) {
 	is := is.New(t)
 	m := newModel("a")
@@ -242,15 +242,15 @@
 	is.True(other.ready)
 
 	paused.dead = false
-	is.True(!m.run("a", paused.group.Part(0).ID)) // its work ends in an error
-	paused.carry(paused.group.End())
+	is.True(!m.accepts("a", paused.group.Part(0).ID)) // the engine rejects its work
+	paused.execute(paused.group.End())
 	m.advance(time.Second)
-	is.True(paused.over)
-	is.True(m.run("a", other.group.Part(0).ID)) // and the other's goes on
+	is.True(paused.done)
+	is.True(m.accepts("a", other.group.Part(0).ID)) // the other holder's work continues
 }
 
-// A new entry's first long prompts all fail. Order: it starts and reserves; the sweeper's instance list
-// does not show it yet. Cause: absent is taken for gone at the first look.
+// Guards against the failure of a new instance's first long prompts: it starts and reserves while the sweeper's instance
+// list does not show it yet. One check that finds it missing must not count as gone.
 func TestYoungHolderIsNotSwept(t *testing.T) {
 	is := is.New(t)
 	m := newModel("a")
@@ -262,24 +262,24 @@
 		m.sweep(&sweeper, missing)
 		m.advance(time.Second)
 	}
-	m.sweep(&sweeper, present) // the list caught up
+	m.sweep(&sweeper, present) // the list shows the instance
 	for range 10 {
-		m.sweep(&sweeper, missing) // and missing again for a while
+		m.sweep(&sweeper, missing) // the instance is missing again for a shorter time than MinAbsence
 		m.advance(time.Second)
 	}
 	m.advance(time.Minute)
-	is.Equal(m.total(), 1)
-	m.made[h.group.Part(0).ID] = m.now
-	m.sweep(&sweeper, missing) // a sweeper that was paused begins anew
+	is.Equal(m.reservationCount(), 1)
+	m.createdAt[h.group.Part(0).ID] = m.now
+	m.sweep(&sweeper, missing) // a sweeper that was paused starts the period again
 	for range 30 {
-		m.sweep(&sweeper, unsure) // and one that is cut off itself judges nobody
+		m.sweep(&sweeper, undetermined) // an isolated sweeper releases nothing
 		m.advance(time.Second)
 	}
-	is.Equal(m.total(), 1)
+	is.Equal(m.reservationCount(), 1)
 }
 
-// Whatever the interleaving of two groups' calls, losses and ends: an engine is never over its memory, a
-// group that is ready holds all its parts, one that is over holds none, and no wait lasts for ever.
+// In every interleaving of the calls, losses and ends of two groups: an engine never exceeds its memory, a group that is
+// ready holds all of its parts, a group that is done holds none, and every group ends.
 func TestInterleavingsOfTwoGroups(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel("a", "b", "c")
@@ -288,7 +288,7 @@
 		var holders []*holder
 		for i := range 2 {
 			h := m.holder(fmt.Sprintf("h%d", i), 60, engines.Draw(t, "engines")...)
-			h.lose = lose
+			h.answerLost = lose
 			h.start()
 			holders = append(holders, h)
 		}
@@ -298,40 +298,41 @@
 				m.deliver(c)
 			} else if rapid.IntRange(0, 7).Draw(t, "end") == 0 {
 				h := rapid.SampledFrom(holders).Draw(t, "ender")
-				h.carry(h.group.End())
+				h.execute(h.group.End())
 			}
-			check(t, m, holders)
+			checkInvariants(t, m, holders)
 		}
 		for _, h := range holders {
-			h.lose = nil
-			h.carry(h.group.End())
+			h.answerLost = nil
+			h.execute(h.group.End())
 		}
 		m.advance(time.Minute)
-		check(t, m, holders)
+		checkInvariants(t, m, holders)
 		for _, h := range holders {
-			if !h.over {
-				t.Fatalf("%s never ended", h.me.Instance)
+			if !h.done {
+				t.Fatalf("%s is not done after a minute", h.identity.Instance)
 			}
 		}
-		if m.total() != 0 {
-			t.Fatalf("%d reservations left", m.total())
+		if m.reservationCount() != 0 {
+			t.Fatalf("%d reservations remain", m.reservationCount())
 		}
 	})
 }
 
-func check(t *rapid.T, m *fleetModel, holders []*holder) {
+// checkInvariants checks the memory of the engines and the parts of the groups.
+func checkInvariants(t *rapid.T, m *engineModel, holders []*holder) {
 	for e := range m.held {
-		if m.used(e) > memory {
-			t.Fatalf("engine %s holds %d", e, m.used(e))
+		if m.used(e) > engineMemory {
+			t.Fatalf("engine %s has %d tokens reserved, more than its memory", e, m.used(e))
 		}
 	}
 	for _, h := range holders {
 		for i := range h.group.Len() {
 			p := h.group.Part(i)
-			if held := m.run(p.Upstream, p.ID); held != true && h.group.Ready() {
-				t.Fatalf("%s is ready without part %d", h.me.Instance, i)
-			} else if held && h.over {
-				t.Fatalf("%s is over and holds part %d", h.me.Instance, i)
+			if held := m.accepts(p.Upstream, p.ID); held != true && h.group.Ready() {
+				t.Fatalf("%s is ready without part %d", h.identity.Instance, i)
+			} else if held && h.done {
+				t.Fatalf("%s is done and still holds part %d", h.identity.Instance, i)
 			}
 		}
 	}
