--- a/internal/decide/stream/stream_test.go
+++ b/internal/decide/stream/stream_test.go
@@ -14,7 +14,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// part is tokens from..to-1 of answer a; finish marks the end.
+// part returns the part with the tokens from..to-1 of answer a; finish is its finish reason.
 func part(from, to int, finish string) wire.Part {
 	p := wire.Part{ID: "a", Offset: from, Tokens: to - from, FinishReason: finish}
 	for i := from; i < to; i++ {
@@ -23,7 +23,7 @@
 	return p
 }
 
-func TestDrops(t *testing.T) {
+func TestAddReturnsTheDropReason(t *testing.T) {
 	foreign, empty := part(4, 6, ""), wire.Part{ID: "a", Offset: 4, Text: "x"}
 	foreign.ID = "b"
 	rows := []struct {
@@ -35,14 +35,14 @@
 	}{
 		{"next", 2, part(4, 6, ""), stream.Delivered, 6},
 		{"foreign", 2, foreign, stream.Foreign, 4},
-		{"of an earlier dispatch", 1, part(4, 6, ""), stream.StaleAttempt, 4},
-		{"doubled", 2, part(2, 4, ""), stream.Duplicate, 4},
+		{"earlier attempt", 1, part(4, 6, ""), stream.StaleAttempt, 4},
+		{"duplicate", 2, part(2, 4, ""), stream.Duplicate, 4},
 		{"overlapping", 2, part(3, 5, ""), stream.Overlap, 4},
 		{"ahead", 2, part(5, 6, ""), stream.Ahead, 4},
 		{"text without tokens", 2, empty, stream.Malformed, 4},
-		{"negative", 2, wire.Part{ID: "a", Offset: -1, Tokens: 1}, stream.Malformed, 4},
+		{"negative offset", 2, wire.Part{ID: "a", Offset: -1, Tokens: 1}, stream.Malformed, 4},
 		{"end mark without tokens", 2, part(4, 4, "stop"), stream.Delivered, 4},
-		{"doubled end mark of the past", 2, part(3, 3, "stop"), stream.Duplicate, 4},
+		{"duplicate of an earlier end mark", 2, part(3, 3, "stop"), stream.Duplicate, 4},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// Two parts change places on the way. Dropping the first to come would cost a resume; it is held until the
-// other one fills the hole.
+// If two parts arrive in swapped order, the first to arrive is held until the missing one arrives. Dropping it would
+// require a resume.
 func TestSwappedPartsAreDeliveredInOrder(t *testing.T) {
 	is := is.New(t)
 	a := stream.NewAssembly("a")
@@ -71,7 +71,7 @@
 	out, _ := a.Add(1, part(2, 4, "stop"))
 	is.Equal(len(out), 0)
 	is.True(a.HasHeldParts())
-	is.True(!a.Complete()) // an end mark behind a hole ends nothing
+	is.True(!a.Complete()) // a held end mark does not complete the answer
 	out, _ = a.Add(1, part(0, 2, ""))
 	is.Equal(out, []wire.Part{part(0, 2, ""), part(2, 4, "stop")})
 	is.True(a.Complete())
@@ -79,7 +79,7 @@
 	is.Equal(drop, stream.AfterEnd)
 }
 
-func TestHeldPartsAreBounded(t *testing.T) {
+func TestNumberOfHeldPartsIsBounded(t *testing.T) {
 	is := is.New(t)
 	a := stream.NewAssembly("a")
 	a.BeginAttempt(1)
@@ -90,12 +90,12 @@
 		}
 	}
 	is.Equal(overflow, 36)
-	a.BeginAttempt(2) // what was held of a dispatch that failed is not mixed with the next one's
+	a.BeginAttempt(2) // held parts of a failed dispatch are not mixed with those of the next one
 	is.True(!a.HasHeldParts())
 }
 
-// Engines double, swap, delay and cut parts, mix in those of others, and end without a mark. Whatever
-// comes, the caller reads a beginning of its own answer, each token once; and with the end mark, all of it.
+// Engines duplicate, swap, delay and lose parts, mix in parts of other answers, and end without an end mark. Whatever
+// arrives, the caller reads a prefix of its own answer, each token once; with the end mark, it reads all of the answer.
 func TestAnyArrivalGivesAPrefix(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "13", "rapid.checks": "2000"} {
 		if err := flag.Set(name, value); err != nil {
@@ -104,34 +104,35 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(1, 12).Draw(t, "length")
-		whole := part(0, length, "").Text
+		complete := part(0, length, "").Text
 		a := stream.NewAssembly("a")
 		var got strings.Builder
 		for attempt := 1; attempt <= 4 && !a.Complete(); attempt++ {
 			a.BeginAttempt(attempt)
-			for _, m := range mangled(t, a.NextToken(), length, attempt) {
+			for _, m := range faultyArrivals(t, a.NextToken(), length, attempt) {
 				out, _ := a.Add(m.attempt, m.p)
 				for _, p := range out {
 					got.WriteString(p.Text)
 				}
 			}
 		}
-		if !strings.HasPrefix(whole, got.String()) {
-			t.Fatalf("delivered %q of %q", got.String(), whole)
+		if !strings.HasPrefix(complete, got.String()) {
+			t.Fatalf("delivered %q, which is no prefix of %q", got.String(), complete)
 		}
-		if a.Complete() && got.String() != whole {
-			t.Fatalf("ended with %q of %q", got.String(), whole)
+		if a.Complete() && got.String() != complete {
+			t.Fatalf("completed with %q instead of %q", got.String(), complete)
 		}
 	})
 }
 
+// arrival is a part that arrives on the stream of an attempt.
 type arrival struct {
 	attempt int
 	p       wire.Part
 }
 
-// mangled is a dispatch's stream from token from on, as faults leave it.
-func mangled(t *rapid.T, from, length, attempt int) []arrival {
+// faultyArrivals returns the arrivals of an attempt that begins at token from, changed by random faults.
+func faultyArrivals(t *rapid.T, from, length, attempt int) []arrival {
 	var all []arrival
 	for at := from; at < length; {
 		to := min(length, at+rapid.IntRange(1, 3).Draw(t, "tokens"))
@@ -182,12 +183,12 @@
 			out, _ := a.Add(1, p)
 			for _, d := range out {
 				if d.ID != "a" || d.Offset != next || d.Tokens < 0 {
-					t.Fatalf("delivered %+v, needed token %d", d, next)
+					t.Fatalf("delivered %+v, the next token is %d", d, next)
 				}
 				next += d.Tokens
 			}
 			if next != a.NextToken() {
-				t.Fatalf("next is %d after %d delivered tokens", a.NextToken(), next)
+				t.Fatalf("NextToken is %d after %d delivered tokens", a.NextToken(), next)
 			}
 		}
 	})
