--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -73,7 +73,7 @@
 	most     int64         // highest memory held
 	worked   time.Duration // time in steps
 
-	report   wire.Load // as it stood at reported
+	report   wire.LoadReport // as it stood at reported
 	reported decide.Instant
 	events   int // cache events published then
 }
@@ -233,8 +233,8 @@
 }
 
 // load is the engine's state now, as a report that has not lagged would show it.
-func (e *engine) load() wire.Load {
-	l := wire.Load{
+func (e *engine) load() wire.LoadReport {
+	l := wire.LoadReport{
 		BootID: e.boot, MemoryUsed: e.held, MemoryTotal: e.model.Memory, PrefillRate: e.model.rate(),
 	}
 	for _, j := range e.jobs {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -224,8 +224,8 @@
 }
 
 // report is an engine's load report with figures of usual length.
-func report() upstream.Load {
-	return upstream.Load{
+func report() upstream.LoadReport {
+	return upstream.LoadReport{
 		BootID: "0123456789abcdef", Seq: 123_456, AgeMs: 180, ColdLimit: 4, Running: 23, Queued: 11,
 		QueuedTokens: 123_456, MemoryUsed: 321_000, MemoryTotal: 400_000, PrefillRate: 24_000,
 	}
@@ -259,7 +259,7 @@
 	b.ReportAllocs()
 	defer processorTime(b)()
 	for b.Loop() {
-		var l upstream.Load
+		var l upstream.LoadReport
 		if err := json.Unmarshal(raw, &l); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -164,7 +164,7 @@
 			f := r.Fault()
 			is.Equal(f.Kind, fault.StoreUnavailable)
 			is.Equal(f.Run, fault.RunNo)
-			is.True(f.Wait() > 0)
+			is.True(f.RetryDelay() > 0)
 			store.hang.Store(false)
 			store.down.Store(false)
 			flush(t, k) // the withdrawal of the refused claim
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -157,19 +157,19 @@
 		if !r.Outcome.BodyDropped {
 			return nil
 		}
-		return fault.Ran(fault.UpstreamFailed, r.Outcome.Run,
+		return fault.NewWithRun(fault.UpstreamFailed, r.Outcome.Run,
 			"the request ran before with status %d; its answer was too large to keep", r.Outcome.Status)
 	case InProgress:
-		e := fault.Ran(fault.InProgress, fault.RunUnknown, "another attempt with this idempotency key is running")
+		e := fault.NewWithRun(fault.InProgress, fault.RunUnknown, "another attempt with this idempotency key is running")
 		e.RetryAfter = r.RetryAfter
 		return e
 	case Orphaned:
-		return fault.Ran(fault.UpstreamFailed, fault.RunUnknown,
+		return fault.NewWithRun(fault.UpstreamFailed, fault.RunUnknown,
 			"an earlier attempt with this idempotency key ended without a recorded outcome; it is never run again")
 	case KeyReused:
 		return fault.New(fault.KeyReused, "the idempotency key stands for another request")
 	case KeyExpired:
-		return fault.Ran(fault.KeyExpired, r.Run, "the idempotency key is older than outcomes are kept; use a new key only if it may run again")
+		return fault.NewWithRun(fault.KeyExpired, r.Run, "the idempotency key is older than outcomes are kept; use a new key only if it may run again")
 	case ShardFull:
 		return fault.New(fault.StoreUnavailable, "no room for another idempotency key")
 	default:
--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -200,7 +200,7 @@
 	is.Equal(e.Responses[0].Result.Verdict, claim.Unavailable)
 	f := e.Responses[0].Result.Fault()
 	is.Equal(f.Run, fault.RunNo)
-	is.True(f.Wait() > 0)
+	is.True(f.RetryDelay() > 0)
 	_, e = c.Submit(op(claim.Claim, "t2"), instant(2*time.Millisecond), now)
 	is.Equal(e.Responses[0].Result.Verdict, claim.Unavailable)
 	is.True(!e.Read)
--- a/internal/decide/order/difference.go
+++ b/internal/decide/order/difference.go
@@ -72,8 +72,8 @@
 }
 
 // findLoaded returns the loaded version of a model, or nil if the engine has none.
-func findLoaded(state wire.EngineState, model string) *wire.Loaded {
-	i := slices.IndexFunc(state.Loaded, func(l wire.Loaded) bool { return l.Model == model })
+func findLoaded(state wire.EngineState, model string) *wire.LoadedModel {
+	i := slices.IndexFunc(state.Loaded, func(l wire.LoadedModel) bool { return l.Model == model })
 	if i < 0 {
 		return nil
 	}
@@ -118,7 +118,7 @@
 
 // extraSteps returns the unload of a loaded model that the target doesn't contain. For a model that it contains in the
 // loaded version, extraSteps returns the unloads of the extra adapters.
-func extraSteps(want api.Placement, l wire.Loaded) []api.Step {
+func extraSteps(want api.Placement, l wire.LoadedModel) []api.Step {
 	s := api.Step{Kind: api.StepUnload, Model: l.Model, Version: l.Version}
 	i := slices.IndexFunc(want.Loaded, func(w api.Loaded) bool { return w.Model == l.Model })
 	if i < 0 {
@@ -138,7 +138,7 @@
 }
 
 // MatchesPlacement reports whether an engine has loaded exactly what its placement contains.
-func MatchesPlacement(want api.Placement, loaded []wire.Loaded) bool {
+func MatchesPlacement(want api.Placement, loaded []wire.LoadedModel) bool {
 	in := Input{Target: want, State: wire.EngineState{Loaded: loaded}}
 	_, differs := deviation(in)
 	return !differs
@@ -146,7 +146,7 @@
 
 // IsBehind reports whether an engine's loaded models differ from what they should be in a stage: a step of that stage
 // or an earlier one is not done, or the engine lacks a model that it should serve all the time.
-func IsBehind(want api.Placement, steps []api.Step, stage int, loaded []wire.Loaded) bool {
+func IsBehind(want api.Placement, steps []api.Step, stage int, loaded []wire.LoadedModel) bool {
 	in := Input{Target: want, Steps: steps, Stage: stage, State: wire.EngineState{Loaded: loaded}}
 	_, _, differs := nextDifference(in)
 	return differs
--- a/internal/decide/order/order_test.go
+++ b/internal/decide/order/order_test.go
@@ -18,7 +18,7 @@
 func baseInput() order.Input {
 	return order.Input{
 		PlanID: "p", Fencing: true, Stage: 1,
-		State: wire.EngineState{BootID: "b1", Loaded: []wire.Loaded{{Model: "m", Version: "1"}}},
+		State: wire.EngineState{BootID: "b1", Loaded: []wire.LoadedModel{{Model: "m", Version: "1"}}},
 		Steps: []api.Step{
 			{Stage: 1, Upstream: "e", Kind: api.StepLoad, Model: "m", Version: "2"},
 			{Stage: 2, Upstream: "e", Kind: api.StepLoad, Model: "n", Version: "1"},
@@ -31,10 +31,10 @@
 }
 
 // loaded returns models from names of one letter that are followed by the version.
-func loaded(refs ...string) []wire.Loaded {
-	var all []wire.Loaded
+func loaded(refs ...string) []wire.LoadedModel {
+	var all []wire.LoadedModel
 	for _, r := range refs {
-		all = append(all, wire.Loaded{Model: r[:1], Version: r[1:]})
+		all = append(all, wire.LoadedModel{Model: r[:1], Version: r[1:]})
 	}
 	return all
 }
--- a/internal/decide/pick/engine.go
+++ b/internal/decide/pick/engine.go
@@ -39,7 +39,7 @@
 }
 
 // NewReport returns the load report l, received at the instant arrived, with its time on this instance's clock.
-func NewReport(l *wire.Load, arrived decide.Instant) *Report {
+func NewReport(l *wire.LoadReport, arrived decide.Instant) *Report {
 	return &Report{
 		At:      arrived.Add(-time.Duration(l.AgeMs) * time.Millisecond),
 		Running: l.Running, Queued: l.Queued, QueuedTokens: l.QueuedTokens,
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -43,7 +43,7 @@
 			bookings[bookingOutcome(s)]++
 			continue
 		}
-		r := &rows[classOf(wire.Tokens(len(s.q.Prompt)))]
+		r := &rows[classOf(wire.TokenCount(len(s.q.Prompt)))]
 		r.sent++
 		if s.r.OK() {
 			r.whole++
--- a/internal/entry/command/claims.go
+++ b/internal/entry/command/claims.go
@@ -73,7 +73,7 @@
 	}
 	o := res.Outcome
 	if o.Fault != "" {
-		return upstream.Answer{}, true, fault.Ran(kindOf(o.Fault), o.Run, "%s", o.Body)
+		return upstream.Answer{}, true, fault.NewWithRun(kindOf(o.Fault), o.Run, "%s", o.Body)
 	}
 	return upstream.Answer{Status: o.Status, ContentType: o.ContentType, Body: o.Body}, true, nil
 }
--- a/internal/entry/command/command.go
+++ b/internal/entry/command/command.go
@@ -133,7 +133,7 @@
 		if failed == nil {
 			return a, nil
 		}
-		if failed.Ran() {
+		if failed.MayHaveRun() {
 			return upstream.Answer{}, unknown(ctx, failed)
 		}
 		last = failed
@@ -147,9 +147,9 @@
 // unknown is the final error of a call that may have run.
 func unknown(ctx context.Context, ce *upstream.CallError) error {
 	if ctx.Err() != nil || ce.Timeout {
-		return fault.Ran(fault.DeadlineExceeded, fault.RunUnknown, "no answer in time: %v", ce)
+		return fault.NewWithRun(fault.DeadlineExceeded, fault.RunUnknown, "no answer in time: %v", ce)
 	}
-	return fault.Ran(fault.UpstreamFailed, fault.RunUnknown, "%v", ce)
+	return fault.NewWithRun(fault.UpstreamFailed, fault.RunUnknown, "%v", ce)
 }
 
 // call sends the call once. Its connection is always a new one where a dead pooled connection could leave
@@ -159,7 +159,7 @@
 	defer fasthttp.ReleaseRequest(req)
 	remaining := time.Until(m.Deadline)
 	t.Fill(req, g.Upstream.Addr, m, attempt, remaining)
-	a, err := h.d.Client.CallFresh(ctx, g.Upstream.Addr, req, remaining)
+	a, err := h.d.Client.CallNewConnection(ctx, g.Upstream.Addr, req, remaining)
 	if err == nil {
 		g.Done(route.OK)
 		return a, nil
@@ -169,10 +169,10 @@
 		ce = &upstream.CallError{Sent: true, Cause: err}
 	}
 	switch {
-	case !ce.Ran():
+	case !ce.MayHaveRun():
 		g.Done(route.NotStarted)
 	case ce.Timeout:
-		h.d.Client.Condemn(g.Upstream.Addr)
+		h.d.Client.InvalidateConnections(g.Upstream.Addr)
 		g.Done(route.Silent)
 	default:
 		g.Done(route.Failed)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -101,7 +101,7 @@
 	// A defect that one request meets must not end the requests of all others.
 	r.PanicHandler = func(ctx *fasthttp.RequestCtx, cause any) {
 		d.Log.Error("panic", "path", string(ctx.Path()), "cause", cause, "stack", string(debug.Stack()))
-		intake.Refuse(ctx, requestID(ctx, d.NewID), fault.Ran(fault.Internal, fault.RunUnknown, "defect; see the log"))
+		intake.Refuse(ctx, requestID(ctx, d.NewID), fault.NewWithRun(fault.Internal, fault.RunUnknown, "defect; see the log"))
 	}
 	return r
 }
--- a/internal/entry/intake/answer.go
+++ b/internal/entry/intake/answer.go
@@ -30,7 +30,7 @@
 	}
 	return Failure{
 		Error: e.Kind.String(), Run: e.Run.String(), Detail: detail, RequestID: string(id),
-		RetryAfterMs: e.Wait().Milliseconds(),
+		RetryAfterMs: e.RetryDelay().Milliseconds(),
 	}
 }
 
@@ -46,7 +46,7 @@
 	ctx.SetStatusCode(e.Kind.Rule().Status)
 	ctx.SetContentType("application/json")
 	Mark(ctx, id, e.Run)
-	if wait := e.Wait(); wait > 0 {
+	if wait := e.RetryDelay(); wait > 0 {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter(wait))
 	}
 	ctx.SetBody(body)
--- a/internal/entry/query/answer.go
+++ b/internal/entry/query/answer.go
@@ -149,15 +149,15 @@
 
 // bounds sets the current dispatch's time and says how its connection is watched. A dispatch to a cold
 // upstream ends before its slot can be another instance's; the answer goes on in another dispatch.
-func (a *answer) bounds() upstream.Silence {
+func (a *answer) bounds() upstream.SilenceLimits {
 	a.until = a.prompt.meta.Deadline
 	if bound, cold := a.h.limits.Bound(a.grant.Upstream); cold && a.left() > bound {
 		a.until = a.sentAt.Add(bound)
 	}
 	u := a.grant.Upstream
-	return upstream.Silence{
+	return upstream.SilenceLimits{
 		Params: stream.NewParams(a.h.streamGap), Deadline: a.until,
-		Note: func(r decide.Reason) {
+		OnStep: func(r decide.Reason) {
 			a.h.explain.Record("silence", string(a.prompt.meta.ID), r, "upstream", u.ID)
 		},
 	}
@@ -175,7 +175,7 @@
 	if a.run == fault.RunNo {
 		return &e
 	}
-	return fault.Ran(fault.UpstreamFailed, a.run, "%s after %d dispatches: %s", e.Kind, a.attempt-1, e.Detail)
+	return fault.NewWithRun(fault.UpstreamFailed, a.run, "%s after %d dispatches: %s", e.Kind, a.attempt-1, e.Detail)
 }
 
 func (a *answer) sent() {
@@ -190,12 +190,12 @@
 		return nil
 	}
 	if errors.Is(context.Cause(a.ctx), errCallerGone) {
-		return fault.Ran(fault.CallerGone, a.run, "the caller closed its connection")
+		return fault.NewWithRun(fault.CallerGone, a.run, "the caller closed its connection")
 	}
 	if errors.Is(context.Cause(a.ctx), errStopped) {
-		return fault.Ran(fault.Cancelled, a.run, "the instance's planned stop reached its limit")
+		return fault.NewWithRun(fault.Cancelled, a.run, "the instance's planned stop reached its limit")
 	}
-	return fault.Ran(fault.DeadlineExceeded, a.run, "%d tokens came in time", a.parts.NextToken())
+	return fault.NewWithRun(fault.DeadlineExceeded, a.run, "%d tokens came in time", a.parts.NextToken())
 }
 
 // failed ends the current dispatch and gives nil when another may follow, or the final error.
@@ -204,7 +204,7 @@
 	if !errors.As(err, &ce) {
 		ce = &upstream.CallError{Sent: true, Cause: err}
 	}
-	if ce.Ran() {
+	if ce.MayHaveRun() {
 		a.sent()
 	}
 	u, sliced := a.grant.Upstream, a.sliced()
@@ -213,7 +213,7 @@
 		a.vain = 1
 	}
 	a.witness(ce)
-	if a.ctx.Err() != nil || ce.Timeout || ce.Overdue || sliced {
+	if a.ctx.Err() != nil || ce.Timeout || ce.DeadlinePassed || sliced {
 		a.cancel(a.outcome(ce, sliced))
 	} else {
 		a.close(a.outcome(ce, sliced))
@@ -224,7 +224,7 @@
 	if sliced {
 		return nil
 	}
-	if !ce.Timeout || ce.Dead {
+	if !ce.Timeout || ce.UpstreamDead {
 		a.tried = append(a.tried, u.ID)
 	}
 	return a.again(u, ce)
@@ -233,7 +233,7 @@
 // again waits until the request may be dispatched again, or gives the final error.
 func (a *answer) again(u *fleet.Upstream, ce *upstream.CallError) error {
 	again, reason := a.h.retrier.After(a.ctx, retry.Failure{
-		Started: ce.Ran(), Idempotent: true, Attempts: a.vain, TimeLeft: a.left(),
+		Started: ce.MayHaveRun(), Idempotent: true, Attempts: a.vain, TimeLeft: a.left(),
 		RetryAfter: ce.RetryAfter, OtherUpstream: true,
 	}, a.prompt.meta.Workspace, u.ID)
 	a.h.explain.Record("retry", string(a.prompt.meta.ID), reason,
@@ -254,7 +254,7 @@
 	}
 	a.h.limits.OnBoot(a.grant.Upstream, ce.BootID)
 	switch {
-	case ce.Dead:
+	case ce.UpstreamDead:
 		a.h.limits.Evidence(a.grant.Upstream, health.NoReply)
 	case !ce.Sent:
 		a.h.limits.Evidence(a.grant.Upstream, health.ConnReset)
@@ -276,7 +276,7 @@
 	case errors.Is(ce, io.ErrUnexpectedEOF):
 		kind = fault.IncompleteAnswer
 	}
-	e := fault.Ran(kind, a.run, "%d dispatches, the last: %v", a.attempt, ce)
+	e := fault.NewWithRun(kind, a.run, "%d dispatches, the last: %v", a.attempt, ce)
 	e.RetryAfter = ce.RetryAfter
 	return e
 }
--- a/internal/entry/query/prompt.go
+++ b/internal/entry/query/prompt.go
@@ -17,7 +17,7 @@
 // prompt is one accepted completions request.
 type prompt struct {
 	meta   intake.Meta
-	body   wire.Completion
+	body   wire.CompletionRequest
 	stream bool
 	tokens int
 	blocks []uint64
@@ -50,8 +50,8 @@
 		return nil, fault.From(fmt.Errorf("encode prompt: %w", err))
 	}
 	p.raw = raw
-	p.tokens = wire.Tokens(len(b.Prompt))
-	p.blocks = wire.Blocks([]byte(b.Prompt))
+	p.tokens = wire.TokenCount(len(b.Prompt))
+	p.blocks = wire.BlockHashes([]byte(b.Prompt))
 	return p, nil
 }
 
--- a/internal/entry/query/read.go
+++ b/internal/entry/query/read.go
@@ -79,12 +79,12 @@
 	if failed == nil {
 		return a, false, nil
 	}
-	if failed.Ran() {
+	if failed.MayHaveRun() {
 		r.run = fault.RunUnknown
 	}
 	r.tried = append(r.tried, g.Upstream.ID)
 	again, reason := r.h.retrier.After(r.ctx, retry.Failure{
-		Started: failed.Ran(), Idempotent: true, Attempts: r.attempt, TimeLeft: time.Until(r.meta.Deadline),
+		Started: failed.MayHaveRun(), Idempotent: true, Attempts: r.attempt, TimeLeft: time.Until(r.meta.Deadline),
 		RetryAfter: failed.RetryAfter, OtherUpstream: true,
 	}, r.meta.Workspace, g.Upstream.ID)
 	r.h.explain.Record("retry", string(r.meta.ID), reason,
@@ -98,19 +98,19 @@
 	if r.run == fault.RunNo {
 		return e
 	}
-	return fault.Ran(fault.UpstreamFailed, r.run, "%s after %d dispatches: %s", e.Kind, r.attempt-1, e.Detail)
+	return fault.NewWithRun(fault.UpstreamFailed, r.run, "%s after %d dispatches: %s", e.Kind, r.attempt-1, e.Detail)
 }
 
 func (r *reading) final(failed *upstream.CallError) error {
 	switch {
 	case r.ctx.Err() != nil:
-		return fault.Ran(fault.DeadlineExceeded, r.run, "no answer in time")
+		return fault.NewWithRun(fault.DeadlineExceeded, r.run, "no answer in time")
 	case r.run == fault.RunNo:
 		e := fault.New(fault.UpstreamBusy, "%v", failed)
 		e.RetryAfter = failed.RetryAfter
 		return e
 	default:
-		return fault.Ran(fault.UpstreamFailed, r.run, "%v", failed)
+		return fault.NewWithRun(fault.UpstreamFailed, r.run, "%v", failed)
 	}
 }
 
@@ -137,9 +137,9 @@
 // dispatchOutcome is how a failed dispatch counts for its upstream.
 func dispatchOutcome(ctx context.Context, ce *upstream.CallError) route.Outcome {
 	switch {
-	case ctx.Err() != nil || ce.Overdue:
+	case ctx.Err() != nil || ce.DeadlinePassed:
 		return route.Cancelled
-	case !ce.Ran():
+	case !ce.MayHaveRun():
 		return route.NotStarted
 	case ce.Timeout:
 		return route.Silent
--- a/internal/execute/cost_test.go
+++ b/internal/execute/cost_test.go
@@ -70,7 +70,7 @@
 	f.calls.states++
 	e := f.engines[addr]
 	if e.next.ID != "" && !f.now.Before(e.ends) {
-		e.state.Loaded = []upstream.Loaded{{Model: e.next.Model, Version: e.next.Version}}
+		e.state.Loaded = []upstream.LoadedModel{{Model: e.next.Model, Version: e.next.Version}}
 		e.state.Orders = nil
 		e.next = upstream.Order{}
 	}
@@ -96,7 +96,7 @@
 	var members []*fleet.Instance
 	for i := range engines {
 		id := fmt.Sprintf("engine-%05d", i)
-		f.engines[id] = &quickEngine{state: upstream.EngineState{BootID: "b", Loaded: []upstream.Loaded{{Model: model(i), Version: "1"}}}}
+		f.engines[id] = &quickEngine{state: upstream.EngineState{BootID: "b", Loaded: []upstream.LoadedModel{{Model: model(i), Version: "1"}}}}
 		ups = append(ups, &fleet.Upstream{
 			ID: fleet.UpstreamID(id), Addr: id, Fencing: true, Memory: 100,
 			Domain: fleet.DomainID(fmt.Sprint("d", i%16)), Models: []string{model(i)},
--- a/internal/execute/job.go
+++ b/internal/execute/job.go
@@ -44,7 +44,7 @@
 
 // concerns tells whether an engine has to be read in a stage: it has steps in it, it is to be verified, or
 // by what it was last seen to have it is not as it should be.
-func (j *job) concerns(engine string, stage int, seen []upstream.Loaded) bool {
+func (j *job) concerns(engine string, stage int, seen []upstream.LoadedModel) bool {
 	target := j.target[engine]
 	switch {
 	case target == nil:
--- a/internal/execute/seen.go
+++ b/internal/execute/seen.go
@@ -10,21 +10,21 @@
 // Seen keeps what each engine was last seen to have loaded. It is safe for concurrent use.
 type Seen struct {
 	mu      sync.RWMutex
-	engines map[fleet.UpstreamID][]wire.Loaded // guarded by mu; the slices are never changed
+	engines map[fleet.UpstreamID][]wire.LoadedModel // guarded by mu; the slices are never changed
 }
 
 // NewSeen gives a Seen that knows no engine.
-func NewSeen() *Seen { return &Seen{engines: map[fleet.UpstreamID][]wire.Loaded{}} }
+func NewSeen() *Seen { return &Seen{engines: map[fleet.UpstreamID][]wire.LoadedModel{}} }
 
 // Put takes what an engine has loaded; the slice must not be changed afterwards.
-func (s *Seen) Put(id fleet.UpstreamID, loaded []wire.Loaded) {
+func (s *Seen) Put(id fleet.UpstreamID, loaded []wire.LoadedModel) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.engines[id] = loaded
 }
 
 // Loaded gives what an engine was last seen to have; not to be changed.
-func (s *Seen) Loaded(id fleet.UpstreamID) ([]wire.Loaded, bool) {
+func (s *Seen) Loaded(id fleet.UpstreamID) ([]wire.LoadedModel, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	loaded, ok := s.engines[id]
--- a/internal/execute/world_test.go
+++ b/internal/execute/world_test.go
@@ -244,9 +244,9 @@
 func (e *fakeEngine) state() upstream.EngineState {
 	s := upstream.EngineState{BootID: fmt.Sprint(e.boot), HighestFence: e.highest}
 	for m, v := range e.loaded {
-		s.Loaded = append(s.Loaded, upstream.Loaded{Model: m, Version: v})
+		s.Loaded = append(s.Loaded, upstream.LoadedModel{Model: m, Version: v})
 	}
-	slices.SortFunc(s.Loaded, func(a, b upstream.Loaded) int { return int(a.Model[0]) - int(b.Model[0]) })
+	slices.SortFunc(s.Loaded, func(a, b upstream.LoadedModel) int { return int(a.Model[0]) - int(b.Model[0]) })
 	for _, o := range e.orders {
 		s.Orders = append(s.Orders, *o)
 	}
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -172,7 +172,7 @@
 func (e *Error) Unwrap() error { return e.Cause }
 
 // Wait is how long the caller should wait before it comes back; NoRetry for kinds where it should not.
-func (e *Error) Wait() time.Duration {
+func (e *Error) RetryDelay() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
@@ -181,12 +181,12 @@
 
 // New makes an error of a kind whose table row allows only "not run".
 func New(k Kind, format string, args ...any) *Error {
-	return Ran(k, RunNo, format, args...)
+	return NewWithRun(k, RunNo, format, args...)
 }
 
 // Ran makes an error with an explicit run outcome. An outcome that the kind's row does not allow is
 // replaced by RunUnknown where the row has it, since saying less is safe; New's kinds keep RunNo.
-func Ran(k Kind, run Run, format string, args ...any) *Error {
+func NewWithRun(k Kind, run Run, format string, args ...any) *Error {
 	return &Error{Kind: k, Run: k.allowed(run), Detail: fmt.Sprintf(format, args...)}
 }
 
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -33,7 +33,7 @@
 	for _, k := range fault.Kinds() {
 		for _, run := range []fault.Run{fault.RunNo, fault.RunYes, fault.RunUnknown} {
 			is := is.New(t)
-			e := fault.Ran(k, run, "x")
+			e := fault.NewWithRun(k, run, "x")
 			in := false
 			for _, allowed := range k.Rule().Runs {
 				in = in || allowed == e.Run
@@ -42,7 +42,7 @@
 		}
 	}
 	is := is.New(t)
-	is.Equal(fault.Ran(fault.UpstreamFailed, fault.RunNo, "x").Run, fault.RunUnknown)
+	is.Equal(fault.NewWithRun(fault.UpstreamFailed, fault.RunNo, "x").Run, fault.RunUnknown)
 }
 
 func TestFromKeepsTheKindThroughWrapping(t *testing.T) {
--- a/internal/gateway/failure.go
+++ b/internal/gateway/failure.go
@@ -29,25 +29,25 @@
 	if l.ran == fault.RunNo {
 		return f
 	}
-	return fault.Ran(fault.UpstreamFailed, l.ran, "no other upstream: %v", f)
+	return fault.NewWithRun(fault.UpstreamFailed, l.ran, "no other upstream: %v", f)
 }
 
 // timeUp is the answer when the caller went away or the request's time ran out.
 func (l *life) timeUp() *fault.Error {
 	if errors.Is(context.Cause(l.ctx), errCallerGone) {
-		return fault.Ran(fault.CallerGone, l.ran, "caller closed its connection")
+		return fault.NewWithRun(fault.CallerGone, l.ran, "caller closed its connection")
 	}
 	if l.ran == fault.RunNo {
 		return fault.New(fault.Infeasible, "time ran out before an upstream ran the request")
 	}
-	return fault.Ran(fault.DeadlineExceeded, l.ran, "time ran out")
+	return fault.NewWithRun(fault.DeadlineExceeded, l.ran, "time ran out")
 }
 
 func (l *life) refusal(k fault.Kind, format string, args ...any) *fault.Error {
 	if l.ran == fault.RunNo {
 		return fault.New(k, format, args...)
 	}
-	return fault.Ran(fault.UpstreamFailed, l.ran, format, args...)
+	return fault.NewWithRun(fault.UpstreamFailed, l.ran, format, args...)
 }
 
 // over tells whether the caller went away or the request's time is over. The connection's own deadline can
@@ -61,7 +61,7 @@
 func (l *life) blame(f *failure) {
 	switch {
 	case l.over():
-		f.outcome = Left
+		f.outcome = Abandoned
 	case l.overdue():
 		f.cause = errOverdue
 	}
@@ -117,7 +117,7 @@
 		return false, "attempts are used up"
 	case l.arrivals >= l.r.route.Attempts+1:
 		return false, "was sent often enough"
-	case !l.g.deps.Budget.Has(l.r.service):
+	case !l.g.deps.RetryBudget.Allows(l.r.service):
 		return false, "retry budget is spent"
 	default:
 		return true, "repeatable"
@@ -136,7 +136,7 @@
 	case l.ran == fault.RunNo:
 		return fault.New(fault.UpstreamBusy, "%v", f.cause)
 	default:
-		return fault.Ran(fault.UpstreamFailed, l.ran, "%v", f.cause)
+		return fault.NewWithRun(fault.UpstreamFailed, l.ran, "%v", f.cause)
 	}
 }
 
--- a/internal/gateway/life.go
+++ b/internal/gateway/life.go
@@ -75,7 +75,7 @@
 		l.grant = grant
 		unusable := l.unusable(grant.Upstream())
 		if reason := cmp.Or(unusable, l.unfit()); reason != "" {
-			grant.Done(Unsent, "")
+			grant.Release(NotSent, "")
 			if unusable != "" { // the dispatcher may not know it for a while, and would give the same place again
 				l.avoid = append(l.avoid, grant.Upstream().ID)
 			}
@@ -97,7 +97,7 @@
 // trusted waits, after a pause of the process, until what it knows is proven; false: it wasn't in time.
 // Requests that came in during the pause are all read at that moment, and the proof takes a trip or two.
 func (l *life) trusted() bool {
-	for end := time.Now().Add(proofTime); l.g.deps.Doubtful(); {
+	for end := time.Now().Add(proofTime); l.g.deps.Untrusted(); {
 		if time.Now().After(end) || !wait.For(l.ctx, proofPoll) {
 			return false
 		}
@@ -129,7 +129,7 @@
 // unfit says why this instance must not send the request now, to whichever upstream.
 func (l *life) unfit() string {
 	switch {
-	case l.g.deps.Doubtful():
+	case l.g.deps.Untrusted():
 		return "this instance was paused meanwhile"
 	case time.Until(l.r.deadline) < leastLeft:
 		return "no time left"
@@ -141,9 +141,9 @@
 // send sends the request to the granted upstream once. Without a failure, l.x has an answer to pass on.
 func (l *life) send(lastEvent string) *failure {
 	u := l.grant.Upstream()
-	if l.arrivals > 0 && !l.g.deps.Budget.Allow(l.r.service) {
-		l.grant.Done(Unsent, "")
-		return &failure{outcome: Unsent, ran: fault.RunNo, cause: errBudget}
+	if l.arrivals > 0 && !l.g.deps.RetryBudget.Take(l.r.service) {
+		l.grant.Release(NotSent, "")
+		return &failure{outcome: NotSent, ran: fault.RunNo, cause: errBudget}
 	}
 	helpers, f := l.reserve()
 	if f != nil {
@@ -157,12 +157,12 @@
 		l.g.observeWait(l.r, l.sentAt.Sub(l.r.arrived))
 	}
 	l.g.deps.Dialect.WriteRequest(head, l.r.send(u, helpers, l.r.deadline.Sub(l.sentAt), lastEvent))
-	l.g.deps.Explain.Record("dispatch", l.r.ID, decide.Reason(l.grant.Reason()), "upstream", u.ID, "attempt", l.attempts+1, "class", l.r.class(), "prompt", l.r.Prompt,
-		"helpers", len(helpers), "holders", len(l.grant.Holders()), "waited_ms", l.sentAt.Sub(l.r.arrived).Milliseconds(), "config", l.r.version,
+	l.g.deps.Explain.Record("dispatch", l.r.ID, decide.Reason(l.grant.Reason()), "upstream", u.ID, "attempt", l.attempts+1, "class", l.r.class(), "prompt", l.r.PromptTokens,
+		"helpers", len(helpers), "holders", len(l.grant.Reservations()), "waited_ms", l.sentAt.Sub(l.r.arrived).Milliseconds(), "config", l.r.version,
 		"entry_revision", u.Revision)
-	x, err := l.g.deps.Client.Forward(l.watch(), upstream.Opaque{
-		Addr: u.Addr, Head: head, Body: l.r.body, Fresh: l.r.route.Kind == catalog.NonIdempotent,
-		Own: l.own,
+	x, err := l.g.deps.Client.Forward(l.watch(), upstream.ForwardRequest{
+		Addr: u.Addr, Head: head, Body: l.r.body, NewConnection: l.r.route.Kind == catalog.NonIdempotent,
+		MatchesRequest: l.own,
 	})
 	if err != nil {
 		return l.sendFailed(err)
@@ -178,21 +178,21 @@
 // belongs.
 func (l *life) note(a Answer, sent time.Time) {
 	u := l.grant.Upstream()
-	if a.Other { // it speaks of another upstream
+	if a.OtherUpstream { // it speaks of another upstream
 		return
 	}
-	if a.Unread != nil {
-		l.g.log.Warn("answer's header can't be read", "upstream", u.ID, "request", l.r.ID, "error", a.Unread)
+	if a.HeaderError != nil {
+		l.g.log.Warn("answer's header can't be read", "upstream", u.ID, "request", l.r.ID, "error", a.HeaderError)
 	}
-	if a.Limited {
+	if a.HasLimit {
 		l.g.deps.Metrics.Counter("answers_limited").Inc(1)
 	}
-	l.g.deps.Answered(u, a, sent)
+	l.g.deps.ObserveAnswer(u, a, sent)
 }
 
 // own tells whether an answer belongs to the request. One that doesn't is dropped, and still tells of its upstream.
 func (l *life) own(h *fasthttp.ResponseHeader) bool {
-	if l.g.deps.Dialect.Own(h, l.r.ID) {
+	if l.g.deps.Dialect.MatchesRequest(h, l.r.ID) {
 		return true
 	}
 	l.note(l.g.deps.Dialect.ReadAnswer(h), time.Time{})
@@ -206,7 +206,7 @@
 		l.held.release()
 		l.held = nil
 	}
-	l.grant.Done(o, atFault)
+	l.grant.Release(o, atFault)
 }
 
 // sendFailed ends a send without an answer.
@@ -236,15 +236,15 @@
 		if f.atFault != "" {
 			f.outcome = Failed // not for want of room: the named one could not do its part
 		}
-		if l.answer.Other {
+		if l.answer.OtherUpstream {
 			f.outcome = Replaced
 		}
-		if l.answer.Other && !l.r.Versioned {
-			l.g.deps.Left(l.grant.Upstream(), "another upstream has its address")
+		if l.answer.OtherUpstream && !l.r.VersionRequired {
+			l.g.deps.MarkLeaving(l.grant.Upstream(), "another upstream has its address")
 		}
 		l.drop(f)
 		return f
-	case l.answer.Coded:
+	case l.answer.UnexpectedEncoding:
 		f := &failure{outcome: Failed, ran: fault.RunUnknown, cause: errors.New("answer has an encoding that nobody asked for")}
 		l.drop(f)
 		return f
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/life_test.go
@@ -35,7 +35,7 @@
 		"request has no time":     {now: sound, usable: true},
 	} {
 		l := &life{
-			g: &Gateway{deps: Deps{Snapshot: func() *catalog.Snapshot { return c.now }, Doubtful: func() bool { return c.paused },
+			g: &Gateway{deps: Deps{Snapshot: func() *catalog.Snapshot { return c.now }, Untrusted: func() bool { return c.paused },
 				HeldOff: func(*catalog.Upstream) bool { return c.heldOff }}},
 			r: &request{service: "s", deadline: time.Now().Add(c.deadline)},
 		}
--- a/internal/gateway/memory.go
+++ b/internal/gateway/memory.go
@@ -40,7 +40,7 @@
 )
 
 // Holder is an engine that holds part of a prompt's memory.
-type Holder struct {
+type Reservation struct {
 	Upstream *catalog.Upstream
 	Tokens   int
 }
@@ -54,15 +54,15 @@
 // reservations are the memory of one request on engines that hold it.
 type reservations struct {
 	memory  Memory
-	holders []Holder
+	holders []Reservation
 	tickets []string
 	stop    context.CancelFunc
 	done    sync.WaitGroup
-	log     func(what string, h Holder, err error)
+	log     func(what string, h Reservation, err error)
 }
 
 // reserve reserves all holders' memory, or none. name must be unique to the send.
-func reserve(ctx context.Context, m Memory, name string, holders []Holder, log func(string, Holder, error)) (*reservations, error) {
+func reserve(ctx context.Context, m Memory, name string, holders []Reservation, log func(string, Reservation, error)) (*reservations, error) {
 	r := &reservations{memory: m, holders: holders, log: log, stop: func() {}}
 	for i := range holders {
 		r.tickets = append(r.tickets, fmt.Sprintf("%s-%d", name, i))
@@ -147,7 +147,7 @@
 // reserve reserves the memory that the grant asks for on other engines, and gives all helpers of the send.
 func (l *life) reserve() ([]Helper, *failure) {
 	var helpers []Helper
-	if holders := l.grant.Holders(); len(holders) > 0 {
+	if holders := l.grant.Reservations(); len(holders) > 0 {
 		name := fmt.Sprintf("%s-%d-%d", l.r.ID, l.arrivals, time.Now().UnixMilli()%reservationNames)
 		held, err := reserve(l.ctx, l.g.deps.Memory, name, holders, l.logOrder)
 		if err != nil {
@@ -169,6 +169,6 @@
 // reservationNames bounds the number that tells a request's reservations apart.
 const reservationNames = 1_000_000
 
-func (l *life) logOrder(what string, h Holder, err error) {
+func (l *life) logOrder(what string, h Reservation, err error) {
 	l.g.log.Warn(what, "request", l.r.ID, "upstream", h.Upstream.ID, "tokens", h.Tokens, "error", err)
 }
--- a/internal/gateway/memory_test.go
+++ b/internal/gateway/memory_test.go
@@ -103,11 +103,11 @@
 					return orderFault{}
 				}
 			}
-			var holders []Holder
+			var holders []Reservation
 			for i := range engines {
-				holders = append(holders, Holder{Upstream: &catalog.Upstream{ID: fleet.UpstreamID(fmt.Sprint("e", i))}, Tokens: 1000})
+				holders = append(holders, Reservation{Upstream: &catalog.Upstream{ID: fleet.UpstreamID(fmt.Sprint("e", i))}, Tokens: 1000})
 			}
-			held, err := reserve(context.Background(), m, "t", holders, func(string, Holder, error) {})
+			held, err := reserve(context.Background(), m, "t", holders, func(string, Reservation, error) {})
 			if err == nil {
 				time.Sleep(lives)
 				held.release()
@@ -126,8 +126,8 @@
 func TestReleasedMemoryIsFreeAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &lateMemory{held: map[string]time.Time{}, faults: func() orderFault { return orderFault{} }}
-		holders := []Holder{{Upstream: &catalog.Upstream{ID: "e0"}, Tokens: 1000}, {Upstream: &catalog.Upstream{ID: "e1"}, Tokens: 1000}}
-		held, err := reserve(context.Background(), m, "t", holders, func(string, Holder, error) {})
+		holders := []Reservation{{Upstream: &catalog.Upstream{ID: "e0"}, Tokens: 1000}, {Upstream: &catalog.Upstream{ID: "e1"}, Tokens: 1000}}
+		held, err := reserve(context.Background(), m, "t", holders, func(string, Reservation, error) {})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -35,7 +35,7 @@
 		if f := l.dispatch(""); f != nil {
 			return f
 		}
-		l.grant.Began()
+		l.grant.RecordFirstEvent()
 		body, err := io.ReadAll(io.LimitReader(l.x, maxPlain+1))
 		if err == nil && len(body) > maxPlain {
 			err = fmt.Errorf("answer is over %d bytes", maxPlain)
@@ -91,7 +91,7 @@
 	if r.route == nil {
 		return nil
 	}
-	terms := []any{"class", r.class(), "prompt", r.Prompt, "workspace", r.workspace, "aim_ms", r.route.Aim.Milliseconds()}
+	terms := []any{"class", r.class(), "prompt", r.PromptTokens, "workspace", r.workspace, "aim_ms", r.route.Aim.Milliseconds()}
 	if r.streams() {
 		terms = append(terms, "gap_ms", r.route.MaxGap.Milliseconds())
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -64,7 +64,7 @@
 	}
 	r.priority = r.route.Priority
 	if cfg.NeedsKey(r.route) {
-		w := cfg.Workspace(r.Key)
+		w := cfg.Workspace(r.APIKey)
 		if w == nil {
 			return r, fault.New(fault.Unauthorized, "no workspace holds the key")
 		}
@@ -83,8 +83,8 @@
 // latest is when the request must have ended.
 func (r *request) latest() time.Time {
 	wait := defaultWait
-	if r.Timed {
-		wait = r.Wait
+	if r.HasTimeout {
+		wait = r.Timeout
 	}
 	if r.route.Timeout > 0 {
 		wait = min(wait, r.route.Timeout)
@@ -119,25 +119,25 @@
 
 // ask is the request's need for a place now. resumed is when the last event of a stream came that goes on
 // elsewhere; zero: the answer has not begun.
-func (r *request) ask(now, resumed time.Time, attempt int, avoid []fleet.UpstreamID) Ask {
+func (r *request) ask(now, resumed time.Time, attempt int, avoid []fleet.UpstreamID) PlacementRequest {
 	since, aim := r.arrived, r.route.Aim
 	if !resumed.IsZero() {
 		// The caller has waited since the last event, and the pause that is in time takes the aim's place.
 		since, aim = resumed, r.route.MaxGap
 	}
-	a := Ask{
+	a := PlacementRequest{
 		ID: fleet.RequestID(r.ID), Service: r.service, Kind: r.route.Kind, Workspace: r.workspace,
-		Priority: r.priority, Prompt: r.Prompt, Output: r.Output, MaxGap: r.route.MaxGap,
-		Resumed: !resumed.IsZero() || r.LastEvent != "", // here, or by its caller on another connection
-		Left:    r.deadline.Sub(now), Waited: now.Sub(since), Attempt: attempt, Avoid: avoid,
+		Priority: r.priority, PromptTokens: r.PromptTokens, MaxOutputTokens: r.MaxOutputTokens, MaxGap: r.route.MaxGap,
+		Resumed:  !resumed.IsZero() || r.LastEventID != "", // here, or by its caller on another connection
+		TimeLeft: r.deadline.Sub(now), Waited: now.Sub(since), Attempt: attempt, Avoid: avoid,
 	}
 	if aim > 0 {
-		a.Aimed = true
-		a.Aim = since.Add(aim).Sub(now)
+		a.HasTarget = true
+		a.TargetLeft = since.Add(aim).Sub(now)
 	}
-	a.Patience = a.Left
+	a.FirstEventTimeout = a.TimeLeft
 	if r.streams() {
-		a.Patience = min(a.Left, since.Add(r.silence()).Sub(now))
+		a.FirstEventTimeout = min(a.TimeLeft, since.Add(r.silence()).Sub(now))
 	}
 	return a
 }
@@ -148,9 +148,9 @@
 }
 
 // send is what an upstream is told.
-func (r *request) send(u *catalog.Upstream, helpers []Helper, left time.Duration, lastEvent string) Send {
-	return Send{
-		Upstream: u.ID, Left: left, Workspace: r.workspace, Urgency: min(9, max(0, r.priority)),
-		Helpers: helpers, LastEvent: lastEvent,
+func (r *request) send(u *catalog.Upstream, helpers []Helper, left time.Duration, lastEvent string) DispatchMeta {
+	return DispatchMeta{
+		Upstream: u.ID, TimeLeft: left, Workspace: r.workspace, Urgency: min(9, max(0, r.priority)),
+		Helpers: helpers, LastEventID: lastEvent,
 	}
 }
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -19,6 +19,6 @@
 	r := &request{route: route, arrived: now, deadline: now.Add(10 * time.Second)}
 	is.True(!r.ask(now, time.Time{}, 1, nil).Resumed)
 	is.True(r.ask(now, now, 2, nil).Resumed)
-	r.LastEvent = "12"
+	r.LastEventID = "12"
 	is.True(r.ask(now, time.Time{}, 1, nil).Resumed)
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -29,32 +29,32 @@
 )
 
 // Budget is the instance's share of the retries that the fleet may make.
-type Budget interface {
+type RetryBudget interface {
 	// Request counts a caller's request for the service.
-	Request(catalog.ServiceName)
+	RecordRequest(catalog.ServiceName)
 	// Has tells whether a retry would be allowed.
-	Has(catalog.ServiceName) bool
+	Allows(catalog.ServiceName) bool
 	// Allow takes one retry.
-	Allow(catalog.ServiceName) bool
+	Take(catalog.ServiceName) bool
 }
 
 // Deps are what a Gateway works with.
 type Deps struct {
-	Snapshot func() *catalog.Snapshot
-	Doubtful func() bool // the process was paused, and what it knows may be over
-	Dialect  Dialect
-	Placer   Placer
-	Budget   Budget
-	Client   *upstream.Client
-	Memory   Memory
-	Gate     *gate.Gate
-	Left     func(u *catalog.Upstream, sign string) // an upstream said that it leaves
-	HeldOff  func(u *catalog.Upstream) bool         // an upstream wants nothing from here now
-	Answered Answered
-	Explain  *explain.Recorder
-	Metrics  *metrics.Registry
-	Log      hclog.Logger
-	Limits   Limits
+	Snapshot      func() *catalog.Snapshot
+	Untrusted     func() bool // the process was paused, and what it knows may be over
+	Dialect       Dialect
+	Placer        Placer
+	RetryBudget   RetryBudget
+	Client        *upstream.Client
+	Memory        Memory
+	Gate          *gate.Gate
+	MarkLeaving   func(u *catalog.Upstream, sign string) // an upstream said that it leaves
+	HeldOff       func(u *catalog.Upstream) bool         // an upstream wants nothing from here now
+	ObserveAnswer AnswerObserver
+	Explain       *explain.Recorder
+	Metrics       *metrics.Registry
+	Log           hclog.Logger
+	Limits        Limits
 }
 
 // Limits bound what callers may send, until a configuration says otherwise.
@@ -156,7 +156,7 @@
 		g.refuse(ctx, r, f)
 		return
 	}
-	g.deps.Budget.Request(r.service)
+	g.deps.RetryBudget.RecordRequest(r.service)
 	g.run(ctx, r)
 }
 
@@ -241,7 +241,7 @@
 
 // class names what callers may expect of a request: a stream by its prompt's size, a plain call by its kind.
 func (r *request) class() string {
-	switch tokens := r.Prompt; {
+	switch tokens := r.PromptTokens; {
 	case !r.streams():
 		return r.route.Kind.String()
 	case tokens < shortPrompt:
@@ -270,7 +270,7 @@
 	g.deps.Metrics.Counter("refused", "kind", f.Kind.String()).Inc(1)
 	g.deps.Explain.Record("answer", r.ID, reasonRefused, append([]any{
 		"fault", f.Kind, "run", f.Run, "detail", f.Detail, "config", r.version,
-		"took_ms", time.Since(r.arrived).Milliseconds(), "retry_after_ms", f.Wait().Milliseconds()}, r.terms()...)...)
+		"took_ms", time.Since(r.arrived).Milliseconds(), "retry_after_ms", f.RetryDelay().Milliseconds()}, r.terms()...)...)
 	if f.Kind == fault.CallerGone {
 		ctx.SetConnectionClose()
 		return
@@ -278,7 +278,7 @@
 	ctx.Response.Reset()
 	status := f.Kind.Rule().Status
 	ctx.SetStatusCode(status)
-	if w := f.Wait(); w > 0 && f.Run == fault.RunNo {
+	if w := f.RetryDelay(); w > 0 && f.Run == fault.RunNo {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter(w))
 	}
 	g.deps.Dialect.WriteRefusal(&ctx.Response.Header, r.ID)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -20,13 +20,13 @@
 // failure before it is the caller's to see as an answer, or nobody's.
 func (l *life) stream(ctx *fasthttp.RequestCtx, done func()) (handed bool, _ *fault.Error) {
 	for {
-		if f := l.dispatch(l.r.LastEvent); f != nil {
+		if f := l.dispatch(l.r.LastEventID); f != nil {
 			return false, f
 		}
 		if status := l.x.Head.StatusCode(); status != fasthttp.StatusOK {
 			return false, l.passWhole(ctx)
 		}
-		s := &relay{l: l, events: newEventReader(l.x), done: done, last: lastID(l.r.LastEvent)}
+		s := &relay{l: l, events: newEventReader(l.x), done: done, last: lastID(l.r.LastEventID)}
 		first, err := s.events.next()
 		if err != nil && err != io.EOF {
 			f := l.cut(err)
@@ -35,7 +35,7 @@
 			}
 			continue
 		}
-		l.grant.Began()
+		l.grant.RecordFirstEvent()
 		l.g.observeFirst(l.r)
 		s.take(first, err)
 		copyAnswerHead(&ctx.Response.Header, &l.x.Head)
@@ -167,7 +167,7 @@
 			}
 			return false
 		}
-		l.grant.Began()
+		l.grant.RecordFirstEvent()
 		s.events = newEventReader(l.x)
 		return true
 	}
@@ -187,7 +187,7 @@
 		l.finished(reasonServed, "events", s.count)
 	case l.x != nil:
 		l.x.Close()
-		l.finish(Left, "")
+		l.finish(Abandoned, "")
 		l.finished(reasonGone, "events", s.count, "cause", l.ctx.Err())
 	case errors.Is(context.Cause(l.ctx), errCallerGone):
 		l.finished(reasonGone, "events", s.count)
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -27,7 +27,7 @@
 // watch gives the context of the next send. It is the request's own where nobody knows when an answer is due.
 func (l *life) watch() context.Context {
 	l.dog = nil
-	overdue := l.grant.Overdue()
+	overdue := l.grant.AnswerTimeout()
 	if overdue == 0 || !l.r.route.Repeatable() || l.attempts+1 >= l.r.route.Attempts {
 		return l.ctx
 	}
@@ -40,7 +40,7 @@
 
 // bark gives the send up, if the retry budget allows another one; otherwise the answer may still come.
 func (l *life) bark(dog *watchdog) {
-	if l.g.deps.Budget.Has(l.r.service) {
+	if l.g.deps.RetryBudget.Allows(l.r.service) {
 		dog.barked.Store(true)
 		dog.cancel(errOverdue)
 	}
--- a/internal/node/sink.go
+++ b/internal/node/sink.go
@@ -28,7 +28,7 @@
 var _ observe.Sink = sink{}
 
 // OnLoad takes an engine's load report, which also tells its boot and whether it is leaving.
-func (s sink) OnLoad(u *fleet.Upstream, l wire.Load, at time.Time) {
+func (s sink) OnLoad(u *fleet.Upstream, l wire.LoadReport, at time.Time) {
 	s.follower.OnLoad(u, l.BootID, l.Leaving)
 	s.limits.OnLoad(u, l, at)
 	s.Router.OnLoad(u, l, at)
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -21,7 +21,7 @@
 
 // Sink takes the reports. Its methods are called from one goroutine an upstream.
 type Sink interface {
-	OnLoad(u *fleet.Upstream, l wire.Load, at time.Time)
+	OnLoad(u *fleet.Upstream, l wire.LoadReport, at time.Time)
 	OnCache(u *fleet.Upstream, e wire.CacheEvents)
 	OnState(u *fleet.Upstream, s wire.EngineState)
 	OnSilent(u *fleet.Upstream, err error)
@@ -169,7 +169,7 @@
 		p.failed(ctx, u, err)
 		return false
 	}
-	slices.SortFunc(s.Loaded, func(a, b wire.Loaded) int { return strings.Compare(a.Model, b.Model) })
+	slices.SortFunc(s.Loaded, func(a, b wire.LoadedModel) int { return strings.Compare(a.Model, b.Model) })
 	p.sink.OnState(u, s)
 	return true
 }
--- a/internal/observe/observe_test.go
+++ b/internal/observe/observe_test.go
@@ -36,9 +36,9 @@
 	silent  int                // guarded by mu
 }
 
-func (s *sink) OnLoad(*fleet.Upstream, wire.Load, time.Time) { s.note(func() { s.loads++ }) }
-func (s *sink) OnState(*fleet.Upstream, wire.EngineState)    { s.note(func() { s.states++ }) }
-func (s *sink) OnSilent(*fleet.Upstream, error)              { s.note(func() { s.silent++ }) }
+func (s *sink) OnLoad(*fleet.Upstream, wire.LoadReport, time.Time) { s.note(func() { s.loads++ }) }
+func (s *sink) OnState(*fleet.Upstream, wire.EngineState)          { s.note(func() { s.states++ }) }
+func (s *sink) OnSilent(*fleet.Upstream, error)                    { s.note(func() { s.silent++ }) }
 func (s *sink) OnCache(_ *fleet.Upstream, e wire.CacheEvents) {
 	s.note(func() { s.batches = append(s.batches, e) })
 }
@@ -79,7 +79,7 @@
 func watched(t *testing.T) (*engine.Engine, *sink) {
 	t.Helper()
 	e, err := engine.Start("127.0.0.1:0", engine.Config{
-		ID: "e", Models: []wire.Loaded{{Model: model, Version: "v1"}}, TimeScale: 50,
+		ID: "e", Models: []wire.LoadedModel{{Model: model, Version: "v1"}}, TimeScale: 50,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 	defer c.Close()
 	s, err := c.Complete(context.Background(), e.Addr(), upstream.Completion{
 		RequestID: id, Attempt: 1, Remaining: time.Minute, Body: body.Bytes(),
-	}, upstream.Silence{Params: stream.NewParams(hangGuard), Deadline: time.Now().Add(hangGuard)})
+	}, upstream.SilenceLimits{Params: stream.NewParams(hangGuard), Deadline: time.Now().Add(hangGuard)})
 	is.NoErr(err)
 	defer s.Close()
 	for {
--- a/internal/operate/command/survey.go
+++ b/internal/operate/command/survey.go
@@ -16,7 +16,7 @@
 // Prober asks engines what they have loaded and how busy they are.
 type Prober interface {
 	State(ctx context.Context, addr string) (wire.EngineState, error)
-	Load(ctx context.Context, addr string) (wire.Load, error)
+	Load(ctx context.Context, addr string) (wire.LoadReport, error)
 }
 
 // surveyAtOnce bounds the engines asked at the same time.
@@ -69,7 +69,7 @@
 
 // busy estimates the share of an engine's capacity in use: of its memory, or of its time where prompts
 // wait. A second's worth of waiting prompts counts as fully busy.
-func busy(l wire.Load) float64 {
+func busy(l wire.LoadReport) float64 {
 	share := 0.0
 	if l.MemoryTotal > 0 {
 		share = float64(l.MemoryUsed) / float64(l.MemoryTotal)
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -111,7 +111,7 @@
 func (s *server) fail(ctx *fasthttp.RequestCtx, e *fault.Error) {
 	s.log.Warn("operator call failed", "method", string(ctx.Method()), "path", string(ctx.Path()),
 		"kind", e.Kind.String(), "run", e.Run.String(), "detail", e.Detail, "cause", e.Cause)
-	if wait := e.Wait(); wait > 0 {
+	if wait := e.RetryDelay(); wait > 0 {
 		seconds := int(math.Ceil(wait.Seconds()))
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
 	}
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -76,11 +76,11 @@
 	case "":
 		version = "1"
 	}
-	return upstream.EngineState{Loaded: []upstream.Loaded{{Model: "m", Version: version}}}, nil
+	return upstream.EngineState{Loaded: []upstream.LoadedModel{{Model: "m", Version: version}}}, nil
 }
 
-func (p *probes) Load(context.Context, string) (upstream.Load, error) {
-	return upstream.Load{MemoryUsed: p.busy, MemoryTotal: 100}, nil
+func (p *probes) Load(context.Context, string) (upstream.LoadReport, error) {
+	return upstream.LoadReport{MemoryUsed: p.busy, MemoryTotal: 100}, nil
 }
 
 // newView shows two engines with model m in each of three failure domains.
--- a/internal/placement/convert.go
+++ b/internal/placement/convert.go
@@ -13,16 +13,16 @@
 )
 
 // askMessage converts a placement request for sending at now. The durations in a count from asked.
-func askMessage(a *gateway.Ask, asked, now time.Time) *pb.Ask {
+func askMessage(a *gateway.PlacementRequest, asked, now time.Time) *pb.Ask {
 	since := now.Sub(asked)
 	m := &pb.Ask{
 		Id: string(a.ID), Service: string(a.Service), Workspace: string(a.Workspace),
-		Priority: int32(a.Priority), Prompt: int32(a.Prompt), Output: int32(a.Output),
-		WaitedMs: (a.Waited + since).Milliseconds(), PatienceMs: (a.Patience - since).Milliseconds(),
-		DeadlineMs: (a.Left - since).Milliseconds(), MaxGapMs: int32(a.MaxGap.Milliseconds()), Attempt: int32(a.Attempt), Resumed: a.Resumed,
+		Priority: int32(a.Priority), Prompt: int32(a.PromptTokens), Output: int32(a.MaxOutputTokens),
+		WaitedMs: (a.Waited + since).Milliseconds(), PatienceMs: (a.FirstEventTimeout - since).Milliseconds(),
+		DeadlineMs: (a.TimeLeft - since).Milliseconds(), MaxGapMs: int32(a.MaxGap.Milliseconds()), Attempt: int32(a.Attempt), Resumed: a.Resumed,
 	}
-	if a.Aimed {
-		m.Aimed, m.AimMs = true, (a.Aim - since).Milliseconds()
+	if a.HasTarget {
+		m.Aimed, m.AimMs = true, (a.TargetLeft - since).Milliseconds()
 	}
 	for _, id := range a.Avoid {
 		m.Avoid = append(m.Avoid, string(id))
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -12,32 +12,32 @@
 // dispatchedGrant is a gateway.Grant for a place that the dispatcher assigned.
 type dispatchedGrant struct {
 	c        *Client
-	ask      gateway.Ask
+	ask      gateway.PlacementRequest
 	askedAt  time.Time
 	upstream *catalog.Upstream
 	helpers  []fleet.UpstreamID
 	addrs    []string
-	holders  []gateway.Holder
+	holders  []gateway.Reservation
 	reason   string
 	overdue  time.Duration
 	writing  bool // guarded by c.mu
 }
 
-func (g *dispatchedGrant) Upstream() *catalog.Upstream { return g.upstream }
-func (g *dispatchedGrant) Helpers() []string           { return g.addrs }
-func (g *dispatchedGrant) Holders() []gateway.Holder   { return g.holders }
-func (g *dispatchedGrant) Reason() string              { return g.reason }
+func (g *dispatchedGrant) Upstream() *catalog.Upstream         { return g.upstream }
+func (g *dispatchedGrant) Helpers() []string                   { return g.addrs }
+func (g *dispatchedGrant) Reservations() []gateway.Reservation { return g.holders }
+func (g *dispatchedGrant) Reason() string                      { return g.reason }
 
-func (g *dispatchedGrant) Overdue() time.Duration { return g.overdue }
+func (g *dispatchedGrant) AnswerTimeout() time.Duration { return g.overdue }
 
-func (g *dispatchedGrant) Began() {
+func (g *dispatchedGrant) RecordFirstEvent() {
 	g.c.mu.Lock()
 	g.writing = true
 	g.c.mu.Unlock()
 	g.c.sendToDispatcher(&pb.FromEntry{Began: []string{string(g.ask.ID)}})
 }
 
-func (g *dispatchedGrant) Done(o gateway.Outcome, atFault fleet.UpstreamID) {
+func (g *dispatchedGrant) Release(o gateway.Outcome, atFault fleet.UpstreamID) {
 	g.c.mu.Lock()
 	if g.c.running[g.ask.ID] == g {
 		delete(g.c.running, g.ask.ID)
@@ -54,7 +54,7 @@
 	}
 }
 
-func holdings(all []gateway.Holder) []*pb.Holding {
+func holdings(all []gateway.Reservation) []*pb.Holding {
 	out := make([]*pb.Holding, len(all))
 	for i, h := range all {
 		out[i] = &pb.Holding{Upstream: string(h.Upstream.ID), Tokens: int32(h.Tokens)}
--- a/internal/placement/holdoff_test.go
+++ b/internal/placement/holdoff_test.go
@@ -53,7 +53,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() {
-		_, err := c.Place(ctx, gateway.Ask{ID: "r", Service: "s"})
+		_, err := c.Place(ctx, gateway.PlacementRequest{ID: "r", Service: "s"})
 		done <- err
 	}()
 	is.Equal((<-asks).Avoid, []string{"u"})
--- a/internal/placement/limits.go
+++ b/internal/placement/limits.go
@@ -108,14 +108,14 @@
 // if there is nothing to report. sent is when the answered request was sent, or zero if that isn't known. Only an
 // answer that is marked as the upstream's own and whose headers could be read shows that the upstream names no limit.
 func (t *limitTable) recordAnswer(u *catalog.Upstream, a gateway.Answer, sent time.Time, by fleet.InstanceID) *pb.Limit {
-	if !a.Limited && (!a.Sealed || a.Unread != nil || sent.IsZero() || t.known.Load() == 0) {
+	if !a.HasLimit && (!a.Sealed || a.HeaderError != nil || sent.IsZero() || t.known.Load() == 0) {
 		return nil
 	}
 	if sent.IsZero() {
 		sent = time.Now()
 	}
 	s := advertised.Observation{
-		Process: u.Process(), Limited: a.Limited, Rate: a.Limit, SentAt: t.toInstant(sent), ReceivedAt: t.now(), ReceivedBy: by,
+		Process: u.Process(), Limited: a.HasLimit, Rate: a.Limit, SentAt: t.toInstant(sent), ReceivedAt: t.now(), ReceivedBy: by,
 	}
 	if t.record(s) == advertised.Unchanged {
 		return nil
--- a/internal/placement/limits_test.go
+++ b/internal/placement/limits_test.go
@@ -139,9 +139,9 @@
 		n.sendToDispatcher(&pb.FromEntry{Asks: []*pb.Ask{{Id: id, Service: "s", PatienceMs: 2500, DeadlineMs: 2500}}})
 		return
 	}
-	if g, err := n.local.Place(context.Background(), gateway.Ask{Service: "s"}); err == nil {
+	if g, err := n.local.Place(context.Background(), gateway.PlacementRequest{Service: "s"}); err == nil {
 		n.request(id, g.Upstream().ID)
-		g.Done(gateway.Served, "")
+		g.Release(gateway.Served, "")
 	}
 }
 
@@ -160,7 +160,7 @@
 	time.Sleep(5 * time.Millisecond)
 	a := gateway.Answer{Sealed: true}
 	if to == "needy" && n.fleet.sendsLimit.Load() {
-		a.Limited, a.Limit = true, n.fleet.rate
+		a.HasLimit, a.Limit = true, n.fleet.rate
 	}
 	n.fleet.delayMessage()
 	if limit := n.limits.recordAnswer(n.fleet.snapshot.Load().Upstream(to), a, sent, n.id); limit != nil {
@@ -332,7 +332,7 @@
 		f.start(ctx)
 		time.Sleep(time.Second)
 		needy := f.snapshot.Load().Upstream("needy")
-		f.instances[5].sendToDispatcher(&pb.FromEntry{Limits: []*pb.Limit{f.instances[5].limits.recordAnswer(needy, gateway.Answer{Limited: true, Limit: 1}, time.Now(), "i5")}})
+		f.instances[5].sendToDispatcher(&pb.FromEntry{Limits: []*pb.Limit{f.instances[5].limits.recordAnswer(needy, gateway.Answer{HasLimit: true, Limit: 1}, time.Now(), "i5")}})
 		time.Sleep(50 * time.Millisecond)
 		for _, n := range f.instances {
 			is.True(n.limits.isLimited(needy))
@@ -386,14 +386,14 @@
 	needy := true
 	l := NewLocalPlacer(func() *catalog.Snapshot { return limitedSnapshot(1) }, func(u *catalog.Upstream) bool { return needy && u.ID == "needy" })
 	for range 4 {
-		g, err := l.Place(t.Context(), gateway.Ask{Service: "s"})
+		g, err := l.Place(t.Context(), gateway.PlacementRequest{Service: "s"})
 		is.NoErr(err)
 		is.Equal(g.Upstream().ID, fleet.UpstreamID("sound"))
 	}
-	_, err := l.Place(t.Context(), gateway.Ask{Service: "s", Avoid: []fleet.UpstreamID{"sound"}})
+	_, err := l.Place(t.Context(), gateway.PlacementRequest{Service: "s", Avoid: []fleet.UpstreamID{"sound"}})
 	is.True(err != nil)
 	needy = false
-	g, err := l.Place(t.Context(), gateway.Ask{Service: "s"})
+	g, err := l.Place(t.Context(), gateway.PlacementRequest{Service: "s"})
 	is.NoErr(err)
 	is.Equal(g.Upstream().ID, fleet.UpstreamID("needy"))
 }
@@ -412,8 +412,8 @@
 func TestFirstMessageHoldsKnownLimits(t *testing.T) {
 	is := is.New(t)
 	c := NewClient("i1", "d", followerWithUpstreams("x", "y"), hclog.NewNullLogger())
-	c.ObserveAnswer(c.snapshot().Upstream("x"), gateway.Answer{Limited: true, Limit: 2}, time.Now())
-	c.ObserveAnswer(&catalog.Upstream{ID: "gone", Born: 7}, gateway.Answer{Limited: true, Limit: 2}, time.Now())
+	c.ObserveAnswer(c.snapshot().Upstream("x"), gateway.Answer{HasLimit: true, Limit: 2}, time.Now())
+	c.ObserveAnswer(&catalog.Upstream{ID: "gone", Born: 7}, gateway.Answer{HasLimit: true, Limit: 2}, time.Now())
 	first := c.firstMessage()
 	is.Equal(len(first.Limits), 1)
 	is.Equal(first.Limits[0].Upstream, "x")
--- a/internal/placement/local.go
+++ b/internal/placement/local.go
@@ -31,7 +31,7 @@
 
 // Place implements gateway.Placer. It never waits. It skips upstreams under a limit: the requests of other instances
 // are unknown here, and one more from each instance would exceed the limit.
-func (l *LocalPlacer) Place(_ context.Context, a gateway.Ask) (gateway.Grant, error) {
+func (l *LocalPlacer) Place(_ context.Context, a gateway.PlacementRequest) (gateway.Grant, error) {
 	snap := l.snapshot()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,14 +68,14 @@
 	upstream *catalog.Upstream
 }
 
-func (g *localGrant) Upstream() *catalog.Upstream { return g.upstream }
-func (g *localGrant) Helpers() []string           { return nil }
-func (g *localGrant) Holders() []gateway.Holder   { return nil }
-func (g *localGrant) Reason() string              { return "least_own_work" }
-func (g *localGrant) Overdue() time.Duration      { return 0 }
-func (g *localGrant) Began()                      {}
+func (g *localGrant) Upstream() *catalog.Upstream         { return g.upstream }
+func (g *localGrant) Helpers() []string                   { return nil }
+func (g *localGrant) Reservations() []gateway.Reservation { return nil }
+func (g *localGrant) Reason() string                      { return "least_own_work" }
+func (g *localGrant) AnswerTimeout() time.Duration        { return 0 }
+func (g *localGrant) RecordFirstEvent()                   {}
 
-func (g *localGrant) Done(gateway.Outcome, fleet.UpstreamID) {
+func (g *localGrant) Release(gateway.Outcome, fleet.UpstreamID) {
 	g.placer.mu.Lock()
 	defer g.placer.mu.Unlock()
 	if g.placer.inFlight[g.upstream.ID]--; g.placer.inFlight[g.upstream.ID] <= 0 {
--- a/internal/placement/relay_test.go
+++ b/internal/placement/relay_test.go
@@ -193,7 +193,7 @@
 	defer cancel()
 	answered := make(chan error, 1)
 	go func() {
-		_, err := c.Place(ctx, gateway.Ask{ID: "r1", Service: "s"})
+		_, err := c.Place(ctx, gateway.PlacementRequest{ID: "r1", Service: "s"})
 		answered <- err
 	}()
 	<-asked
@@ -337,7 +337,7 @@
 	c := NewClient("i1", "d", f, hclog.NewNullLogger())
 	answered := make(chan error, 1)
 	go func() {
-		_, err := c.Place(context.Background(), gateway.Ask{ID: "r1", Service: "s"})
+		_, err := c.Place(context.Background(), gateway.PlacementRequest{ID: "r1", Service: "s"})
 		answered <- err
 	}()
 	waitUntil(t, "the request waits, or is answered", func() bool {
@@ -389,18 +389,18 @@
 	c := NewClient("i1", "d", f, hclog.NewNullLogger())
 	c.session = &session{peerID: "old", end: func() {}, send: func(*pb.FromEntry) {}}
 	run := func(id fleet.RequestID, on fleet.UpstreamID) *dispatchedGrant {
-		g := &dispatchedGrant{c: c, ask: gateway.Ask{ID: id, Service: "s"}, upstream: &catalog.Upstream{ID: on}}
+		g := &dispatchedGrant{c: c, ask: gateway.PlacementRequest{ID: id, Service: "s"}, upstream: &catalog.Upstream{ID: on}}
 		c.running[id] = g
 		return g
 	}
 	ends, begins, again := run("ends", "u1"), run("begins", "u1"), run("again", "u1")
-	c.waiting["left"] = &waitingRequest{ask: gateway.Ask{ID: "left", Service: "s"}}
-	c.waiting["waits"] = &waitingRequest{ask: gateway.Ask{ID: "waits", Service: "s"}}
+	c.waiting["left"] = &waitingRequest{ask: gateway.PlacementRequest{ID: "left", Service: "s"}}
+	c.waiting["waits"] = &waitingRequest{ask: gateway.PlacementRequest{ID: "waits", Service: "s"}}
 	first := c.firstMessage()
 
-	ends.Done(gateway.Served, "")
-	begins.Began()
-	again.Done(gateway.Failed, "")
+	ends.Release(gateway.Served, "")
+	begins.RecordFirstEvent()
+	again.Release(gateway.Failed, "")
 	run("again", "u2")
 	run("new", "u2")
 	c.withdrawRequest("left")
--- a/internal/placement/requests.go
+++ b/internal/placement/requests.go
@@ -14,7 +14,7 @@
 
 // waitingRequest is a request that waits for a place.
 type waitingRequest struct {
-	ask     gateway.Ask
+	ask     gateway.PlacementRequest
 	askedAt time.Time
 	reply   chan reply // buffered, with room for one
 }
@@ -84,7 +84,7 @@
 }
 
 // Place implements gateway.Placer.
-func (c *Client) Place(ctx context.Context, a gateway.Ask) (gateway.Grant, error) {
+func (c *Client) Place(ctx context.Context, a gateway.PlacementRequest) (gateway.Grant, error) {
 	a.Avoid = c.holdoffs.addTo(a.Avoid)
 	w := &waitingRequest{ask: a, askedAt: time.Now(), reply: make(chan reply, 1)}
 	c.mu.Lock()
@@ -169,7 +169,7 @@
 			c.sendToDispatcher(&pb.FromEntry{Withdrawn: []string{string(w.ask.ID)}})
 			return nil, fault.New(fault.NoUpstream, "holder %s is not open here", m.Upstream)
 		}
-		g.holders = append(g.holders, gateway.Holder{Upstream: h, Tokens: int(m.Tokens)})
+		g.holders = append(g.holders, gateway.Reservation{Upstream: h, Tokens: int(m.Tokens)})
 	}
 	c.mu.Lock()
 	c.running[w.ask.ID] = g
--- a/internal/route/hold.go
+++ b/internal/route/hold.go
@@ -136,7 +136,7 @@
 		switch {
 		case err == nil:
 			return h.group.Granted(f.Part)
-		case errors.As(err, &ce) && !ce.Ran():
+		case errors.As(err, &ce) && !ce.MayHaveRun():
 			return h.group.Refused(f.Part, h.router.now())
 		default:
 			return h.group.ReserveUnknown(f.Part)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -153,7 +153,7 @@
 }
 
 // OnLoad takes an engine's load report; at is when its figures were true.
-func (r *Router) OnLoad(u *fleet.Upstream, l wire.Load, at time.Time) {
+func (r *Router) OnLoad(u *fleet.Upstream, l wire.LoadReport, at time.Time) {
 	l.AgeMs = 0
 	r.engine(u).UpdateReport(pick.NewReport(&l, r.instant(at)))
 	for _, name := range u.Models {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -72,7 +72,7 @@
 // report lets all engines say that they have so many tokens to compute and so much memory held.
 func (b *bench) report(queued, used int64) {
 	for _, u := range b.view.Upstreams {
-		b.OnLoad(u, wire.Load{QueuedTokens: queued, MemoryUsed: used, MemoryTotal: memory, PrefillRate: rate}, time.Now())
+		b.OnLoad(u, wire.LoadReport{QueuedTokens: queued, MemoryUsed: used, MemoryTotal: memory, PrefillRate: rate}, time.Now())
 	}
 }
 
@@ -139,7 +139,7 @@
 		_, err := b.Acquire(t.Context(), b.request(40_000, 10*time.Second)) // 2 s of prefill, 0.1 s of answer
 		is.True(fault.Is(err, fault.Infeasible))
 		is.Equal(fault.From(err).Run, fault.RunNo)
-		is.True(fault.From(err).Wait() >= time.Second) // and is told when to come back
+		is.True(fault.From(err).RetryDelay() >= time.Second) // and is told when to come back
 		waited := time.Since(started)
 		is.True(waited < 8*time.Second) // as soon as it could not finish any more
 		is.True(waited > 7*time.Second)
@@ -277,9 +277,9 @@
 		go func() {
 			time.Sleep(time.Second)
 			b.now.Store(fleet.NewView(2, b.view.Config, 2, b.view.Instances, []*fleet.Upstream{&out, rest}))
-			b.OnLoad(&out, wire.Load{MemoryTotal: memory, PrefillRate: rate}, time.Now()) // only this one is free
+			b.OnLoad(&out, wire.LoadReport{MemoryTotal: memory, PrefillRate: rate}, time.Now()) // only this one is free
 			time.Sleep(time.Second)
-			b.OnLoad(rest, wire.Load{MemoryTotal: memory, PrefillRate: rate}, time.Now())
+			b.OnLoad(rest, wire.LoadReport{MemoryTotal: memory, PrefillRate: rate}, time.Now())
 		}()
 		started := time.Now()
 		g, err := b.Acquire(t.Context(), b.request(20_000, time.Minute))
--- a/internal/routed/budget.go
+++ b/internal/routed/budget.go
@@ -55,21 +55,21 @@
 }
 
 // Request implements gateway.Budget.
-func (b *budgets) Request(s catalog.ServiceName) {
+func (b *budgets) RecordRequest(s catalog.ServiceName) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(s).RecordRequest(b.now())
 }
 
 // Has implements gateway.Budget.
-func (b *budgets) Has(s catalog.ServiceName) bool {
+func (b *budgets) Allows(s catalog.ServiceName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.of(s).Allows(b.now())
 }
 
 // Allow implements gateway.Budget.
-func (b *budgets) Allow(s catalog.ServiceName) bool {
+func (b *budgets) Take(s catalog.ServiceName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.of(s).Take(b.now())
--- a/internal/routed/budget_test.go
+++ b/internal/routed/budget_test.go
@@ -37,9 +37,9 @@
 		is := is.New(t)
 		b := budgetsOf(retries(0.2, 460), func() int { return instances })
 		for range 8 { // what one of 930 sees in a window
-			b.Request("s")
+			b.RecordRequest("s")
 		}
-		is.True(b.Allow("s")) // one retry
+		is.True(b.Take("s")) // one retry
 	}
 }
 
@@ -50,9 +50,9 @@
 	allowed := func(requests int) (n int) {
 		b := budgetsOf(retries(0.2, 460), func() int { return 195 })
 		for range requests {
-			b.Request("s")
+			b.RecordRequest("s")
 		}
-		for b.Allow("s") {
+		for b.Take("s") {
 			n++
 		}
 		return n
@@ -66,8 +66,8 @@
 func TestAnyRetryRuleWorks(t *testing.T) {
 	for _, rule := range []struct{ ratio, slack float64 }{{0, 0}, {0.2, 38.333333333333336}, {1e300, 1e300}, {0, 0.001}} {
 		b := budgetsOf(retries(rule.ratio, rule.slack), func() int { return 1 })
-		b.Request("s")
-		if got, want := b.Allow("s"), rule.slack > 2; got != want {
+		b.RecordRequest("s")
+		if got, want := b.Take("s"), rule.slack > 2; got != want {
 			t.Errorf("ratio %g, slack %g: a retry is allowed: %t", rule.ratio, rule.slack, got)
 		}
 	}
@@ -111,11 +111,11 @@
 					continue
 				}
 				for range load[(i/20+n)%len(load)] {
-					b.Request("s")
+					b.RecordRequest("s")
 					requests[i]++
 				}
 				for range wants[(i/20+2*n)%len(wants)] {
-					if b.Allow("s") {
+					if b.Take("s") {
 						retries[i]++
 					}
 				}
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -41,7 +41,7 @@
 	Kinds   watch.Kinds
 	Decoder watch.Decoder
 	Dialect gateway.Dialect
-	Memory  func(*upstream.Client, gateway.Answered) gateway.Memory
+	Memory  func(*upstream.Client, gateway.AnswerObserver) gateway.Memory
 }
 
 // Node is one instance.
@@ -132,8 +132,8 @@
 	rec *explain.Recorder, m *metrics.Registry, log hclog.Logger) *gateway.Gateway {
 	l := s.Routed.Limits
 	return gateway.New(gateway.Deps{
-		Snapshot: f.Snapshot, Doubtful: f.Doubtful, Dialect: a.Dialect, Placer: p, Budget: b, Client: c, Memory: a.Memory(c, p.ObserveAnswer),
-		Gate: g, Left: p.MarkLeaving, HeldOff: p.HeldOff, Answered: p.ObserveAnswer, Explain: rec, Metrics: m, Log: log,
+		Snapshot: f.Snapshot, Untrusted: f.Doubtful, Dialect: a.Dialect, Placer: p, RetryBudget: b, Client: c, Memory: a.Memory(c, p.ObserveAnswer),
+		Gate: g, MarkLeaving: p.MarkLeaving, HeldOff: p.HeldOff, ObserveAnswer: p.ObserveAnswer, Explain: rec, Metrics: m, Log: log,
 		Limits: gateway.Limits{
 			MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, MaxConnections: l.MaxConnections,
 			ReadTimeout: time.Duration(l.ReadTimeout), IdleTimeout: time.Duration(l.IdleTimeout), WriteStall: writeStall,
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -137,7 +137,7 @@
 	cfg.TimeScale = c.cfg.TimeScale
 	cfg.Seed = c.cfg.Seed + uint64(len(c.Engines))
 	for _, model := range c.cfg.Models {
-		cfg.Models = append(cfg.Models[:len(cfg.Models):len(cfg.Models)], upstream.Loaded{Model: model, Version: ModelVersion})
+		cfg.Models = append(cfg.Models[:len(cfg.Models):len(cfg.Models)], upstream.LoadedModel{Model: model, Version: ModelVersion})
 	}
 	e, err := engine.Start(c.addr(), cfg)
 	if err != nil {
--- a/internal/standin/engine/completions_test.go
+++ b/internal/standin/engine/completions_test.go
@@ -31,33 +31,33 @@
 func TestWholeAnswer(t *testing.T) {
 	is := is.New(t)
 	e := start(t, engine.Config{})
-	call := rawhttp.Completion("r1", wire.Completion{Model: model, Prompt: "x", MaxTokens: 7})
-	whole := ask[wire.Whole](t, e, call)
-	is.Equal(whole, wire.Whole{ID: "r1", Model: model, Text: answer.Answer("r1", 7), Tokens: 7, FinishReason: "length"})
-	rest := ask[wire.Whole](t, e, call.With(wire.HeaderResume, "5"))
+	call := rawhttp.Completion("r1", wire.CompletionRequest{Model: model, Prompt: "x", MaxTokens: 7})
+	whole := ask[wire.CompletionAnswer](t, e, call)
+	is.Equal(whole, wire.CompletionAnswer{ID: "r1", Model: model, Text: answer.Answer("r1", 7), Tokens: 7, FinishReason: "length"})
+	rest := ask[wire.CompletionAnswer](t, e, call.With(wire.HeaderResumeOffset, "5"))
 	is.Equal(rest.Text, answer.Range("r1", 5, 7))
 }
 
 func TestRefusals(t *testing.T) {
-	e := start(t, engine.Config{Memory: 5000, Models: []wire.Loaded{{Model: model, Version: "v1", Adapters: []string{"ice"}}}})
-	with := func(c wire.Completion) rawhttp.Call { return rawhttp.Completion("r1", c) }
+	e := start(t, engine.Config{Memory: 5000, Models: []wire.LoadedModel{{Model: model, Version: "v1", Adapters: []string{"ice"}}}})
+	with := func(c wire.CompletionRequest) rawhttp.Call { return rawhttp.Completion("r1", c) }
 	cases := []struct {
 		name   string
 		call   rawhttp.Call
 		status int
 	}{
-		{"adapter that is loaded", with(wire.Completion{Model: model, Adapter: "ice"}), 200},
-		{"adapter that is not", with(wire.Completion{Model: model, Adapter: "lake"}), 404},
-		{"model that is not loaded", with(wire.Completion{Model: "other"}), 404},
+		{"adapter that is loaded", with(wire.CompletionRequest{Model: model, Adapter: "ice"}), 200},
+		{"adapter that is not", with(wire.CompletionRequest{Model: model, Adapter: "lake"}), 404},
+		{"model that is not loaded", with(wire.CompletionRequest{Model: "other"}), 404},
 		{"malformed", rawhttp.Call{Path: wire.PathCompletions, Body: []byte("{")}, 400},
-		{"no request id", rawhttp.Completion("", wire.Completion{Model: model}), 400},
-		{"bad priority", with(wire.Completion{Model: model}).With(wire.HeaderPriority, "high"), 400},
-		{"negative length", with(wire.Completion{Model: model, MaxTokens: -1}), 400},
-		{"offset behind the end", with(wire.Completion{Model: model, MaxTokens: 4}).With(wire.HeaderResume, "5"), 400},
-		{"unknown reservation", with(wire.Completion{Model: model}).With(wire.HeaderReservation, "x"), 409},
-		{"just fits", with(wire.Completion{Model: model, Prompt: prompt(4990), MaxTokens: 10}), 200},
-		{"larger than the memory", with(wire.Completion{Model: model, Prompt: prompt(4991), MaxTokens: 10}), 413},
-		{"malformed group", with(wire.Completion{Model: model}).With(wire.HeaderGroup, "x"), 503},
+		{"no request id", rawhttp.Completion("", wire.CompletionRequest{Model: model}), 400},
+		{"bad priority", with(wire.CompletionRequest{Model: model}).With(wire.HeaderPriority, "high"), 400},
+		{"negative length", with(wire.CompletionRequest{Model: model, MaxTokens: -1}), 400},
+		{"offset behind the end", with(wire.CompletionRequest{Model: model, MaxTokens: 4}).With(wire.HeaderResumeOffset, "5"), 400},
+		{"unknown reservation", with(wire.CompletionRequest{Model: model}).With(wire.HeaderReservation, "x"), 409},
+		{"just fits", with(wire.CompletionRequest{Model: model, Prompt: prompt(4990), MaxTokens: 10}), 200},
+		{"larger than the memory", with(wire.CompletionRequest{Model: model, Prompt: prompt(4991), MaxTokens: 10}), 413},
+		{"malformed group", with(wire.CompletionRequest{Model: model}).With(wire.HeaderGroup, "x"), 503},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -98,12 +98,12 @@
 	is.NoErr(first.CheckPrefix("r1"))
 	last := first.Parts[len(first.Parts)-1]
 	next := last.Offset + last.Tokens
-	rest := streamed("r1", 2000, 100).With(wire.HeaderResume, jsonInt(next)).Do(other.Addr())
+	rest := streamed("r1", 2000, 100).With(wire.HeaderResumeOffset, jsonInt(next)).Do(other.Addr())
 	is.Equal(first.Text()+rest.Text(), answer.Answer("r1", 100))
 	is.Equal(rest.Parts[0].Offset, next)
 	is.Equal(other.Counters().Resumes, 1)
 
-	end := streamed("r1", 2000, 100).With(wire.HeaderResume, "100").Do(other.Addr()) // only the end mark was lost
+	end := streamed("r1", 2000, 100).With(wire.HeaderResumeOffset, "100").Do(other.Addr()) // only the end mark was lost
 	is.True(end.Done)
 	is.Equal(end.Finish(), "length")
 	is.Equal(end.Text(), "")
@@ -184,7 +184,7 @@
 	for _, event := range events.Events {
 		held[event.Hash] = !event.Drop
 	}
-	for _, hash := range wire.Blocks([]byte(prompt(3 * wire.BlockTokens))) {
+	for _, hash := range wire.BlockHashes([]byte(prompt(3 * wire.BlockTokens))) {
 		is.True(held[hash])
 	}
 	is.Equal(events.BootID, e.BootID())
@@ -195,7 +195,7 @@
 	is := is.New(t)
 	e := start(t, engine.Config{ReportLag: 10 * time.Hour, DecodeInterval: time.Hour})
 	done := begin(t, e, streamed("r1", 10, 1000))
-	load := ask[wire.Load](t, e, get(wire.PathLoad))
+	load := ask[wire.LoadReport](t, e, get(wire.PathLoad))
 	is.Equal(load.Running, 0)
 	is.Equal(load.MemoryTotal, int64(engine.DefaultMemory))
 	is.Equal(load.PrefillRate, int64(engine.DefaultPrefillRate*fast))
@@ -204,9 +204,9 @@
 
 	prompt := start(t, engine.Config{ReportLag: time.Millisecond, DecodeInterval: time.Hour})
 	done = begin(t, prompt, streamed("r1", 10, 1000))
-	var fresh wire.Load
+	var fresh wire.LoadReport
 	eventually(t, "the report shows the request", func() bool {
-		fresh = ask[wire.Load](t, prompt, get(wire.PathLoad))
+		fresh = ask[wire.LoadReport](t, prompt, get(wire.PathLoad))
 		return fresh.Running == 1
 	})
 	is.Equal(fresh.MemoryUsed, int64(1010))
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -10,13 +10,13 @@
 // clock on the wall. Zero values mean the defaults.
 type Config struct {
 	ID         string
-	Models     []wire.Loaded // loaded whenever it boots
-	TimeScale  float64       // engine seconds in one second
-	Seed       uint64        // of the choice which cache events are lost
-	StartCold  bool          // cold at the first boot; later boots are always cold
-	Fencing    bool          // refuses orders with an old fencing number
-	NoExpiry   bool          // reservations stay until they are released
-	QueueLimit int           // requests that wait; more are refused as not started
+	Models     []wire.LoadedModel // loaded whenever it boots
+	TimeScale  float64            // engine seconds in one second
+	Seed       uint64             // of the choice which cache events are lost
+	StartCold  bool               // cold at the first boot; later boots are always cold
+	Fencing    bool               // refuses orders with an old fencing number
+	NoExpiry   bool               // reservations stay until they are released
+	QueueLimit int                // requests that wait; more are refused as not started
 
 	PrefillRate    int64         // prompt tokens a second, shared in order of priority
 	DecodeInterval time.Duration // between two tokens of one answer
--- a/internal/standin/engine/control_test.go
+++ b/internal/standin/engine/control_test.go
@@ -111,22 +111,22 @@
 }
 
 func TestOrders(t *testing.T) {
-	e := start(t, engine.Config{Models: []wire.Loaded{}, Fencing: true, LoadTime: time.Second})
+	e := start(t, engine.Config{Models: []wire.LoadedModel{}, Fencing: true, LoadTime: time.Second})
 	cases := []struct {
 		name   string
 		call   rawhttp.Call
 		status int
 		last   string // order carried out last
-		loaded []wire.Loaded
+		loaded []wire.LoadedModel
 	}{
-		{"load", order("o1", 1, engine.OrderLoad, "v1", ""), 202, "o1", []wire.Loaded{{Model: "lake", Version: "v1"}}},
-		{"adapter", order("o2", 1, engine.OrderLoad, "v1", "ice"), 202, "o2", []wire.Loaded{{Model: "lake", Version: "v1", Adapters: []string{"ice"}}}},
-		{"repeated", order("o1", 1, engine.OrderLoad, "v1", ""), 202, "o2", []wire.Loaded{{Model: "lake", Version: "v1", Adapters: []string{"ice"}}}},
-		{"other version", order("o3", 5, engine.OrderLoad, "v2", ""), 202, "o3", []wire.Loaded{{Model: "lake", Version: "v2"}}},
-		{"old fencing number", order("o4", 4, engine.OrderUnload, "v2", ""), 409, "o3", []wire.Loaded{{Model: "lake", Version: "v2"}}},
-		{"unload another version", order("o5", 5, engine.OrderUnload, "v1", ""), 202, "o5", []wire.Loaded{{Model: "lake", Version: "v2"}}},
-		{"unload", order("o6", 5, engine.OrderUnload, "v2", ""), 202, "o6", []wire.Loaded{}},
-		{"no id", order("", 5, engine.OrderUnload, "v2", ""), 400, "o6", []wire.Loaded{}},
+		{"load", order("o1", 1, engine.OrderLoad, "v1", ""), 202, "o1", []wire.LoadedModel{{Model: "lake", Version: "v1"}}},
+		{"adapter", order("o2", 1, engine.OrderLoad, "v1", "ice"), 202, "o2", []wire.LoadedModel{{Model: "lake", Version: "v1", Adapters: []string{"ice"}}}},
+		{"repeated", order("o1", 1, engine.OrderLoad, "v1", ""), 202, "o2", []wire.LoadedModel{{Model: "lake", Version: "v1", Adapters: []string{"ice"}}}},
+		{"other version", order("o3", 5, engine.OrderLoad, "v2", ""), 202, "o3", []wire.LoadedModel{{Model: "lake", Version: "v2"}}},
+		{"old fencing number", order("o4", 4, engine.OrderUnload, "v2", ""), 409, "o3", []wire.LoadedModel{{Model: "lake", Version: "v2"}}},
+		{"unload another version", order("o5", 5, engine.OrderUnload, "v1", ""), 202, "o5", []wire.LoadedModel{{Model: "lake", Version: "v2"}}},
+		{"unload", order("o6", 5, engine.OrderUnload, "v2", ""), 202, "o6", []wire.LoadedModel{}},
+		{"no id", order("", 5, engine.OrderUnload, "v2", ""), 400, "o6", []wire.LoadedModel{}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -152,7 +152,7 @@
 // engine that ignores fencing numbers carries out the old order last, and serves the old version.
 func TestDelayedOrderOverwritesANewerOne(t *testing.T) {
 	is := is.New(t)
-	e := start(t, engine.Config{Models: []wire.Loaded{}, LoadTime: time.Millisecond})
+	e := start(t, engine.Config{Models: []wire.LoadedModel{}, LoadTime: time.Millisecond})
 	is.NoErr(e.Switch(faults.DelayOrders, true, 500*time.Millisecond))
 	is.Equal(order("old", 1, engine.OrderLoad, "v1", "").Do(e.Addr()).Status, 202)
 	is.NoErr(e.Switch(faults.DelayOrders, false, 0))
@@ -173,15 +173,15 @@
 	is := is.New(t)
 	from, to := start(t, engine.Config{}), start(t, engine.Config{})
 	text := prompt(3 * wire.BlockTokens)
-	blocks := wire.Blocks([]byte(text))
+	blocks := wire.BlockHashes([]byte(text))
 	export := post(wire.PathKVExport, wire.KVExport{ID: "x", Holder: "entry-1", Blocks: blocks, TTLMs: 60_000})
 	is.Equal(export.Do(from.Addr()).Status, 404) // nothing cached yet
 	is.NoErr(streamed("r1", 3*wire.BlockTokens, 1).Do(from.Addr()).CheckStream("r1", 1))
-	is.Equal(ask[wire.KVExported](t, from, export), wire.KVExported{ID: "x", Blocks: 3, Tokens: 3 * wire.BlockTokens})
+	is.Equal(ask[wire.KVExportResult](t, from, export), wire.KVExportResult{ID: "x", Blocks: 3, Tokens: 3 * wire.BlockTokens})
 	is.Equal(from.Counters().ReservedTokens, int64(3*wire.BlockTokens)) // a copy is memory too
 
 	load := post(wire.PathKVImport, wire.KVImport{ID: "x", Addr: from.Addr(), Blocks: blocks})
-	is.Equal(ask[wire.KVExported](t, to, load).Blocks, 3)
+	is.Equal(ask[wire.KVExportResult](t, to, load).Blocks, 3)
 	is.NoErr(streamed("r2", 3*wire.BlockTokens, 1).Do(to.Addr()).CheckStream("r2", 1))
 	is.Equal(to.Counters().CachedTokens, int64(3*wire.BlockTokens))
 
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -38,7 +38,7 @@
 	warmth       warmth
 	reservations map[string]*reservation
 	orders       orderBook
-	report       wire.Load
+	report       wire.LoadReport
 	reported     time.Duration
 	counters     Counters
 }
@@ -117,7 +117,7 @@
 	e.reservations = map[string]*reservation{}
 	e.orders = newOrderBook(e.cfg)
 	e.warmth = warmth{cold: cold, since: e.nextJob}
-	e.report = wire.Load{BootID: e.boot, Cold: cold, ColdLimit: e.cfg.ColdLimit, MemoryTotal: e.cfg.Memory, PrefillRate: e.wallRate()}
+	e.report = wire.LoadReport{BootID: e.boot, Cold: cold, ColdLimit: e.cfg.ColdLimit, MemoryTotal: e.cfg.Memory, PrefillRate: e.wallRate()}
 	e.reported = e.now()
 }
 
@@ -194,7 +194,7 @@
 		queuedTokens += j.left
 	}
 	e.reported = now
-	e.report = wire.Load{
+	e.report = wire.LoadReport{
 		BootID: e.boot, Seq: e.report.Seq + 1, Cold: e.warmth.cold, ColdLimit: e.cfg.ColdLimit,
 		Running: running, Queued: len(e.jobs) - running, QueuedTokens: int64(queuedTokens),
 		MemoryUsed: e.held(), MemoryTotal: e.cfg.Memory, PrefillRate: e.wallRate(),
--- a/internal/standin/engine/faults_test.go
+++ b/internal/standin/engine/faults_test.go
@@ -61,7 +61,7 @@
 		is := is.New(t)
 		e := start(t, engine.Config{})
 		is.NoErr(e.Switch(faults.LoseAnswer, true, 0))
-		r := rawhttp.Completion("r1", wire.Completion{Model: model, MaxTokens: 10, Stream: stream}).Do(e.Addr())
+		r := rawhttp.Completion("r1", wire.CompletionRequest{Model: model, MaxTokens: 10, Stream: stream}).Do(e.Addr())
 		is.True(r.Err != nil)
 		is.Equal(len(r.Parts)+len(r.Body), 0)
 		c := e.Counters()
@@ -97,7 +97,7 @@
 
 	last := r.Parts[len(r.Parts)-1]
 	next := last.Offset + last.Tokens
-	resumed := streamed("r1", 10, next+10).With(wire.HeaderResume, jsonInt(next)).With(wire.HeaderAttempt, "2").Do(e.Addr())
+	resumed := streamed("r1", 10, next+10).With(wire.HeaderResumeOffset, jsonInt(next)).With(wire.HeaderAttempt, "2").Do(e.Addr())
 	is.Equal(r.Text()+resumed.Text(), answer.Answer("r1", next+10))
 	is.Equal(rawhttp.Call{Path: "/v1/cancel/r1"}.Do(e.Addr()).Status, 204)
 	is.True(nothingHeld(e)())
@@ -125,8 +125,8 @@
 	state := ask[wire.EngineState](t, e, get(wire.PathState))
 	is.Equal(state.HighestFence, uint64(0))
 	is.Equal(state.Role, engine.RoleAny)
-	is.Equal(state.Loaded, []wire.Loaded{{Model: model, Version: "v1"}})
-	is.True(ask[wire.Load](t, e, get(wire.PathLoad)).Cold)
+	is.Equal(state.Loaded, []wire.LoadedModel{{Model: model, Version: "v1"}})
+	is.True(ask[wire.LoadReport](t, e, get(wire.PathLoad)).Cold)
 }
 
 // What a caller sees of faults that stop work at the door, and whether it may say that it did not run.
--- a/internal/standin/engine/helpers_test.go
+++ b/internal/standin/engine/helpers_test.go
@@ -32,7 +32,7 @@
 		cfg.TimeScale = fast
 	}
 	if cfg.Models == nil {
-		cfg.Models = []wire.Loaded{{Model: model, Version: "v1"}}
+		cfg.Models = []wire.LoadedModel{{Model: model, Version: "v1"}}
 	}
 	e, err := engine.Start("127.0.0.1:0", cfg)
 	is.New(t).NoErr(err)
@@ -44,7 +44,7 @@
 func prompt(tokens int) string { return strings.Repeat("abc ", tokens) }
 
 func streamed(id string, promptTokens, answerTokens int) rawhttp.Call {
-	return rawhttp.Completion(id, wire.Completion{Model: model, Prompt: prompt(promptTokens), MaxTokens: answerTokens, Stream: true})
+	return rawhttp.Completion(id, wire.CompletionRequest{Model: model, Prompt: prompt(promptTokens), MaxTokens: answerTokens, Stream: true})
 }
 
 // begin makes the call in the background and waits for its first part.
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -68,7 +68,7 @@
 }
 
 func (e *Engine) getLoad(ctx *fasthttp.RequestCtx) {
-	var report wire.Load
+	var report wire.LoadReport
 	e.locked(func(now time.Duration) {
 		report = e.report
 		report.AgeMs = e.wall(now - e.reported).Milliseconds()
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -79,7 +79,7 @@
 	if !decode(ctx, &x) {
 		return
 	}
-	answer := wire.KVExported{ID: x.ID}
+	answer := wire.KVExportResult{ID: x.ID}
 	status := 0
 	e.locked(func(now time.Duration) {
 		answer.Blocks = e.cache.hits(x.Blocks)
@@ -121,5 +121,5 @@
 		e.cache.add(blocks, now)
 		e.cache.shrink(e.cfg.Memory-e.held(), now)
 	})
-	serve.JSON(ctx, fasthttp.StatusOK, wire.KVExported{ID: m.ID, Blocks: len(blocks), Tokens: int64(len(blocks)) * wire.BlockTokens})
+	serve.JSON(ctx, fasthttp.StatusOK, wire.KVExportResult{ID: m.ID, Blocks: len(blocks), Tokens: int64(len(blocks)) * wire.BlockTokens})
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -43,7 +43,7 @@
 // orderBook is what the engine was told to serve, and does serve.
 type orderBook struct {
 	role    string
-	loaded  []wire.Loaded
+	loaded  []wire.LoadedModel
 	highest uint64
 	last    string // id of the order carried out last
 	orders  []*order
@@ -68,7 +68,7 @@
 }
 
 func (b *orderBook) serves(model, adapter string) bool {
-	return slices.ContainsFunc(b.loaded, func(l wire.Loaded) bool {
+	return slices.ContainsFunc(b.loaded, func(l wire.LoadedModel) bool {
 		return l.Model == model && (adapter == "" || slices.Contains(l.Adapters, adapter))
 	})
 }
@@ -109,7 +109,7 @@
 		l.Adapters = withAdapter(l.Adapters, o.Adapter)
 		return
 	}
-	b.loaded = append(b.loaded, wire.Loaded{Model: o.Model, Version: o.Version, Adapters: withAdapter(nil, o.Adapter)})
+	b.loaded = append(b.loaded, wire.LoadedModel{Model: o.Model, Version: o.Version, Adapters: withAdapter(nil, o.Adapter)})
 }
 
 func withAdapter(adapters []string, adapter string) []string {
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -65,7 +65,7 @@
 	case p.finish == finishError:
 		serve.JSON(ctx, fasthttp.StatusBadGateway, wire.Refusal{Error: p.err})
 	default:
-		serve.JSON(ctx, fasthttp.StatusOK, wire.Whole{
+		serve.JSON(ctx, fasthttp.StatusOK, wire.CompletionAnswer{
 			ID: j.id, Model: model, Text: answer.Range(j.id, j.offset, p.to), Tokens: p.to - j.offset, FinishReason: p.finish,
 		})
 	}
--- a/internal/standin/engine/submit.go
+++ b/internal/standin/engine/submit.go
@@ -30,7 +30,7 @@
 }
 
 func (e *Engine) postCompletion(ctx *fasthttp.RequestCtx) {
-	var c wire.Completion
+	var c wire.CompletionRequest
 	if !decode(ctx, &c) {
 		return
 	}
@@ -58,8 +58,8 @@
 	e.whole(ctx, j, c.Model)
 }
 
-func newJob(ctx *fasthttp.RequestCtx, c *wire.Completion) (*job, error) {
-	j := &job{more: make(chan struct{}, 1), max: c.MaxTokens, prompt: wire.Tokens(len(c.Prompt))}
+func newJob(ctx *fasthttp.RequestCtx, c *wire.CompletionRequest) (*job, error) {
+	j := &job{more: make(chan struct{}, 1), max: c.MaxTokens, prompt: wire.TokenCount(len(c.Prompt))}
 	if j.max == 0 {
 		j.max = defaultMaxTokens
 	}
@@ -68,7 +68,7 @@
 	var errs [4]error
 	j.attempt, _, errs[0] = intHeader(ctx, wire.HeaderAttempt)
 	j.priority, _, errs[1] = intHeader(ctx, wire.HeaderPriority)
-	j.offset, _, errs[2] = intHeader(ctx, wire.HeaderResume)
+	j.offset, _, errs[2] = intHeader(ctx, wire.HeaderResumeOffset)
 	j.remaining, _, errs[3] = intHeader(ctx, wire.HeaderRemaining)
 	for _, err := range errs {
 		if err != nil {
@@ -81,12 +81,12 @@
 	case j.max < 0 || j.offset < 0 || j.offset > j.max:
 		return nil, fmt.Errorf("offset %d and max_tokens %d don't fit", j.offset, j.max)
 	}
-	j.blocks = wire.Blocks([]byte(c.Prompt))
+	j.blocks = wire.BlockHashes([]byte(c.Prompt))
 	return j, nil
 }
 
 // submit takes a dispatch in, or tells why not.
-func (e *Engine) submit(j *job, c *wire.Completion, grouped int64) *refusal {
+func (e *Engine) submit(j *job, c *wire.CompletionRequest, grouped int64) *refusal {
 	now := e.last
 	if now < e.warmth.down {
 		return &refusal{fasthttp.StatusServiceUnavailable, "out of service", true}
@@ -111,7 +111,7 @@
 }
 
 // refuseStart gives the reasons for which a request does not start.
-func (e *Engine) refuseStart(j *job, c *wire.Completion, grouped int64) *refusal {
+func (e *Engine) refuseStart(j *job, c *wire.CompletionRequest, grouped int64) *refusal {
 	switch {
 	case e.faults.On(faults.Leaving):
 		return &refusal{fasthttp.StatusServiceUnavailable, "leaving", false}
--- a/internal/standin/rawhttp/rawhttp.go
+++ b/internal/standin/rawhttp/rawhttp.go
@@ -108,7 +108,7 @@
 }
 
 // Completion makes the call of a completions request.
-func Completion(id string, c wire.Completion) Call {
+func Completion(id string, c wire.CompletionRequest) Call {
 	body, err := json.Marshal(c)
 	if err != nil {
 		panic(err) // a struct of strings and numbers encodes
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -16,15 +16,15 @@
 
 // CallError is a failed call, with what is known about its effect.
 type CallError struct {
-	Sent       bool // a byte of the request may have reached the upstream
-	NotStarted bool // the upstream itself said that it did not start
-	Timeout    bool // silence: nothing came within the time
-	Dead       bool // the upstream does not answer over a new connection either
-	Overdue    bool // the time of the dispatch itself ran out
-	Status     int  // HTTP status of an error answer; 0: none came
-	RetryAfter time.Duration
-	BootID     string
-	Cause      error
+	Sent           bool // a byte of the request may have reached the upstream
+	NotStarted     bool // the upstream itself said that it did not start
+	Timeout        bool // silence: nothing came within the time
+	UpstreamDead   bool // the upstream does not answer over a new connection either
+	DeadlinePassed bool // the time of the dispatch itself ran out
+	Status         int  // HTTP status of an error answer; 0: none came
+	RetryAfter     time.Duration
+	BootID         string
+	Cause          error
 }
 
 // Error tells what happened.
@@ -43,7 +43,7 @@
 func (e *CallError) Unwrap() error { return e.Cause }
 
 // Ran tells whether the call may have run.
-func (e *CallError) Ran() bool { return e.Sent && !e.NotStarted }
+func (e *CallError) MayHaveRun() bool { return e.Sent && !e.NotStarted }
 
 // Client calls upstreams. It is safe for concurrent use.
 type Client struct {
@@ -57,7 +57,7 @@
 func (c *Client) Close() { c.pool.close() }
 
 // Condemn bars the open connections to addr from further use.
-func (c *Client) Condemn(addr string) { c.pool.condemn(addr) }
+func (c *Client) InvalidateConnections(addr string) { c.pool.condemn(addr) }
 
 // exchange is one request sent and the head of its response read. Its user ends it with finish.
 type exchange struct {
@@ -72,7 +72,7 @@
 // bounds are the time limits of one exchange: a wait for all of it, or silence on its connection.
 type bounds struct {
 	wait    time.Duration
-	silence *Silence
+	silence *SilenceLimits
 }
 
 // send writes req to addr and reads the response's head, within the bounds; the body is left as a stream.
@@ -122,10 +122,10 @@
 		e.Cause = fmt.Errorf("%w: %w", context.Cause(ctx), err)
 		return e
 	case verdict == stream.GiveUp:
-		e.Overdue = true
+		e.DeadlinePassed = true
 		return e
 	case verdict == stream.Resume, verdict == stream.Redispatch:
-		e.Timeout, e.Dead = true, verdict == stream.Redispatch
+		e.Timeout, e.UpstreamDead = true, verdict == stream.Redispatch
 	default:
 		e.Timeout = timedOut(err)
 	}
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -41,8 +41,8 @@
 }
 
 // Load asks an engine for its load report.
-func (c *Client) Load(ctx context.Context, addr string) (wire.Load, error) {
-	var l wire.Load
+func (c *Client) Load(ctx context.Context, addr string) (wire.LoadReport, error) {
+	var l wire.LoadReport
 	err := c.json(ctx, addr, fasthttp.MethodGet, wire.PathLoad, nil, &l, smallCall)
 	return l, err
 }
@@ -70,14 +70,14 @@
 
 // WarmUp sends an engine a prompt of a few tokens with the lowest priority and reads its answer.
 func (c *Client) WarmUp(ctx context.Context, addr, model string, wait time.Duration) error {
-	body, err := json.Marshal(wire.Completion{Model: model, Prompt: "warm up", MaxTokens: 1, Stream: true})
+	body, err := json.Marshal(wire.CompletionRequest{Model: model, Prompt: "warm up", MaxTokens: 1, Stream: true})
 	if err != nil {
 		return fmt.Errorf("encode warm-up prompt: %w", err)
 	}
 	s, err := c.Complete(ctx, addr, Completion{
 		RequestID: "warm-up-" + uuid.NewString(), Workspace: "damaskshelf", Priority: lowestPriority,
 		Attempt: 1, Remaining: wait, Body: body,
-	}, Silence{Params: stream.NewParams(wait), Deadline: time.Now().Add(wait)})
+	}, SilenceLimits{Params: stream.NewParams(wait), Deadline: time.Now().Add(wait)})
 	if err != nil {
 		return err
 	}
--- a/internal/upstream/guard.go
+++ b/internal/upstream/guard.go
@@ -10,10 +10,10 @@
 )
 
 // Silence says how long a stream's connection may be silent, and until when the request has time.
-type Silence struct {
+type SilenceLimits struct {
 	Params   stream.Params
 	Deadline time.Time
-	Note     func(decide.Reason) // told of each step; may be nil
+	OnStep   func(decide.Reason) // told of each step; may be nil
 }
 
 // guard is the shell of stream.Watch on one exchange. The connection's Read calls it, so that a probe and
@@ -24,7 +24,7 @@
 	probes  context.Context
 	client  *Client
 	conn    *conn
-	silence Silence
+	silence SilenceLimits
 	start   time.Time
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup // of probes
@@ -34,7 +34,7 @@
 	verdict stream.Action           // guarded by mu: anything but Wait and Probe is final
 }
 
-func newGuard(ctx context.Context, c *Client, cn *conn, reused bool, size int, s Silence) *guard {
+func newGuard(ctx context.Context, c *Client, cn *conn, reused bool, size int, s SilenceLimits) *guard {
 	g := &guard{ctx: ctx, client: c, conn: cn, silence: s, start: time.Now()}
 	g.probes, g.cancel = context.WithCancel(ctx)
 	g.watch = stream.NewSilenceDetector(s.Params, reused, size, 0, decide.Instant(s.Deadline.Sub(g.start)))
@@ -107,8 +107,8 @@
 	if a == stream.Wait {
 		return
 	}
-	if g.silence.Note != nil {
-		g.silence.Note(reason)
+	if g.silence.OnStep != nil {
+		g.silence.OnStep(reason)
 	}
 	g.verdict = a
 	if a != stream.Probe {
--- a/internal/upstream/opaque.go
+++ b/internal/upstream/opaque.go
@@ -28,19 +28,19 @@
 // Errors of an opaque exchange.
 var (
 	// ErrCutShort: the answer's body ended before its length, or its connection was reset.
-	ErrCutShort = errors.New("answer was cut short")
+	ErrTruncated = errors.New("answer was cut short")
 	// ErrStray: the answers that came belong to other requests.
-	ErrStray = errors.New("answers of other requests came")
+	ErrUnrelatedAnswer = errors.New("answers of other requests came")
 )
 
 // Opaque is a request that is forwarded byte for byte.
-type Opaque struct {
-	Addr  string
-	Head  *fasthttp.RequestHeader // whole but for the body's length
-	Body  []byte
-	Fresh bool // over a new connection
+type ForwardRequest struct {
+	Addr          string
+	Head          *fasthttp.RequestHeader // whole but for the body's length
+	Body          []byte
+	NewConnection bool // over a new connection
 	// Own tells whether an answer is this request's; nil: every one is.
-	Own func(*fasthttp.ResponseHeader) bool
+	MatchesRequest func(*fasthttp.ResponseHeader) bool
 }
 
 // Exchange is one request under way at an upstream, with the head of its answer read. The body is read with
@@ -58,7 +58,7 @@
 
 // Forward sends o and reads the head of its answer. Everything ends with ctx: its deadline bounds each read
 // and write, and its end wakes them. A *CallError says what is known of the effect.
-func (c *Client) Forward(ctx context.Context, o Opaque) (*Exchange, error) {
+func (c *Client) Forward(ctx context.Context, o ForwardRequest) (*Exchange, error) {
 	cn, err := c.connect(ctx, o)
 	if err != nil {
 		return nil, &CallError{Cause: err}
@@ -76,8 +76,8 @@
 	return x, nil
 }
 
-func (c *Client) connect(ctx context.Context, o Opaque) (*conn, error) {
-	if !o.Fresh {
+func (c *Client) connect(ctx context.Context, o ForwardRequest) (*conn, error) {
+	if !o.NewConnection {
 		for cn := c.pool.takeIdle(o.Addr); cn != nil; cn = c.pool.takeIdle(o.Addr) {
 			if cn.quiet() {
 				cn.sent.Store(0)
@@ -93,7 +93,7 @@
 
 // exchange writes the request and reads the answer's head. An upstream may answer and close before it has
 // read the body: the write then fails, and the answer is still there to be read.
-func (x *Exchange) exchange(o Opaque) error {
+func (x *Exchange) exchange(o ForwardRequest) error {
 	writeErr := x.write(o)
 	if writeErr != nil {
 		x.kept = false
@@ -109,21 +109,21 @@
 			continue
 		}
 		x.frame(string(o.Head.Method()))
-		if o.Own == nil || o.Own(&x.Head) {
+		if o.MatchesRequest == nil || o.MatchesRequest(&x.Head) {
 			x.kept = x.kept && writeErr == nil
 			return nil
 		}
 		// A second answer of the request before can come late, at the place where this one is due.
 		if _, err := io.Copy(io.Discard, x); err != nil {
-			return fmt.Errorf("%w: %w", ErrStray, err)
+			return fmt.Errorf("%w: %w", ErrUnrelatedAnswer, err)
 		}
 		x.whole, x.err = false, nil
 		x.Head.Reset()
 	}
-	return ErrStray
+	return ErrUnrelatedAnswer
 }
 
-func (x *Exchange) write(o Opaque) error {
+func (x *Exchange) write(o ForwardRequest) error {
 	h := o.Head
 	if len(o.Body) > 0 || h.ContentLength() >= 0 {
 		h.SetContentLength(len(o.Body))
@@ -166,7 +166,7 @@
 		x.whole = true
 		x.err = err
 	case err != nil:
-		x.err = fmt.Errorf("%w: %w", ErrCutShort, err)
+		x.err = fmt.Errorf("%w: %w", ErrTruncated, err)
 		err = x.err
 	}
 	return n, err
--- a/internal/upstream/service.go
+++ b/internal/upstream/service.go
@@ -37,7 +37,7 @@
 
 // CallFresh is Call over a new connection. A call that may not be repeated doesn't use a pooled one: that
 // may have died unnoticed, and the first byte written to it would leave the outcome unknown for nothing.
-func (c *Client) CallFresh(ctx context.Context, addr string, req *fasthttp.Request, wait time.Duration) (Answer, error) {
+func (c *Client) CallNewConnection(ctx context.Context, addr string, req *fasthttp.Request, wait time.Duration) (Answer, error) {
 	fresh := &Client{pool: newPool()}
 	defer fresh.Close()
 	return fresh.Call(ctx, addr, req, wait)
--- a/internal/upstream/small.go
+++ b/internal/upstream/small.go
@@ -11,18 +11,18 @@
 )
 
 // SmallCall is a call with small JSON bodies to an upstream.
-type SmallCall struct {
+type JSONCall struct {
 	Addr    string
 	Method  string
 	Path    string
 	In, Out any // nil: no body sent, answer dropped
-	Wait    time.Duration
+	Timeout time.Duration
 	Headers [][2]string
-	Head    func(*fasthttp.ResponseHeader) // takes the answer's head; nil: nobody does
+	OnHead  func(*fasthttp.ResponseHeader) // takes the answer's head; nil: nobody does
 }
 
 // JSON makes a small call. A *CallError holds the status of an answer that is no success.
-func (c *Client) JSON(ctx context.Context, q SmallCall) error {
+func (c *Client) CallJSON(ctx context.Context, q JSONCall) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + q.Addr + q.Path)
@@ -38,18 +38,18 @@
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(body)
 	}
-	x, err := c.send(ctx, q.Addr, req, bounds{wait: q.Wait})
+	x, err := c.send(ctx, q.Addr, req, bounds{wait: q.Timeout})
 	if err != nil {
 		return err
 	}
-	if q.Head != nil {
-		q.Head(&x.resp.Header)
+	if q.OnHead != nil {
+		q.OnHead(&x.resp.Header)
 	}
 	return x.take(ctx, q)
 }
 
 // take reads a small call's answer and finishes the exchange.
-func (x *exchange) take(ctx context.Context, q SmallCall) error {
+func (x *exchange) take(ctx context.Context, q JSONCall) error {
 	body, err := readBody(x)
 	if err != nil {
 		return x.fail(ctx, err)
@@ -71,5 +71,5 @@
 
 // json makes a small call without looking at its answer's head.
 func (c *Client) json(ctx context.Context, addr, method, path string, in, out any, wait time.Duration, headers ...[2]string) error {
-	return c.JSON(ctx, SmallCall{Addr: addr, Method: method, Path: path, In: in, Out: out, Wait: wait, Headers: headers})
+	return c.CallJSON(ctx, JSONCall{Addr: addr, Method: method, Path: path, In: in, Out: out, Timeout: wait, Headers: headers})
 }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -34,7 +34,7 @@
 }
 
 // Complete sends a prompt and waits for the head of the answer, which an engine sends at once.
-func (c *Client) Complete(ctx context.Context, addr string, q Completion, silence Silence) (*Stream, error) {
+func (c *Client) Complete(ctx context.Context, addr string, q Completion, silence SilenceLimits) (*Stream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + addr + wire.PathCompletions)
@@ -53,7 +53,7 @@
 		h.Set(wire.HeaderGroup, q.Group)
 	}
 	if q.ResumeOffset > 0 {
-		h.Set(wire.HeaderResume, strconv.Itoa(q.ResumeOffset))
+		h.Set(wire.HeaderResumeOffset, strconv.Itoa(q.ResumeOffset))
 	}
 	req.SetBodyRaw(q.Body)
 	x, err := c.send(ctx, addr, req, bounds{silence: &silence})
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -98,9 +98,9 @@
 func complete(t *testing.T, c *upstream.Client, addr string, notes *[]decide.Reason) (*upstream.Stream, error) {
 	t.Helper()
 	var mu sync.Mutex
-	return c.Complete(t.Context(), addr, upstream.Completion{RequestID: "r", Attempt: 1, Body: []byte("{}")}, upstream.Silence{
+	return c.Complete(t.Context(), addr, upstream.Completion{RequestID: "r", Attempt: 1, Body: []byte("{}")}, upstream.SilenceLimits{
 		Params: stream.NewParams(gap), Deadline: time.Now().Add(20 * time.Second),
-		Note: func(r decide.Reason) {
+		OnStep: func(r decide.Reason) {
 			mu.Lock()
 			defer mu.Unlock()
 			if notes != nil {
@@ -141,7 +141,7 @@
 	is.NoErr(err)
 	_, err = s.Next()
 	ce := callError(t, err)
-	is.True(ce.Timeout && !ce.Dead && ce.Sent)
+	is.True(ce.Timeout && !ce.UpstreamDead && ce.Sent)
 	is.Equal(notes, []decide.Reason{stream.ReasonProbe, stream.ReasonConnectionDead})
 	is.Equal(e.conns.Load(), int32(2)) // the stream's and the probe's
 }
@@ -159,7 +159,7 @@
 	defer c.Close()
 	_, err := complete(t, c, e.addr(), nil)
 	ce := callError(t, err)
-	is.True(ce.Timeout && ce.Dead && ce.Sent)
+	is.True(ce.Timeout && ce.UpstreamDead && ce.Sent)
 }
 
 // An engine computes for long and says so: comment lines are signs of life, though no part comes.
@@ -228,12 +228,12 @@
 	c := upstream.New()
 	defer c.Close()
 	_, err := complete(t, c, addr, nil)
-	is.True(!callError(t, err).Ran())
+	is.True(!callError(t, err).MayHaveRun())
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + addr + "/bookings")
-	_, err = c.CallFresh(t.Context(), addr, req, time.Second)
-	is.True(!callError(t, err).Ran())
+	_, err = c.CallNewConnection(t.Context(), addr, req, time.Second)
+	is.True(!callError(t, err).MayHaveRun())
 }
 
 // A caller goes away while its stream is silent: the wait ends at once, and nothing is left behind.
@@ -247,7 +247,7 @@
 	c := upstream.New()
 	defer c.Close()
 	ctx, cancel := context.WithCancelCause(t.Context())
-	s, err := c.Complete(ctx, e.addr(), upstream.Completion{RequestID: "r", Body: []byte("{}")}, upstream.Silence{
+	s, err := c.Complete(ctx, e.addr(), upstream.Completion{RequestID: "r", Body: []byte("{}")}, upstream.SilenceLimits{
 		Params: stream.NewParams(time.Hour), Deadline: time.Now().Add(time.Hour),
 	})
 	is.NoErr(err)
--- a/internal/upstream/wire/wire.go
+++ b/internal/upstream/wire/wire.go
@@ -16,15 +16,15 @@
 	HeaderIdempotent     = "X-Idempotent"       // "true" or "false"
 	HeaderIdempotencyKey = "Idempotency-Key"
 
-	HeaderAttempt     = "X-Attempt"       // counts dispatches of one request, from 1
-	HeaderRemaining   = "X-Remaining-Ms"  // milliseconds left for the request
-	HeaderReservation = "X-Reservation"   // id of the memory reservation that the request uses
-	HeaderResume      = "X-Resume-Offset" // first token that the entry still needs
-	HeaderGroup       = "X-Group"         // reservations on other engines for the same request: id@ip:port, comma-separated
-	HeaderNotStarted  = "X-Not-Started"   // "true" on a refusal: the upstream did not start
-	HeaderBootID      = "X-Boot-Id"       // changes whenever the upstream starts anew
-	HeaderRun         = "X-Run"           // to callers: no, yes or unknown
-	HeaderReplayed    = "X-Replayed"      // to callers: the recorded outcome of an earlier run
+	HeaderAttempt      = "X-Attempt"       // counts dispatches of one request, from 1
+	HeaderRemaining    = "X-Remaining-Ms"  // milliseconds left for the request
+	HeaderReservation  = "X-Reservation"   // id of the memory reservation that the request uses
+	HeaderResumeOffset = "X-Resume-Offset" // first token that the entry still needs
+	HeaderGroup        = "X-Group"         // reservations on other engines for the same request: id@ip:port, comma-separated
+	HeaderNotStarted   = "X-Not-Started"   // "true" on a refusal: the upstream did not start
+	HeaderBootID       = "X-Boot-Id"       // changes whenever the upstream starts anew
+	HeaderRun          = "X-Run"           // to callers: no, yes or unknown
+	HeaderReplayed     = "X-Replayed"      // to callers: the recorded outcome of an earlier run
 )
 
 // Paths of an engine. IDs in paths are URL-escaped.
@@ -46,14 +46,14 @@
 const BytesPerToken = 4
 
 // Tokens is the number of tokens of a prompt of n bytes.
-func Tokens(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
+func TokenCount(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
 
 // BlockTokens is the size of a prefix-cache block.
 const BlockTokens = 1024
 
 // Blocks gives the chained hashes of the prompt's whole blocks: two prompts share the first n hashes
 // just when they share the first n*BlockTokens tokens.
-func Blocks(prompt []byte) []uint64 {
+func BlockHashes(prompt []byte) []uint64 {
 	const size = BlockTokens * BytesPerToken
 	hashes := make([]uint64, 0, len(prompt)/size)
 	var chain xxhash.Digest
@@ -67,7 +67,7 @@
 }
 
 // Completion is the body of a completions request, from callers and to engines.
-type Completion struct {
+type CompletionRequest struct {
 	Model     string `json:"model"`
 	Adapter   string `json:"adapter,omitempty"`
 	Prompt    string `json:"prompt"`
@@ -87,7 +87,7 @@
 }
 
 // Whole is the answer to a completions request without stream.
-type Whole struct {
+type CompletionAnswer struct {
 	ID           string `json:"id"`
 	Model        string `json:"model"`
 	Text         string `json:"text"`
@@ -99,7 +99,7 @@
 const DoneMark = "[DONE]"
 
 // Load is an engine's lagging load report.
-type Load struct {
+type LoadReport struct {
 	BootID       string `json:"boot_id"`
 	Seq          uint64 `json:"seq"`    // grows with each report
 	AgeMs        int64  `json:"age_ms"` // how old the figures are
@@ -168,7 +168,7 @@
 }
 
 // Loaded is one model version in an engine's memory.
-type Loaded struct {
+type LoadedModel struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
@@ -178,7 +178,7 @@
 type EngineState struct {
 	BootID       string        `json:"boot_id"`
 	Role         string        `json:"role"`
-	Loaded       []Loaded      `json:"loaded"`
+	Loaded       []LoadedModel `json:"loaded"`
 	HighestFence uint64        `json:"highest_fence"`
 	LastOrder    string        `json:"last_order"`
 	Orders       []OrderStatus `json:"orders"` // the latest ones
@@ -202,7 +202,7 @@
 }
 
 // KVExported answers PathKVExport: how much of the prefix the engine had.
-type KVExported struct {
+type KVExportResult struct {
 	ID     string `json:"id"`
 	Blocks int    `json:"blocks"`
 	Tokens int64  `json:"tokens"`
--- a/internal/warm/limits.go
+++ b/internal/warm/limits.go
@@ -221,7 +221,7 @@
 }
 
 // OnLoad takes an engine's load report whose figures were true at the given time.
-func (l *Limits) OnLoad(u *fleet.Upstream, r wire.Load, at time.Time) {
+func (l *Limits) OnLoad(u *fleet.Upstream, r wire.LoadReport, at time.Time) {
 	l.OnBoot(u, r.BootID)
 	up := l.upstream(u)
 	made := l.cfg.Now().Add(-time.Since(at))
--- a/internal/warm/warm_test.go
+++ b/internal/warm/warm_test.go
@@ -71,7 +71,9 @@
 	return n
 }
 
-func cold(limit int) wire.Load { return wire.Load{BootID: "b1", Cold: true, ColdLimit: limit} }
+func cold(limit int) wire.LoadReport {
+	return wire.LoadReport{BootID: "b1", Cold: true, ColdLimit: limit}
+}
 
 // A cold engine bears four at once, and nine instances hold requests for it.
 func TestSlotsOverInstances(t *testing.T) {
@@ -121,23 +123,23 @@
 	e := engine("e1")
 	b := newBed("a", e)
 	b.settle("a", "b", "c")
-	b.OnLoad(e, wire.Load{BootID: "b1", ColdLimit: 2}, time.Now())
+	b.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now())
 	is.Equal(b.State(e), health.Warm)
 	is.Equal(b.take(e), 16) // the window of requests without a first byte
 	b.Done(e, route.Failed)
 	is.Equal(b.State(e), health.Suspect)
 	is.True(!b.Open(e))
-	b.OnLoad(e, wire.Load{BootID: "b1", ColdLimit: 2}, time.Now().Add(-time.Second))
+	b.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now().Add(-time.Second))
 	is.Equal(b.State(e), health.Suspect)
 	b.pass(time.Second)
-	b.OnLoad(e, wire.Load{BootID: "b1", ColdLimit: 2}, time.Now())
+	b.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now())
 	is.Equal(b.State(e), health.Warming) // load grows anew
 	for range 63 {
 		b.FirstByte(e, time.Millisecond, 0)
 		b.LastByte(e)
 	}
 	is.Equal(b.State(e), health.Warm)
-	b.OnLoad(e, wire.Load{BootID: "b2", ColdLimit: 2}, time.Now())
+	b.OnLoad(e, wire.LoadReport{BootID: "b2", ColdLimit: 2}, time.Now())
 	is.Equal(b.State(e), health.Cold) // restarted: its "warm" of that moment is the old process's
 }
 
@@ -147,7 +149,7 @@
 	e, leaving := engine("e1"), engine("e1")
 	leaving.Leaving = true
 	b := newBed("a", e)
-	b.OnLoad(e, wire.Load{BootID: "b1"}, time.Now())
+	b.OnLoad(e, wire.LoadReport{BootID: "b1"}, time.Now())
 	b.Tick(false)
 	is.True(b.Open(e))
 	b.show(2, leaving)
@@ -171,7 +173,7 @@
 	is := is.New(t)
 	e := engine("e1")
 	b := newBed("a", e)
-	b.OnLoad(e, wire.Load{BootID: "b1"}, time.Now())
+	b.OnLoad(e, wire.LoadReport{BootID: "b1"}, time.Now())
 	for range 50 {
 		is.True(b.Allow(e))
 		b.FirstByte(e, time.Millisecond, 0)
--- a/test/e2e/crowd_test.go
+++ b/test/e2e/crowd_test.go
@@ -64,7 +64,7 @@
 // prompt makes a caller's prompt; every id has its own text, of so many tokens.
 func prompt(id string, tokens, answerTokens int, stream bool) rawhttp.Call {
 	text := (id + " ") + strings.Repeat("ice ", tokens)
-	c := rawhttp.Completion(id, wire.Completion{Model: model, Prompt: text[:tokens*wire.BytesPerToken], MaxTokens: answerTokens, Stream: stream})
+	c := rawhttp.Completion(id, wire.CompletionRequest{Model: model, Prompt: text[:tokens*wire.BytesPerToken], MaxTokens: answerTokens, Stream: stream})
 	c.Decode = decoder()
 	return timed(c)
 }
