--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,7 +1,9 @@
-// Package fault is the closed list of error kinds and the table from a kind to the answer a caller gets.
+// Package fault defines the closed list of error kinds and the table that maps each kind to the answer for the
+// caller.
 //
-// Every refusal and failure that leaves an instance is an *Error of one of these kinds. The table fixes
-// the HTTP status and which run outcomes the kind may carry, so that "not run" is never said by accident.
+// Every refusal and failure that leaves an instance is an *Error of one of these kinds. The table fixes the HTTP
+// status and the run outcomes that each kind may carry, so that an answer never reports "not run" for a request that
+// may have run.
 package fault
 
 import (
@@ -10,18 +12,18 @@
 	"time"
 )
 
-// Run tells whether a request ran on an upstream.
+// Run is the run outcome of a request: whether it ran on an upstream.
 type Run uint8
 
-// The three run outcomes. RunNo is said only when no byte of the request could have reached an upstream,
-// or when that upstream itself said that it did not start.
+// The run outcomes. RunNo requires that no byte of the request can have reached an upstream, or that the upstream
+// itself reported that it did not start the request.
 const (
 	RunNo Run = iota
 	RunYes
 	RunUnknown
 )
 
-// String gives the outcome as it stands in answers and logs.
+// String returns the outcome as it appears in answers and logs.
 func (r Run) String() string {
 	switch r {
 	case RunNo:
@@ -36,10 +38,11 @@
 // Kind is one entry of the closed list of error kinds.
 type Kind uint8
 
-// The closed list. Add a kind here and in the table below; a test goes through all of them.
+// The error kinds. A new kind needs an entry here and a row in the table below; a test checks that every kind has
+// one.
 const (
-	Internal         Kind = iota // a defect of ours
-	BadRequest                   // malformed request, contradicting headers, bad value
+	Internal         Kind = iota // a defect of this program
+	BadRequest                   // malformed request, contradicting headers or invalid value
 	Unauthorized                 // missing or wrong operator token
 	UnknownModel                 // no such model in the configuration
 	UnknownService               // no such plain service
@@ -47,33 +50,34 @@
 	BodyTooLarge                 // body over the listener's limit
 	SlowCaller                   // the caller sent its request too slowly
 	CallerGone                   // the caller closed its connection
-	Infeasible                   // can't finish in its time, known at admission
-	QueueFull                    // bounded queue is full
-	WorkspaceLimit               // the workspace is over its own limit
-	NoUpstream                   // no upstream may take the request now
-	UpstreamLimit                // every upstream is under a limit of its own, and the request's turn would come too late
-	NoMemory                     // no group of engines has the memory
+	Infeasible                   // can't finish within its time, as known at admission
+	QueueFull                    // the bounded queue is full
+	WorkspaceLimit               // the workspace exceeds its own limit
+	NoUpstream                   // no upstream accepts the request now
+	UpstreamLimit                // every upstream is under a rate limit of its own, and the request would wait too long
+	NoMemory                     // no group of engines has enough free memory
 	Stopping                     // this instance is stopping
 	NotReady                     // this instance has no configuration yet
-	StaleInstance                // this instance was paused or cut off and is catching up
-	UpstreamBusy                 // the upstream said it did not start
+	StaleInstance                // this instance was paused or isolated and is catching up
+	UpstreamBusy                 // the upstream reported that it did not start the request
 	UpstreamFailed               // the upstream failed after it may have started
 	IncompleteAnswer             // the stream ended without its end mark
-	DeadlineExceeded             // the request's time ran out
-	InProgress                   // the same idempotency key is being run
-	KeyReused                    // the same idempotency key with another request
-	KeyExpired                   // the idempotency key is older than outcomes are kept
-	StoreUnavailable             // the object API can't be reached for a write that must come first
-	PlanConflict                 // the versions the plan was made from no longer hold
-	PlanRejected                 // the plan would break a floor or a budget
+	DeadlineExceeded             // the request's deadline passed
+	InProgress                   // a request with the same idempotency key is running
+	KeyReused                    // the idempotency key was used before with a different request
+	KeyExpired                   // the idempotency key is older than the retention of outcomes
+	StoreUnavailable             // the object API is unreachable for a write that must come first
+	PlanConflict                 // the versions that the plan was made from have changed
+	PlanRejected                 // the plan would violate a floor or a budget
 	Cancelled                    // an operator or the caller cancelled the request
 	kindCount
 )
 
-// NoRetry is the Retry-After of kinds for which coming back makes no sense.
+// NoRetry is the Retry-After of kinds for which a retry cannot succeed.
 const NoRetry time.Duration = 0
 
-// Rule is a kind's row: its wire name, HTTP status, the run outcomes it may carry, and when to come back.
+// Rule is a kind's row in the table: its wire name, its HTTP status, the run outcomes that it may carry, and the
+// delay before a retry.
 type Rule struct {
 	Name       string
 	Status     int
@@ -82,21 +86,24 @@
 }
 
 var (
-	notRun  = []Run{RunNo}
-	started = []Run{RunNo, RunUnknown, RunYes}
-	maybe   = []Run{RunUnknown, RunYes}
+	// Sets of run outcomes that a kind may carry.
+	notRun     = []Run{RunNo}
+	anyRun     = []Run{RunNo, RunUnknown, RunYes}
+	mayHaveRun = []Run{RunUnknown, RunYes}
 )
 
 const (
-	// elsewhere is the wait after a refusal that concerns one instance only: another one has room now.
-	elsewhere = 20 * time.Millisecond
-	// startTime is how long an instance takes from its start until it knows a configuration, where the store
-	// answers, and as much again.
-	startTime = 200 * time.Millisecond
+	// otherInstanceDelay is the Retry-After of a refusal that concerns one instance only: other instances accept the
+	// request at once.
+	otherInstanceDelay = 20 * time.Millisecond
+	// startupDelay is twice the time that an instance takes from its start until it has a configuration, while the
+	// store answers.
+	startupDelay = 200 * time.Millisecond
 )
 
+// rules is the table, indexed by kind.
 var rules = [kindCount]Rule{
-	Internal:         {"internal", 500, started, NoRetry},
+	Internal:         {"internal", 500, anyRun, NoRetry},
 	BadRequest:       {"bad_request", 400, notRun, NoRetry},
 	Unauthorized:     {"unauthorized", 401, notRun, NoRetry},
 	UnknownModel:     {"unknown_model", 404, notRun, NoRetry},
@@ -104,30 +111,30 @@
 	NotFound:         {"not_found", 404, notRun, NoRetry},
 	BodyTooLarge:     {"body_too_large", 413, notRun, NoRetry},
 	SlowCaller:       {"slow_caller", 408, notRun, NoRetry},
-	CallerGone:       {"caller_gone", 499, started, NoRetry},
+	CallerGone:       {"caller_gone", 499, anyRun, NoRetry},
 	Infeasible:       {"infeasible", 503, notRun, 2 * time.Second},
 	QueueFull:        {"queue_full", 429, notRun, time.Second},
 	WorkspaceLimit:   {"workspace_limit", 429, notRun, time.Second},
 	NoUpstream:       {"no_upstream", 503, notRun, 2 * time.Second},
 	UpstreamLimit:    {"upstream_limit", 503, notRun, 2 * time.Second},
 	NoMemory:         {"no_memory", 503, notRun, 2 * time.Second},
-	Stopping:         {"stopping", 503, notRun, elsewhere},
-	NotReady:         {"not_ready", 503, notRun, startTime},
+	Stopping:         {"stopping", 503, notRun, otherInstanceDelay},
+	NotReady:         {"not_ready", 503, notRun, startupDelay},
 	StaleInstance:    {"stale_instance", 503, notRun, time.Second},
 	UpstreamBusy:     {"upstream_busy", 503, notRun, time.Second},
-	UpstreamFailed:   {"upstream_failed", 502, maybe, time.Second},
-	IncompleteAnswer: {"incomplete_answer", 502, maybe, time.Second},
-	DeadlineExceeded: {"deadline_exceeded", 504, started, time.Second},
-	InProgress:       {"in_progress", 409, started, time.Second},
+	UpstreamFailed:   {"upstream_failed", 502, mayHaveRun, time.Second},
+	IncompleteAnswer: {"incomplete_answer", 502, mayHaveRun, time.Second},
+	DeadlineExceeded: {"deadline_exceeded", 504, anyRun, time.Second},
+	InProgress:       {"in_progress", 409, anyRun, time.Second},
 	KeyReused:        {"key_reused", 422, notRun, NoRetry},
-	KeyExpired:       {"key_expired", 410, started, NoRetry},
-	StoreUnavailable: {"store_unavailable", 503, started, 5 * time.Second},
+	KeyExpired:       {"key_expired", 410, anyRun, NoRetry},
+	StoreUnavailable: {"store_unavailable", 503, anyRun, 5 * time.Second},
 	PlanConflict:     {"plan_conflict", 409, notRun, NoRetry},
 	PlanRejected:     {"plan_rejected", 422, notRun, NoRetry},
-	Cancelled:        {"cancelled", 499, started, NoRetry},
+	Cancelled:        {"cancelled", 499, anyRun, NoRetry},
 }
 
-// Kinds lists every kind, in the order of the list.
+// Kinds returns every kind, in the order of the list.
 func Kinds() []Kind {
 	all := make([]Kind, kindCount)
 	for i := range all {
@@ -136,7 +143,7 @@
 	return all
 }
 
-// Rule gives the kind's row of the table.
+// Rule returns the kind's row of the table. A value outside the list has the row of Internal.
 func (k Kind) Rule() Rule {
 	if k >= kindCount {
 		return rules[Internal]
@@ -144,19 +151,19 @@
 	return rules[k]
 }
 
-// String gives the kind's wire name.
+// String returns the kind's wire name.
 func (k Kind) String() string { return k.Rule().Name }
 
 // Error is a refusal or failure with its kind and run outcome.
 type Error struct {
 	Kind       Kind
 	Run        Run
-	Detail     string        // names the field and value at fault; never a secret
-	RetryAfter time.Duration // overrides the kind's default when above zero
+	Detail     string        // the field and value that caused it; never a secret
+	RetryAfter time.Duration // overrides the kind's default when greater than zero
 	Cause      error
 }
 
-// Error gives kind, run outcome and detail in one line.
+// Error returns kind, run outcome, detail and cause in one line.
 func (e *Error) Error() string {
 	s := fmt.Sprintf("%s (run: %s)", e.Kind, e.Run)
 	if e.Detail != "" {
@@ -168,10 +175,10 @@
 	return s
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Wait is how long the caller should wait before it comes back; NoRetry for kinds where it should not.
+// RetryDelay returns how long the caller should wait before it retries, or NoRetry if it should not retry.
 func (e *Error) RetryDelay() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
@@ -179,18 +186,20 @@
 	return e.Kind.Rule().RetryAfter
 }
 
-// New makes an error of a kind whose table row allows only "not run".
+// New returns an error with run outcome RunNo. A kind that does not allow RunNo gets the replacement described at
+// NewWithRun.
 func New(k Kind, format string, args ...any) *Error {
 	return NewWithRun(k, RunNo, format, args...)
 }
 
-// Ran makes an error with an explicit run outcome. An outcome that the kind's row does not allow is
-// replaced by RunUnknown where the row has it, since saying less is safe; New's kinds keep RunNo.
+// NewWithRun returns an error with the given run outcome. An outcome that the kind's row does not allow is replaced
+// by RunUnknown, which is the safe claim, or by the row's first outcome if the row does not have RunUnknown.
 func NewWithRun(k Kind, run Run, format string, args ...any) *Error {
-	return &Error{Kind: k, Run: k.allowed(run), Detail: fmt.Sprintf(format, args...)}
+	return &Error{Kind: k, Run: k.allowedRun(run), Detail: fmt.Sprintf(format, args...)}
 }
 
-func (k Kind) allowed(run Run) Run {
+// allowedRun returns run if the kind's row allows it, else the replacement that NewWithRun describes.
+func (k Kind) allowedRun(run Run) Run {
 	runs := k.Rule().Runs
 	for _, r := range runs {
 		if r == run {
@@ -205,7 +214,7 @@
 	return runs[0]
 }
 
-// From gives err as an *Error; any other error becomes Internal with run unknown.
+// From returns the *Error that err is or wraps. Any other error becomes Internal with RunUnknown.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -214,7 +223,7 @@
 	return &Error{Kind: Internal, Run: RunUnknown, Cause: err}
 }
 
-// Is tells whether err is a fault of kind k.
+// Is reports whether err is or wraps an *Error of kind k.
 func Is(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == k
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -10,35 +10,36 @@
 	"github.com/damaskshelf/damaskshelf/internal/fault"
 )
 
-// Every kind has a whole row: a name of its own, an error status, and at least one run outcome.
+// Every kind has a complete row: a unique name, an error status and at least one run outcome.
 func TestEveryKindHasARow(t *testing.T) {
 	is := is.New(t)
 	seen := map[string]fault.Kind{}
 	for _, k := range fault.Kinds() {
 		rule := k.Rule()
-		is.True(rule.Name != "")      // kind has a wire name
-		is.True(rule.Status >= 400)   // kind answers with an error status
-		is.True(rule.Status < 600)    // kind answers with an HTTP status
-		is.True(len(rule.Runs) > 0)   // kind allows a run outcome
-		is.True(rule.RetryAfter >= 0) // waiting time is not negative
+		is.True(rule.Name != "")      // the kind has a wire name
+		is.True(rule.Status >= 400)   // the status is an error status
+		is.True(rule.Status < 600)    // the status is an HTTP status
+		is.True(len(rule.Runs) > 0)   // the kind allows a run outcome
+		is.True(rule.RetryAfter >= 0) // the retry delay is not negative
 		is.True(k.String() == rule.Name)
 		_, twice := seen[rule.Name]
-		is.True(!twice) // wire names differ
+		is.True(!twice) // wire names are unique
 		seen[rule.Name] = k
 	}
 }
 
-// A kind never carries a run outcome outside its row: what may have started is never called "not run".
-func TestRunOutcomeStaysInsideTheRow(t *testing.T) {
+// An error never carries a run outcome outside its kind's row. In particular, a failure after a possible start never
+// reports "not run".
+func TestRunOutcomeIsAllowedForKind(t *testing.T) {
 	for _, k := range fault.Kinds() {
 		for _, run := range []fault.Run{fault.RunNo, fault.RunYes, fault.RunUnknown} {
 			is := is.New(t)
 			e := fault.NewWithRun(k, run, "x")
-			in := false
+			found := false
 			for _, allowed := range k.Rule().Runs {
-				in = in || allowed == e.Run
+				found = found || allowed == e.Run
 			}
-			is.True(in)
+			is.True(found)
 		}
 	}
 	is := is.New(t)
