--- a/internal/settle/settle.go
+++ b/internal/settle/settle.go
@@ -1,8 +1,8 @@
 // Package settle makes conditional writes whose outcome is known for certain.
 //
-// A write whose answer is lost may have taken effect, and may still be on its way when the object is read
-// back. Sending the same write again settles both: it is conditional on the same version, so at most one
-// of the two takes effect, and whoever finds its own write id in the store has succeeded.
+// A write whose answer is lost may have taken effect, and may still be in transit when the object is read back.
+// Repeating the same write resolves both cases: both copies are conditional on the same version, so at most one of
+// them takes effect, and a writer that finds its own write id in the store has succeeded.
 package settle
 
 import (
@@ -15,21 +15,21 @@
 	"github.com/damaskshelf/damaskshelf/internal/wait"
 )
 
-// Pauses between attempts.
+// Backoff between attempts, doubled after each one.
 const (
-	firstPause = 50 * time.Millisecond
-	maxPause   = time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// ErrUnknown: the write may or may not have taken effect, and that could not be found out in time.
+// ErrUnknown reports that the write may have taken effect and that the outcome could not be determined in time.
 var ErrUnknown = errors.New("outcome of the write is unknown")
 
-// Put makes the write and gives its version once it is known to have taken effect. Errors:
-// *objects.ConflictError and objects.ErrUnavailable mean that it certainly had no effect; ErrUnknown
-// means that it may have had, or may yet have, until ctx ended.
+// Put makes the write and returns its version once the write is known to have taken effect. *objects.ConflictError
+// and objects.ErrUnavailable mean that the write had no effect. ErrUnknown means that it may have taken effect or
+// may still do so: ctx ended first, or another writer's version hides the outcome.
 func Put(ctx context.Context, s objects.Store, w objects.Write) (uint64, error) {
 	sent := false
-	pause := firstPause
+	backoff := initialBackoff
 	for {
 		version, err := s.Put(ctx, w)
 		if err == nil {
@@ -38,24 +38,25 @@
 		var conflict *objects.ConflictError
 		switch {
 		case errors.As(err, &conflict):
-			return ours(conflict, w, sent)
+			return resolveConflict(conflict, w, sent)
 		case errors.Is(err, objects.ErrUnavailable) && !sent:
 			return 0, err
 		case !errors.Is(err, objects.ErrUnavailable):
+			// The write may have reached the store although its answer was lost.
 			sent = true
 			if version, ok := readBack(ctx, s, w); ok {
 				return version, nil
 			}
 		}
-		if !wait.For(ctx, pause) {
+		if !wait.For(ctx, backoff) {
 			return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
 		}
-		pause = min(2*pause, maxPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// readBack looks for the write in the store. Writes whose every answer is lost while reads work are found
-// only so. Not finding it means nothing: it may still be on its way.
+// readBack looks for the write in the store and reports whether it found it. Only a read confirms the write while
+// the answers of all writes are lost and reads succeed. A write that is not found may still be in transit.
 func readBack(ctx context.Context, s objects.Store, w objects.Write) (uint64, bool) {
 	o, err := s.Get(ctx, w.Key)
 	if err != nil || o.WriteID != w.WriteID {
@@ -64,9 +65,10 @@
 	return o.Version, true
 }
 
-// ours reads a conflict. Another writer's version on top of one of ours whose answer was lost hides
-// whether ours took effect first, so that outcome stays unknown.
-func ours(conflict *objects.ConflictError, w objects.Write, sent bool) (uint64, error) {
+// resolveConflict returns the result of a write that the store rejected with a conflict. sent reports that an
+// earlier copy of the write was sent and its answer lost. If another writer's version then follows, it hides whether
+// the earlier copy took effect first, and the outcome is unknown.
+func resolveConflict(conflict *objects.ConflictError, w objects.Write, sent bool) (uint64, error) {
 	if conflict.WriteID == w.WriteID {
 		return conflict.Current, nil
 	}
--- a/internal/settle/settle_test.go
+++ b/internal/settle/settle_test.go
@@ -16,27 +16,27 @@
 
 var errLost = errors.New("answer lost")
 
-// lossy loses the answers of its first writes, after or before they take effect.
-type lossy struct {
+// lossyStore loses the answers of its first writes. These writes take effect before the loss, or are delayed.
+type lossyStore struct {
 	*memory.Store
-	lose    int
-	effect  bool
-	held    *objects.Write // a write that is still on its way
-	between func()         // runs after a lost answer
+	answersToLose int            // number of answers still to lose
+	applies       bool           // whether a write with a lost answer takes effect
+	delayed       *objects.Write // the last write that is still in transit
+	afterLoss     func()         // runs after each lost answer
 }
 
-func (l *lossy) Put(ctx context.Context, w objects.Write) (uint64, error) {
-	if l.lose == 0 {
+func (l *lossyStore) Put(ctx context.Context, w objects.Write) (uint64, error) {
+	if l.answersToLose == 0 {
 		return l.Store.Put(ctx, w)
 	}
-	l.lose--
-	if l.effect {
+	l.answersToLose--
+	if l.applies {
 		_, _ = l.Store.Put(ctx, w)
 	} else {
-		l.held = &w
+		l.delayed = &w
 	}
-	if l.between != nil {
-		l.between()
+	if l.afterLoss != nil {
+		l.afterLoss()
 	}
 	return 0, errLost
 }
@@ -47,10 +47,10 @@
 	return objects.Write{Key: key, WriteID: id, Value: []byte(`{}`)}
 }
 
-// An operator sees an error for a change that is in force: the write took effect, its answer was lost.
-func TestLostAnswerToAnEffectiveWriteIsSettled(t *testing.T) {
+// Guards against an error for a change that is in force, after a write took effect and its answer was lost.
+func TestPutFindsAppliedWriteWhoseAnswerWasLost(t *testing.T) {
 	is := is.New(t)
-	s := &lossy{Store: memory.New(), lose: 2, effect: true}
+	s := &lossyStore{Store: memory.New(), answersToLose: 2, applies: true}
 	version, err := settle.Put(context.Background(), s, write("w1"))
 	is.NoErr(err)
 	o, err := s.Get(context.Background(), key)
@@ -59,11 +59,11 @@
 	is.Equal(o.WriteID, "w1")
 }
 
-// An operator waits ten seconds and is told "unknown" for a change that is in force: every write's answer is
-// lost, though reads work all the time. Sending again alone gets lost answers for ever.
-func TestEveryAnswerLostIsSettledByReading(t *testing.T) {
+// Guards against the outcome "unknown" after a wait of ten seconds for a change that is in force. It happens when
+// the answers of all writes are lost while reads succeed: repeating the write alone never gets an answer.
+func TestPutReadsBackWhenEveryAnswerIsLost(t *testing.T) {
 	is := is.New(t)
-	s := &lossy{Store: memory.New(), lose: math.MaxInt, effect: true}
+	s := &lossyStore{Store: memory.New(), answersToLose: math.MaxInt, applies: true}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	version, err := settle.Put(ctx, s, write("w1"))
@@ -71,30 +71,31 @@
 	is.Equal(version, uint64(1))
 }
 
-// An operator is told "not done", and seconds later the change is in force: the write was delayed, the
-// object was read back before it arrived. Reading back alone (objects.Settle) says conflict here.
+// Guards against the outcome "not done" for a change that takes effect seconds later. It happens when the write is
+// delayed and the object is read back before it arrives. Reading back alone, as objects.Settle does, reports a
+// conflict here.
 func TestDelayedWriteCannotTakeEffectTwice(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &lossy{Store: memory.New(), lose: 1}
+	s := &lossyStore{Store: memory.New(), answersToLose: 1}
 	_, err := objects.Settle(ctx, s, write("w1"))
 	var conflict *objects.ConflictError
-	is.True(errors.As(err, &conflict)) // read-back before arrival: the guard's absence
+	is.True(errors.As(err, &conflict)) // reading back before the arrival reports a conflict
 
 	version, err := settle.Put(ctx, s, write("w1"))
 	is.NoErr(err)
-	_, err = s.Store.Put(ctx, *s.held) // the delayed first copy arrives
+	_, err = s.Store.Put(ctx, *s.delayed) // the delayed first copy arrives
 	is.True(errors.As(err, &conflict))
 	is.Equal(conflict.Current, version)
 }
 
-// Another operator's write stands on top of a write whose answer was lost: whether ours took effect in
-// between can't be read off the object, so it must not be called refused.
-func TestAnothersWriteOnTopLeavesTheOutcomeUnknown(t *testing.T) {
+// Guards against the outcome "conflict" for a write that may have taken effect. Another operator's write follows a
+// write whose answer was lost, and the object no longer shows whether the earlier one took effect.
+func TestLaterWriteByAnotherWriterLeavesOutcomeUnknown(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &lossy{Store: memory.New(), lose: 1, effect: true}
-	s.between = func() {
+	s := &lossyStore{Store: memory.New(), answersToLose: 1, applies: true}
+	s.afterLoss = func() {
 		_, err := s.Store.Put(ctx, objects.Write{Key: key, IfVersion: 1, WriteID: "other", Value: []byte(`{}`)})
 		is.NoErr(err)
 	}
@@ -102,7 +103,9 @@
 	is.True(errors.Is(err, settle.ErrUnknown))
 }
 
-func TestCleanConflictAndOutageAreCertain(t *testing.T) {
+// A conflict on the first attempt and a store that is unavailable before the write is sent both have a known
+// outcome.
+func TestConflictAndUnsentWriteHaveKnownOutcome(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	s := memory.New()
@@ -113,20 +116,23 @@
 	is.True(errors.As(err, &conflict))
 	is.True(!errors.Is(err, settle.ErrUnknown))
 
-	_, err = settle.Put(ctx, down{}, write("w1"))
+	_, err = settle.Put(ctx, unavailableStore{}, write("w1"))
 	is.True(errors.Is(err, objects.ErrUnavailable))
 	is.True(!errors.Is(err, settle.ErrUnknown))
 }
 
-// The store answers nothing any more after a write was sent.
+// The outcome is unknown if the store stops answering after a write was sent.
 func TestOutageAfterSendingIsUnknown(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Millisecond)
 	defer cancel()
-	_, err := settle.Put(ctx, &lossy{Store: memory.New(), lose: 1 << 20}, write("w1"))
+	_, err := settle.Put(ctx, &lossyStore{Store: memory.New(), answersToLose: 1 << 20}, write("w1"))
 	is.True(errors.Is(err, settle.ErrUnknown))
 }
 
-type down struct{ objects.Store }
+// unavailableStore rejects every write as unsent.
+type unavailableStore struct{ objects.Store }
 
-func (down) Put(context.Context, objects.Write) (uint64, error) { return 0, objects.ErrUnavailable }
+func (unavailableStore) Put(context.Context, objects.Write) (uint64, error) {
+	return 0, objects.ErrUnavailable
+}
