--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -7,77 +7,79 @@
 	"strconv"
 )
 
-// maxEvent bounds the bytes of one event that are held until it is whole.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the bytes of one event that are buffered until it is complete.
+const maxEventBytes = 1 << 20
 
-// errEventTooLong: an event is over maxEvent bytes.
+// errEventTooLong reports that an event exceeds maxEventBytes.
 var errEventTooLong = errors.New("event is too long")
 
-// event is one whole event of a stream, byte for byte.
+// event is one complete event of a stream, byte for byte.
 type event struct {
-	raw   []byte // with the empty line that ends it; valid until the next call
-	id    int64
+	raw   []byte // includes the empty line that ends the event; valid until the next call of next
+	id    int64  // valid if hasID is set
 	hasID bool
 }
 
-// eventReader splits a stream into whole events: part of an event is never passed on, since the upstream
-// may stop in its middle and another one then sends it whole.
+// eventReader splits a stream into complete events. A part of an event is never passed on, because the upstream may
+// stop within the event and another upstream then sends it again from its start.
 type eventReader struct {
-	r    io.Reader
-	buf  []byte
-	from int // start of what was not given out yet
-	end  error
+	r       io.Reader
+	buf     []byte
+	start   int   // offset in buf of the first byte that next has not returned yet
+	readErr error // error or io.EOF of the last read; nil while r may have more
 }
 
+// newEventReader returns an eventReader that reads from r.
 func newEventReader(r io.Reader) *eventReader {
 	return &eventReader{r: r, buf: make([]byte, 0, 4<<10)}
 }
 
-// next gives the next whole event. io.EOF comes after the stream's whole end; bytes after the last event
-// come as an event without an id.
+// next returns the next complete event. It returns io.EOF after the regular end of the stream. Bytes after the last
+// complete event are returned as an event without an id.
 func (e *eventReader) next() (event, error) {
-	scanned := e.from
+	scanned := e.start
 	for {
-		if n := eventEnd(e.buf[e.from:], scanned-e.from); n > 0 {
-			raw := e.buf[e.from : e.from+n]
-			e.from += n
+		if n := eventLength(e.buf[e.start:], scanned-e.start); n > 0 {
+			raw := e.buf[e.start : e.start+n]
+			e.start += n
 			id, ok := eventID(raw)
 			return event{raw: raw, id: id, hasID: ok}, nil
 		}
-		if e.end != nil {
-			return e.rest()
+		if e.readErr != nil {
+			return e.remainder()
 		}
-		scanned = max(e.from, len(e.buf)-3)
+		scanned = max(e.start, len(e.buf)-3)
 		shift, err := e.fill()
 		scanned -= shift
 		if err != nil {
-			e.end = err
+			e.readErr = err
 		}
 	}
 }
 
-// rest gives what is left at the stream's end.
-func (e *eventReader) rest() (event, error) {
-	if e.end == io.EOF && e.from < len(e.buf) {
-		raw := e.buf[e.from:]
-		e.from = len(e.buf)
+// remainder returns the bytes that are left at the regular end of the stream, then the error that ended it.
+func (e *eventReader) remainder() (event, error) {
+	if e.readErr == io.EOF && e.start < len(e.buf) {
+		raw := e.buf[e.start:]
+		e.start = len(e.buf)
 		return event{raw: raw}, nil
 	}
-	return event{}, e.end
+	return event{}, e.readErr
 }
 
-// pending tells whether another whole event is at hand without reading.
-func (e *eventReader) pending() bool { return eventEnd(e.buf[e.from:], 0) > 0 }
+// hasBufferedEvent reports whether next can return a complete event without reading from the upstream.
+func (e *eventReader) hasBufferedEvent() bool { return eventLength(e.buf[e.start:], 0) > 0 }
 
-// fill reads once, and gives by how much the bytes moved forward.
+// fill reads once into buf, growing it if it is full. It returns by how many bytes it moved the buffered data
+// forward.
 func (e *eventReader) fill() (shift int, err error) {
-	if e.from > 0 {
-		shift = e.from
-		e.buf = e.buf[:copy(e.buf, e.buf[e.from:])]
-		e.from = 0
+	if e.start > 0 {
+		shift = e.start
+		e.buf = e.buf[:copy(e.buf, e.buf[e.start:])]
+		e.start = 0
 	}
 	if len(e.buf) == cap(e.buf) {
-		if len(e.buf) >= maxEvent {
+		if len(e.buf) >= maxEventBytes {
 			return shift, errEventTooLong
 		}
 		grown := make([]byte, len(e.buf), 2*cap(e.buf))
@@ -89,9 +91,9 @@
 	return shift, err
 }
 
-// eventEnd gives the length of the first event of b, its empty line included; 0 if it isn't whole. The
-// search begins at from.
-func eventEnd(b []byte, from int) int {
+// eventLength returns the length of the first event of b, including its empty line, or 0 if the event is incomplete.
+// The search begins at from.
+func eventLength(b []byte, from int) int {
 	for i := max(0, from); i < len(b); i++ {
 		if b[i] != '\n' {
 			continue
@@ -106,7 +108,7 @@
 	return 0
 }
 
-// eventID gives the event's id where it is a number.
+// eventID returns the event's id and reports whether it has one that is a number.
 func eventID(raw []byte) (int64, bool) {
 	for len(raw) > 0 {
 		line := raw
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// FuzzEvents: whatever an upstream sends and however it comes in pieces, whole streams are passed on byte for
-// byte, and of a stream that breaks off only whole events.
+// FuzzEvents checks that a stream that ends regularly is passed on byte for byte, and that only complete events are
+// passed on of a stream that breaks off, whatever an upstream sends and in whichever pieces it arrives.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), false)
 	f.Add([]byte("id: 1\r\ndata: a\r\n\r\nid: 2\r\n\r\n"), true)
@@ -27,8 +27,8 @@
 		for err == nil {
 			var next event
 			if next, err = e.next(); err == nil {
-				if broken && eventEnd(next.raw, 0) != len(next.raw) {
-					t.Fatalf("%q is no whole event", next.raw)
+				if broken && eventLength(next.raw, 0) != len(next.raw) {
+					t.Fatalf("%q is not a complete event", next.raw)
 				}
 				out = append(out, next.raw...)
 			}
--- a/internal/gateway/failure.go
+++ b/internal/gateway/failure.go
@@ -12,19 +12,20 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// failure is the end of one send.
+// failure describes a send that failed.
 type failure struct {
-	outcome Outcome
-	ran     fault.Run
+	outcome Outcome   // for the grant
+	ran     fault.Run // whether this send may have run
 	cause   error
-	atFault fleet.UpstreamID // where it isn't the upstream that was sent to
+	atFault fleet.UpstreamID // empty: the upstream that the request was sent to
 }
 
-// unplaced turns a refusal of the placer into the caller's answer. What ran before stays run.
-func (l *life) unplaced(err error) *fault.Error {
+// placementFault returns the caller's answer to a refusal by the placer. If an earlier send may have run, the answer
+// keeps that run outcome.
+func (l *lifecycle) placementFault(err error) *fault.Error {
 	f := fault.From(err)
 	if l.ctx.Err() != nil && f.Kind != fault.Infeasible {
-		return l.timeUp()
+		return l.timeoutFault()
 	}
 	if l.ran == fault.RunNo {
 		return f
@@ -32,8 +33,8 @@
 	return fault.NewWithRun(fault.UpstreamFailed, l.ran, "no other upstream: %v", f)
 }
 
-// timeUp is the answer when the caller went away or the request's time ran out.
-func (l *life) timeUp() *fault.Error {
+// timeoutFault returns the answer for a request whose caller went away or whose time ran out.
+func (l *lifecycle) timeoutFault() *fault.Error {
 	if errors.Is(context.Cause(l.ctx), errCallerGone) {
 		return fault.NewWithRun(fault.CallerGone, l.ran, "caller closed its connection")
 	}
@@ -43,80 +44,84 @@
 	return fault.NewWithRun(fault.DeadlineExceeded, l.ran, "time ran out")
 }
 
-func (l *life) refusal(k fault.Kind, format string, args ...any) *fault.Error {
+// refusal returns a fault of kind k, or UpstreamFailed if an earlier send may have run.
+func (l *lifecycle) refusal(k fault.Kind, format string, args ...any) *fault.Error {
 	if l.ran == fault.RunNo {
 		return fault.New(k, format, args...)
 	}
 	return fault.NewWithRun(fault.UpstreamFailed, l.ran, format, args...)
 }
 
-// over tells whether the caller went away or the request's time is over. The connection's own deadline can
-// wake a read just before the context's does; the caller is told the same in both cases.
-func (l *life) over() bool {
-	return l.ctx.Err() != nil || time.Until(l.r.deadline) < leastLeft
+// ended reports whether the caller went away or the request's time ran out. The connection's own deadline can end a
+// read just before the context's deadline does; both cases get the same answer.
+func (l *lifecycle) ended() bool {
+	return l.ctx.Err() != nil || time.Until(l.r.deadline) < minTimeLeft
 }
 
-// blame tells an upstream that failed from a caller that left and from one whose answer is overdue: the read of an
-// exchange that was ended looks the same in each case.
-func (l *life) blame(f *failure) {
+// classify corrects the failure of a send that ended for another reason than the upstream's: the caller went away,
+// the request's time ran out, or the watchdog expired. A read of an exchange that was ended fails in the same way in
+// each case.
+func (l *lifecycle) classify(f *failure) {
 	switch {
-	case l.over():
+	case l.ended():
 		f.outcome = Abandoned
-	case l.overdue():
+	case l.watchdogExpired():
 		f.cause = errOverdue
 	}
 }
 
-// drop ends the exchange and the grant after a failure.
-func (l *life) drop(f *failure) {
-	if l.x != nil {
+// closeExchange closes the exchange and releases the grant after a failure.
+func (l *lifecycle) closeExchange(f *failure) {
+	if l.exchange != nil {
 		if l.answer.NotRun {
-			// The rejection's body is short; reading it keeps the connection.
-			_, _ = io.Copy(io.Discard, io.LimitReader(l.x, 64<<10))
+			// The body of a rejection is short. Reading it allows the connection to be used again.
+			_, _ = io.Copy(io.Discard, io.LimitReader(l.exchange, 64<<10))
 		}
-		l.x.Close()
-		l.x = nil
+		l.exchange.Close()
+		l.exchange = nil
 	}
-	l.end(f)
+	l.releaseFailed(f)
 }
 
-// end gives the grant back.
-func (l *life) end(f *failure) {
-	l.finish(f.outcome, f.atFault)
+// releaseFailed releases the grant after a failure and records whether the request may have run.
+func (l *lifecycle) releaseFailed(f *failure) {
+	l.releaseGrant(f.outcome, f.atFault)
 	if f.ran != fault.RunNo {
 		l.ran = max(l.ran, f.ran)
 	}
 }
 
-// after decides whether the request goes to another upstream.
-func (l *life) after(f *failure) bool {
+// decideRetry reports whether the request is sent to another upstream, and logs the decision. A retry excludes the
+// upstream at fault.
+func (l *lifecycle) decideRetry(f *failure) bool {
 	u := l.grant.Upstream()
-	again, why := l.mayRepeat(f)
+	retry, why := l.canRetry(f)
 	reason := reasonNoRetry
-	if again {
+	if retry {
 		reason = reasonRetry
 		l.avoid = append(l.avoid, cmp.Or(f.atFault, u.ID))
-		if l.x != nil { // an error answer that is not passed on
-			l.drop(f)
+		if l.exchange != nil { // an error answer that is not passed on
+			l.closeExchange(f)
 		}
 	}
 	l.g.deps.Explain.Record("after_failure", l.r.ID, reason, "upstream", u.ID, "at_fault", f.atFault, "outcome", f.outcome, "ran", f.ran,
 		"why", why, "attempts", l.attempts, "cause", f.cause, "took_ms", time.Since(l.sentAt).Milliseconds())
-	return again
+	return retry
 }
 
-func (l *life) mayRepeat(f *failure) (bool, string) {
+// canRetry reports whether a retry is allowed, and the reason.
+func (l *lifecycle) canRetry(f *failure) (bool, string) {
 	switch {
-	case l.over():
+	case l.ended():
 		return false, "no time or caller left"
-	case errors.Is(f.cause, errBudget):
+	case errors.Is(f.cause, errBudgetSpent):
 		return false, "retry budget is spent"
 	case f.ran != fault.RunNo && !l.r.route.Repeatable():
 		return false, "may have run and must not run twice"
 	case l.attempts >= l.r.route.Attempts:
-		return false, "attempts are used up"
-	case l.arrivals >= l.r.route.Attempts+1:
-		return false, "was sent often enough"
+		return false, "attempt limit reached"
+	case l.sends >= l.r.route.Attempts+1:
+		return false, "send limit reached"
 	case !l.g.deps.RetryBudget.Allows(l.r.service):
 		return false, "retry budget is spent"
 	default:
@@ -124,15 +129,15 @@
 	}
 }
 
-// verdict is what the caller is told after the last failure. A sealed error answer that is still open is
-// passed on as the upstream's own.
-func (l *life) verdict(f *failure) *fault.Error {
-	if l.x != nil {
+// finalFault returns the caller's answer after the last failure. It returns nil if an error answer is still open,
+// which is then passed on as the upstream's own.
+func (l *lifecycle) finalFault(f *failure) *fault.Error {
+	if l.exchange != nil {
 		return nil
 	}
 	switch {
-	case l.over():
-		return l.timeUp()
+	case l.ended():
+		return l.timeoutFault()
 	case l.ran == fault.RunNo:
 		return fault.New(fault.UpstreamBusy, "%v", f.cause)
 	default:
@@ -140,7 +145,7 @@
 	}
 }
 
-// retryAfter writes a wait in seconds, with fractions.
-func retryAfter(d time.Duration) string {
+// formatRetryAfter formats a delay in seconds, with fractions.
+func formatRetryAfter(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 2, 64)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway forwards routed requests: host and path select a route, the route a service, and one of
-// the service's upstreams gets the request byte for byte. It serves callers, decides what a failure means
-// for them, and never says "not run" of what may have run.
+// Package gateway forwards routed requests. Host and path select a route, the route selects a service, and one of
+// the service's upstreams receives the request byte for byte. The gateway serves callers, decides how to handle
+// failures, and never reports "not run" for a request that may have run.
 package gateway
 
 import (
@@ -13,117 +13,121 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Meta is what a request's head says of it.
+// Meta is what the head of a caller's request states.
 type Meta struct {
 	ID              string
-	APIKey          string        // the caller's key; empty: none shown
-	Timeout         time.Duration // how long the caller waits, if Timed
+	APIKey          string        // empty: none given
+	Timeout         time.Duration // how long the caller waits; valid if HasTimeout is set
 	HasTimeout      bool
-	PromptTokens    int    // tokens of the prompt; 0: not a prompt, or not said
-	MaxOutputTokens int    // most tokens of the answer
-	LastEventID     string // a stream goes on after this event; empty: from its start
-	VersionRequired bool   // only upstreams with a version that the caller names answer it; others say Other
+	PromptTokens    int    // length of the prompt in tokens; 0: no prompt, or length not stated
+	MaxOutputTokens int    // maximum length of the answer in tokens
+	LastEventID     string // id of the event after which the stream resumes; empty: it begins at its start
+	VersionRequired bool   // only upstreams with the version that the caller names answer; others report OtherUpstream
 }
 
-// Send is what the system tells an upstream with a request.
+// DispatchMeta is what the gateway states to an upstream along with a request.
 type DispatchMeta struct {
 	Upstream    fleet.UpstreamID
-	TimeLeft    time.Duration // time left for the request
+	TimeLeft    time.Duration // until the request's deadline
 	Workspace   fleet.WorkspaceID
-	Urgency     int      // 0 is the most urgent; below 0: not said
-	Helpers     []Helper // engines that read parts of the prompt; those that hold its memory come first
-	LastEventID string   // the stream goes on after this event
+	Urgency     int      // 0 is the most urgent; below 0: not stated
+	Helpers     []Helper // engines that prefill parts of the prompt; those with a reservation come first
+	LastEventID string   // id of the event after which the stream resumes
 }
 
-// Answer is what the head of an upstream's answer says, apart from its status.
+// Answer is what the head of an upstream's answer states, apart from its status.
 type Answer struct {
-	Sealed             bool          // the answer is marked as an upstream's own
+	Sealed             bool          // marked as an upstream's own answer
 	NotRun             bool          // the upstream did not run the request and will not
-	OtherUpstream      bool          // it isn't the upstream asked for: another one has the address now, or the request is Versioned
-	AtFault            string        // the address of the upstream at fault, which may be a helper; empty: not said
-	UnexpectedEncoding bool          // the body has an encoding that nobody asked for: it isn't the upstream's
-	Leaving            bool          // the upstream leaves: it is to get no new work
-	HoldOff            time.Duration // with a refusal: the upstream wants nothing from this instance for so long; 0: not said
-	HasLimit           bool          // Limit says something
-	Limit              float64       // requests a second that the upstream takes from all instances together
-	HeaderError        error         // names a header that can't be read: what it says isn't known
+	OtherUpstream      bool          // another upstream than the one asked answered, or one without the required version
+	AtFault            string        // address of the upstream at fault, which may be a helper; empty: not stated
+	UnexpectedEncoding bool          // the body has a content encoding that was not requested, so it isn't the upstream's
+	Leaving            bool          // the upstream is leaving and accepts no new work
+	HoldOff            time.Duration // with a refusal: how long the upstream accepts nothing from this instance; 0: not stated
+	HasLimit           bool          // whether Limit is valid
+	Limit              float64       // requests a second that the upstream accepts from all instances together
+	HeaderError        error         // names a header that can't be parsed; its value is unknown
 }
 
-// Answered takes what the head of an upstream's answer says of it, and when the answered request was sent; zero: it isn't
-// known.
+// AnswerObserver processes what the head of an upstream's answer states about the upstream. sent is when the
+// answered request was sent; zero means unknown.
 type AnswerObserver func(u *catalog.Upstream, a Answer, sent time.Time)
 
-// Dialect reads and writes heads in the words of the wire.
+// Dialect parses and writes heads of requests and answers in the header names of the wire.
 type Dialect interface {
-	// ReadRequest reads a caller's head. An error names the header and value at fault.
+	// ReadRequest parses the head of a caller's request. An error names the header and value that caused it.
 	ReadRequest(h *fasthttp.RequestHeader) (Meta, error)
-	// WriteRequest replaces what only the system says in a copy of the caller's head.
+	// WriteRequest replaces the headers that only the gateway sets in a copy of the caller's head.
 	WriteRequest(h *fasthttp.RequestHeader, s DispatchMeta)
-	// Own tells whether an answer belongs to the request with that id.
+	// MatchesRequest reports whether an answer belongs to the request with that id.
 	MatchesRequest(h *fasthttp.ResponseHeader, id string) bool
+	// ReadAnswer parses the head of an upstream's answer.
 	ReadAnswer(h *fasthttp.ResponseHeader) Answer
-	// WriteRefusal marks an answer of the system's own with the request's id.
+	// WriteRefusal marks an answer by the gateway itself with the request's id.
 	WriteRefusal(h *fasthttp.ResponseHeader, id string)
 }
 
-// Ask is a request for a place on one of a service's upstreams.
+// PlacementRequest asks a Placer for a grant on one of a service's upstreams.
 type PlacementRequest struct {
 	ID                fleet.RequestID
 	Service           catalog.ServiceName
 	Kind              catalog.Kind
 	Workspace         fleet.WorkspaceID
 	Priority          int
-	PromptTokens      int           // tokens
-	MaxOutputTokens   int           // most tokens of the answer
-	Resumed           bool          // a stream that broke off goes on: its times count from its last event
-	Waited            time.Duration // since its arrival
-	HasTarget         bool          // Aim says something
-	TargetLeft        time.Duration // left to the answer that earns full credit; may be below zero
-	MaxGap            time.Duration // longest pause between the answer's events
-	TimeLeft          time.Duration // left in all
-	FirstEventTimeout time.Duration // left until the caller gives up without a first event
-	Attempt           int           // 1 for the first
-	Avoid             []fleet.UpstreamID
+	PromptTokens      int                // length of the prompt in tokens
+	MaxOutputTokens   int                // maximum length of the answer in tokens
+	Resumed           bool               // the stream continues one that broke off
+	Waited            time.Duration      // since the arrival, or since the last event of a stream that this instance resumes
+	HasTarget         bool               // whether TargetLeft is valid
+	TargetLeft        time.Duration      // until the latest time that earns full credit; may be negative
+	MaxGap            time.Duration      // longest pause between two events of the answer that is in time
+	TimeLeft          time.Duration      // until the request's deadline
+	FirstEventTimeout time.Duration      // until the caller gives up without a first event
+	Attempt           int                // 1 for the first attempt
+	Avoid             []fleet.UpstreamID // upstreams that are excluded
 }
 
-// Grant is a place on an upstream. Exactly one Done ends it.
+// Grant is the permission to send one request to one upstream. Each grant ends with exactly one call of Release.
 type Grant interface {
+	// Upstream returns the upstream to send to.
 	Upstream() *catalog.Upstream
-	// Holders hold memory of a prompt that is over the upstream's own; it must be reserved before the send.
+	// Reservations returns the memory to reserve on other engines before the send, for a prompt that exceeds the
+	// upstream's own memory.
 	Reservations() []Reservation
-	// Helpers are addresses of engines that read parts of the prompt beside the upstream and the holders.
+	// Helpers returns the addresses of engines that prefill parts of the prompt, in addition to the upstream and the
+	// engines with reservations.
 	Helpers() []string
-	// Reason says in a word why this upstream.
+	// Reason returns a one-word reason for the choice of the upstream.
 	Reason() string
-	// Overdue is how long after the grant an answer, or its first event, is overdue; 0: nobody knows.
+	// AnswerTimeout returns how long after the grant an answer, or its first event, is overdue; 0 if unknown.
 	AnswerTimeout() time.Duration
-	// Began tells that the answer, or its first event, came.
+	// RecordFirstEvent records that the answer, or its first event, arrived.
 	RecordFirstEvent()
-	// Done ends the place. atFault is the upstream to blame where it isn't this one.
+	// Release ends the grant. atFault is the upstream that caused a failure if it isn't the granted one.
 	Release(o Outcome, atFault fleet.UpstreamID)
 }
 
-// Outcome is how a grant's use ended.
+// Outcome is how the use of a grant ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Served      Outcome = iota // answered whole
-	NotSent                    // nothing was sent, and the upstream is not to blame
+	Served      Outcome = iota // answered completely
+	NotSent                    // nothing was sent, and the upstream is not at fault
 	Unreachable                // no connection to the upstream
-	Rejected                   // the upstream said that it did not run it
-	Failed                     // an error answer, a cut or silence
+	Rejected                   // the upstream reported that it did not run the request
+	Failed                     // an error answer, a broken connection or silence
 	Abandoned                  // the caller went away or the time ran out
-	Replaced                   // another upstream has its address, or it has another version than the caller asks for
+	Replaced                   // another upstream has the address, or the version is not the required one
 )
 
-// String gives the outcome as it stands in log lines.
+// String returns the outcome as it appears in log lines.
 func (o Outcome) String() string {
 	return [...]string{"served", "unsent", "unreachable", "rejected", "failed", "left", "replaced"}[o]
 }
 
-// Placer gives places. Place blocks while the request waits; it gives a *fault.Error with "not run" and a
-// Retry-After the moment the request is given up on.
+// Placer grants upstreams to requests. Place blocks while the request waits. It returns a *fault.Error with RunNo
+// and a retry delay as soon as the request is given up.
 type Placer interface {
 	Place(ctx context.Context, a PlacementRequest) (Grant, error)
 }
--- /dev/null
+++ b/internal/gateway/lifecycle.go
@@ -0,0 +1,276 @@
+package gateway
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/damaskshelf/damaskshelf/internal/catalog"
+	"github.com/damaskshelf/damaskshelf/internal/decide"
+	"github.com/damaskshelf/damaskshelf/internal/fault"
+	"github.com/damaskshelf/damaskshelf/internal/fleet"
+	"github.com/damaskshelf/damaskshelf/internal/upstream"
+	"github.com/damaskshelf/damaskshelf/internal/wait"
+)
+
+const (
+	// maxPlainBytes bounds a plain answer, which is buffered until it is complete.
+	maxPlainBytes = 16 << 20
+	// maxUnusableGrants bounds how many grants in a row are released without a send because they turn out to be
+	// unusable.
+	maxUnusableGrants = 8
+	// trustTimeout bounds the wait until the instance is trusted again after a pause. That takes one answer of the
+	// store, or two heartbeats of the dispatcher.
+	trustTimeout      = 250 * time.Millisecond
+	trustPollInterval = 5 * time.Millisecond
+	// minTimeLeft is the least time left with which a request is sent. With less, the answer can't arrive in time.
+	minTimeLeft = 5 * time.Millisecond
+)
+
+// Reasons of the gateway's decision log lines.
+const (
+	reasonServed     decide.Reason = "served"
+	reasonRefused    decide.Reason = "refused"
+	reasonRetry      decide.Reason = "retry"
+	reasonResume     decide.Reason = "resume"
+	reasonNoRetry    decide.Reason = "no_retry"
+	reasonPassedOn   decide.Reason = "passed_on"
+	reasonStreamCut  decide.Reason = "stream_cut"
+	reasonCallerGone decide.Reason = "caller_gone"
+)
+
+// lifecycle handles one request from its arrival to the end of its answer.
+type lifecycle struct {
+	g               *Gateway
+	r               *request
+	ctx             context.Context    // ends with the caller's connection, at the request's deadline or on Abort
+	attempts        int                // upstreams that received the request and did not reject it
+	sends           int                // sends that reached an upstream, including rejected ones
+	avoid           []fleet.UpstreamID // upstreams excluded from further grants
+	grant           Grant              // the current or last one
+	reservations    *reservationSet    // of the current send; nil: none
+	exchange        *upstream.Exchange // of the current send; nil: none is open
+	sentAt          time.Time
+	lastEventAt     time.Time     // when the last event of a stream arrived; zero: none yet
+	firstEventDelay time.Duration // from the request's arrival to the first event; 0: none yet
+	longestPause    time.Duration // between two events
+	answer          Answer        // of the current send
+	watchdog        *watchdog     // of the current send; nil: none was started
+	ran             fault.Run     // whether any send may have run
+}
+
+// dispatch sends the request to upstreams until one answers, and leaves the exchange in l.exchange with its head
+// read. Otherwise it returns the fault for the caller. lastEventID is the event after which a stream resumes.
+func (l *lifecycle) dispatch(lastEventID string) *fault.Error {
+	for unusableGrants := 0; ; {
+		if !l.awaitTrust() {
+			return l.refusal(fault.StaleInstance, "this instance was paused and is catching up")
+		}
+		grant, err := l.g.deps.Placer.Place(l.ctx, l.r.placementRequest(time.Now(), l.lastEventAt, l.attempts+1, l.avoid))
+		if err != nil {
+			return l.placementFault(err)
+		}
+		l.grant = grant
+		unusable := l.unusableReason(grant.Upstream())
+		if reason := cmp.Or(unusable, l.unfitReason()); reason != "" {
+			grant.Release(NotSent, "")
+			if unusable != "" { // the dispatcher may learn of it later, and would grant the same upstream again
+				l.avoid = append(l.avoid, grant.Upstream().ID)
+			}
+			if unusableGrants++; unusableGrants > maxUnusableGrants || l.ctx.Err() != nil {
+				return l.refusal(fault.NoUpstream, "place is not usable: %s", reason)
+			}
+			continue
+		}
+		f := l.send(lastEventID)
+		if f == nil {
+			return nil
+		}
+		if retry := l.decideRetry(f); !retry {
+			return l.finalFault(f)
+		}
+	}
+}
+
+// awaitTrust waits until the instance is trusted again after a pause of the process. It returns false if that takes
+// too long. Requests that arrive during a pause are all read when it ends, and confirming the instance's state takes
+// one or two round trips.
+func (l *lifecycle) awaitTrust() bool {
+	for end := time.Now().Add(trustTimeout); l.g.deps.Untrusted(); {
+		if time.Now().After(end) || !wait.For(l.ctx, trustPollInterval) {
+			return false
+		}
+	}
+	return true
+}
+
+// unusableReason returns why the upstream must not be used now according to the newest snapshot, or "". The grant
+// may be based on an older one.
+func (l *lifecycle) unusableReason(u *catalog.Upstream) string {
+	snap := l.g.deps.Snapshot()
+	current := snap.Upstream(u.ID)
+	switch {
+	case current == nil:
+		return "upstream is gone"
+	case current.Leaving:
+		return "upstream is leaving"
+	case snap.Out[current.Domain]:
+		return "failure domain is out"
+	case l.g.deps.HeldOff(current):
+		return "upstream wants nothing from here for now"
+	case current.Service != l.r.service:
+		return "upstream serves another service"
+	default:
+		return ""
+	}
+}
+
+// unfitReason returns why this instance must not send the request to any upstream now, or "".
+func (l *lifecycle) unfitReason() string {
+	switch {
+	case l.g.deps.Untrusted():
+		return "this instance was paused meanwhile"
+	case time.Until(l.r.deadline) < minTimeLeft:
+		return "no time left"
+	default:
+		return ""
+	}
+}
+
+// send sends the request to the granted upstream once. It returns nil if l.exchange holds an answer to pass on.
+func (l *lifecycle) send(lastEventID string) *failure {
+	u := l.grant.Upstream()
+	if l.sends > 0 && !l.g.deps.RetryBudget.Take(l.r.service) {
+		l.grant.Release(NotSent, "")
+		return &failure{outcome: NotSent, ran: fault.RunNo, cause: errBudgetSpent}
+	}
+	helpers, f := l.reserveMemory()
+	if f != nil {
+		return f
+	}
+	head := &fasthttp.RequestHeader{}
+	l.r.head.CopyTo(head)
+	head.SetNoDefaultContentType(true)
+	l.sentAt = time.Now()
+	if l.sends == 0 {
+		l.g.observeWait(l.r, l.sentAt.Sub(l.r.arrived))
+	}
+	l.g.deps.Dialect.WriteRequest(head, l.r.dispatchMeta(u, helpers, l.r.deadline.Sub(l.sentAt), lastEventID))
+	l.g.deps.Explain.Record("dispatch", l.r.ID, decide.Reason(l.grant.Reason()), "upstream", u.ID, "attempt", l.attempts+1, "class", l.r.class(), "prompt", l.r.PromptTokens,
+		"helpers", len(helpers), "holders", len(l.grant.Reservations()), "waited_ms", l.sentAt.Sub(l.r.arrived).Milliseconds(), "config", l.r.configVersion,
+		"entry_revision", u.Revision)
+	x, err := l.g.deps.Client.Forward(l.startWatchdog(), upstream.ForwardRequest{
+		Addr: u.Addr, Head: head, Body: l.r.body, NewConnection: l.r.route.Kind == catalog.NonIdempotent,
+		MatchesRequest: l.matchesRequest,
+	})
+	if err != nil {
+		return l.handleSendError(err)
+	}
+	l.attempts++
+	l.sends++
+	l.exchange, l.answer = x, l.g.deps.Dialect.ReadAnswer(&x.Head)
+	l.observeAnswer(l.answer, l.sentAt)
+	return l.checkHead()
+}
+
+// observeAnswer processes what an answer states about its upstream. sent is zero if it isn't known which request the
+// answer belongs to.
+func (l *lifecycle) observeAnswer(a Answer, sent time.Time) {
+	u := l.grant.Upstream()
+	if a.OtherUpstream { // the answer is about another upstream
+		return
+	}
+	if a.HeaderError != nil {
+		l.g.log.Warn("answer header can't be parsed", "upstream", u.ID, "request", l.r.ID, "error", a.HeaderError)
+	}
+	if a.HasLimit {
+		l.g.deps.Metrics.Counter("answers_limited").Inc(1)
+	}
+	l.g.deps.ObserveAnswer(u, a, sent)
+}
+
+// matchesRequest reports whether an answer belongs to the request. An answer that doesn't is discarded, after its
+// statements about the upstream are processed.
+func (l *lifecycle) matchesRequest(h *fasthttp.ResponseHeader) bool {
+	if l.g.deps.Dialect.MatchesRequest(h, l.r.ID) {
+		return true
+	}
+	l.observeAnswer(l.g.deps.Dialect.ReadAnswer(h), time.Time{})
+	return false
+}
+
+// releaseGrant releases the grant and the memory reserved for it, and stops the watchdog.
+func (l *lifecycle) releaseGrant(o Outcome, atFault fleet.UpstreamID) {
+	l.stopWatchdog()
+	if l.reservations != nil {
+		l.reservations.release()
+		l.reservations = nil
+	}
+	l.grant.Release(o, atFault)
+}
+
+// handleSendError releases the grant of a send that got no answer. The request has not run if no byte of it was
+// sent.
+func (l *lifecycle) handleSendError(err error) *failure {
+	var ce *upstream.CallError
+	f := &failure{outcome: Failed, ran: fault.RunUnknown, cause: err}
+	if errors.As(err, &ce) && !ce.Sent {
+		f.ran, f.outcome = fault.RunNo, Unreachable
+	} else {
+		l.attempts++
+		l.sends++
+	}
+	l.classify(f)
+	l.releaseFailed(f)
+	return f
+}
+
+// checkHead decides by the head whether an answer is a failure; nil means that it is passed on.
+func (l *lifecycle) checkHead() *failure {
+	status := l.exchange.Head.StatusCode()
+	switch {
+	case l.answer.NotRun:
+		// The upstream reported that it did not run the request. Another one may.
+		l.attempts--
+		f := &failure{outcome: Rejected, ran: fault.RunNo, cause: fmt.Errorf("upstream said not run: status %d", status),
+			atFault: l.helperByAddr(l.answer.AtFault)}
+		if f.atFault != "" {
+			f.outcome = Failed // not for lack of room: the upstream at fault did not do its part
+		}
+		if l.answer.OtherUpstream {
+			f.outcome = Replaced
+		}
+		if l.answer.OtherUpstream && !l.r.VersionRequired {
+			l.g.deps.MarkLeaving(l.grant.Upstream(), "another upstream has its address")
+		}
+		l.closeExchange(f)
+		return f
+	case l.answer.UnexpectedEncoding:
+		f := &failure{outcome: Failed, ran: fault.RunUnknown, cause: errors.New("answer has an unexpected content encoding")}
+		l.closeExchange(f)
+		return f
+	case status >= 500 && l.r.route.Repeatable():
+		f := &failure{outcome: Failed, ran: fault.RunYes, cause: fmt.Errorf("upstream answered %d", status)}
+		return f
+	default:
+		return nil
+	}
+}
+
+// helperByAddr returns the engine of the service at an address that an answer names as at fault. It returns "" if
+// the address is empty, belongs to the granted upstream itself, or is unknown.
+func (l *lifecycle) helperByAddr(addr string) fleet.UpstreamID {
+	if addr == "" || addr == l.grant.Upstream().Addr {
+		return ""
+	}
+	for _, u := range l.g.deps.Snapshot().Upstreams(l.r.service) {
+		if u.Addr == addr {
+			return u.ID
+		}
+	}
+	return ""
+}
--- a/internal/gateway/memory.go
+++ b/internal/gateway/memory.go
@@ -12,152 +12,155 @@
 	"github.com/damaskshelf/damaskshelf/internal/wait"
 )
 
-// ErrNoMemory: the engine has not the memory free.
+// ErrNoMemory reports that the engine has too little free memory.
 var ErrNoMemory = errors.New("engine has no memory free")
 
-// Memory reserves engines' memory.
+// Memory reserves and releases memory of engines.
 type Memory interface {
-	// Reserve reserves tokens under a ticket for hold, counted from the order's arrival; the same ticket again
-	// renews it. ErrNoMemory: nothing is reserved. After any other error it may be, or may yet be seconds later.
+	// Reserve reserves tokens of KV cache under a ticket for the duration hold, counted from the arrival of the call
+	// at the engine. Repeating it with the same ticket renews the reservation. ErrNoMemory means that nothing is
+	// reserved. After any other error the memory may be reserved, even seconds later.
 	Reserve(ctx context.Context, u *catalog.Upstream, ticket string, tokens int, hold time.Duration) error
 	// Release ends a reservation.
 	Release(ctx context.Context, u *catalog.Upstream, ticket string) error
 }
 
 const (
-	// hold is how long a reservation lasts without renewal. An engine may carry a late order out seconds after
-	// it was released, and an instance may die before it releases: what nobody renews ends by itself within
-	// the four seconds that users allow memory to be set aside for nobody.
-	hold = 3500 * time.Millisecond
-	// renewEvery leaves two more attempts before the hold is over.
-	renewEvery = time.Second
-	// reserveTime bounds the reservations of one request; the caller waits meanwhile.
-	reserveTime = 600 * time.Millisecond
-	// releaseFor is how long a release is tried: after it the hold is over.
-	releaseFor = hold
-	// orderPause is the pause between attempts at an order.
-	orderPause = 50 * time.Millisecond
+	// reservationTTL is how long a reservation lasts without renewal. An engine may process a delayed call seconds
+	// after the release, and an instance may stop before it releases. A reservation that is not renewed therefore
+	// expires within the four seconds for which users accept unused reserved memory.
+	reservationTTL = 3500 * time.Millisecond
+	// renewInterval leaves time for two more attempts before the reservation expires.
+	renewInterval = time.Second
+	// reserveTimeout bounds the reservations of one request, as the caller waits for them.
+	reserveTimeout = 600 * time.Millisecond
+	// releaseTimeout is how long a release is retried. After it the reservation has expired.
+	releaseTimeout = reservationTTL
+	// callRetryInterval is the delay between attempts of a call to an engine.
+	callRetryInterval = 50 * time.Millisecond
 )
 
-// Holder is an engine that holds part of a prompt's memory.
+// Reservation is memory that an engine holds for part of a prompt.
 type Reservation struct {
 	Upstream *catalog.Upstream
-	Tokens   int
+	Tokens   int // of KV cache
 }
 
-// Helper is an engine that reads part of a prompt, and holds memory for it where it has a ticket.
+// Helper is an engine that prefills part of a prompt. It has a ticket if it also holds memory for that part.
 type Helper struct {
 	Addr   string // IP:port
-	Ticket string
+	Ticket string // of the reservation; empty: none
 }
 
-// reservations are the memory of one request on engines that hold it.
-type reservations struct {
-	memory  Memory
-	holders []Reservation
-	tickets []string
-	stop    context.CancelFunc
-	done    sync.WaitGroup
-	log     func(what string, h Reservation, err error)
+// reservationSet holds the reservations of one send and renews them until they are released.
+type reservationSet struct {
+	memory       Memory
+	items        []Reservation
+	tickets      []string // one for each of items
+	stopRenewals context.CancelFunc
+	renewals     sync.WaitGroup // goroutines that renew
+	log          func(what string, h Reservation, err error)
 }
 
-// reserve reserves all holders' memory, or none. name must be unique to the send.
-func reserve(ctx context.Context, m Memory, name string, holders []Reservation, log func(string, Reservation, error)) (*reservations, error) {
-	r := &reservations{memory: m, holders: holders, log: log, stop: func() {}}
-	for i := range holders {
+// reserveAll makes all reservations or none, and starts their renewal. name must be unique to the send.
+func reserveAll(ctx context.Context, m Memory, name string, items []Reservation, log func(string, Reservation, error)) (*reservationSet, error) {
+	r := &reservationSet{memory: m, items: items, log: log, stopRenewals: func() {}}
+	for i := range items {
 		r.tickets = append(r.tickets, fmt.Sprintf("%s-%d", name, i))
 	}
-	limit, cancel := context.WithTimeout(ctx, reserveTime)
+	reserveCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	errs := make([]error, len(holders))
-	var all sync.WaitGroup
-	for i := range holders {
-		all.Go(func() { errs[i] = r.reserveOne(limit, i) })
+	errs := make([]error, len(items))
+	var calls sync.WaitGroup
+	for i := range items {
+		calls.Go(func() { errs[i] = r.reserveOne(reserveCtx, i) })
 	}
-	all.Wait()
+	calls.Wait()
 	if err := errors.Join(errs...); err != nil {
 		r.release()
 		return nil, err
 	}
-	work, stop := context.WithCancel(context.Background())
-	r.stop = stop
-	for i := range holders {
-		r.done.Go(func() { r.renew(work, i) })
+	renewCtx, stop := context.WithCancel(context.Background())
+	r.stopRenewals = stop
+	for i := range items {
+		r.renewals.Go(func() { r.renew(renewCtx, i) })
 	}
 	return r, nil
 }
 
-// reserveOne tries until the engine says yes or no. Sending the same ticket again is safe.
-func (r *reservations) reserveOne(ctx context.Context, i int) error {
-	h := r.holders[i]
+// reserveOne retries until the engine accepts or refuses. Repeating a call with the same ticket is safe.
+func (r *reservationSet) reserveOne(ctx context.Context, i int) error {
+	h := r.items[i]
 	for {
-		err := r.memory.Reserve(ctx, h.Upstream, r.tickets[i], h.Tokens, hold)
+		err := r.memory.Reserve(ctx, h.Upstream, r.tickets[i], h.Tokens, reservationTTL)
 		if err == nil || errors.Is(err, ErrNoMemory) {
 			return err
 		}
-		if !wait.For(ctx, orderPause) {
+		if !wait.For(ctx, callRetryInterval) {
 			return err
 		}
 	}
 }
 
-// renew keeps one reservation up until ctx ends. A failed renewal is tried again at once: the request that
-// uses the memory is cut off when the hold is over.
-func (r *reservations) renew(ctx context.Context, i int) {
-	h := r.holders[i]
-	pause := renewEvery
+// renew renews one reservation until ctx ends. A failed renewal is retried after callRetryInterval, because an
+// expired reservation breaks off the request that uses the memory.
+func (r *reservationSet) renew(ctx context.Context, i int) {
+	h := r.items[i]
+	pause := renewInterval
 	for wait.For(ctx, pause) {
-		pause = renewEvery
-		if err := r.memory.Reserve(ctx, h.Upstream, r.tickets[i], h.Tokens, hold); err != nil && ctx.Err() == nil {
+		pause = renewInterval
+		if err := r.memory.Reserve(ctx, h.Upstream, r.tickets[i], h.Tokens, reservationTTL); err != nil && ctx.Err() == nil {
 			r.log("renewal failed", h, err)
-			pause = orderPause
+			pause = callRetryInterval
 		}
 	}
 }
 
-// release ends the renewals and releases every reservation, in the background: the caller has its answer.
-// A renewal that is under way ends first, so that it isn't carried out after the release.
-func (r *reservations) release() {
-	r.stop()
+// release stops the renewals and releases every reservation in the background, as the caller already has its answer.
+// It waits for a renewal in flight first, so that the engine doesn't process it after the release.
+func (r *reservationSet) release() {
+	r.stopRenewals()
 	go func() {
-		r.done.Wait()
-		ctx, cancel := context.WithTimeout(context.Background(), releaseFor)
+		r.renewals.Wait()
+		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
-		var all sync.WaitGroup
-		for i := range r.holders {
-			all.Go(func() { r.releaseOne(ctx, i) })
+		var calls sync.WaitGroup
+		for i := range r.items {
+			calls.Go(func() { r.releaseOne(ctx, i) })
 		}
-		all.Wait()
+		calls.Wait()
 	}()
 }
 
-func (r *reservations) releaseOne(ctx context.Context, i int) {
+// releaseOne retries the release of one reservation until it succeeds or ctx ends.
+func (r *reservationSet) releaseOne(ctx context.Context, i int) {
 	for {
-		err := r.memory.Release(ctx, r.holders[i].Upstream, r.tickets[i])
+		err := r.memory.Release(ctx, r.items[i].Upstream, r.tickets[i])
 		if err == nil {
 			return
 		}
-		if !wait.For(ctx, orderPause) {
-			r.log("release failed: the hold ends by itself", r.holders[i], err)
+		if !wait.For(ctx, callRetryInterval) {
+			r.log("release failed; the reservation expires by itself", r.items[i], err)
 			return
 		}
 	}
 }
 
-// reserve reserves the memory that the grant asks for on other engines, and gives all helpers of the send.
-func (l *life) reserve() ([]Helper, *failure) {
+// reserveMemory makes the grant's reservations on other engines and returns all helpers of the send. If it fails, it
+// releases the grant and returns the failure.
+func (l *lifecycle) reserveMemory() ([]Helper, *failure) {
 	var helpers []Helper
-	if holders := l.grant.Reservations(); len(holders) > 0 {
-		name := fmt.Sprintf("%s-%d-%d", l.r.ID, l.arrivals, time.Now().UnixMilli()%reservationNames)
-		held, err := reserve(l.ctx, l.g.deps.Memory, name, holders, l.logOrder)
+	if reservations := l.grant.Reservations(); len(reservations) > 0 {
+		name := fmt.Sprintf("%s-%d-%d", l.r.ID, l.sends, time.Now().UnixMilli()%ticketSuffixes)
+		set, err := reserveAll(l.ctx, l.g.deps.Memory, name, reservations, l.logReservation)
 		if err != nil {
 			f := &failure{outcome: Rejected, ran: fault.RunNo, cause: fmt.Errorf("reserve memory: %w", err)}
-			l.end(f)
+			l.releaseFailed(f)
 			return nil, f
 		}
-		l.held = held
-		for i, h := range holders {
-			helpers = append(helpers, Helper{Addr: h.Upstream.Addr, Ticket: held.tickets[i]})
+		l.reservations = set
+		for i, h := range reservations {
+			helpers = append(helpers, Helper{Addr: h.Upstream.Addr, Ticket: set.tickets[i]})
 		}
 	}
 	for _, addr := range l.grant.Helpers() {
@@ -166,9 +169,10 @@
 	return helpers, nil
 }
 
-// reservationNames bounds the number that tells a request's reservations apart.
-const reservationNames = 1_000_000
+// ticketSuffixes bounds the numeric suffix that distinguishes the tickets of sends with the same request id and
+// count.
+const ticketSuffixes = 1_000_000
 
-func (l *life) logOrder(what string, h Reservation, err error) {
+func (l *lifecycle) logReservation(what string, h Reservation, err error) {
 	l.g.log.Warn(what, "request", l.r.ID, "upstream", h.Upstream.ID, "tokens", h.Tokens, "error", err)
 }
--- a/internal/gateway/memory_test.go
+++ b/internal/gateway/memory_test.go
@@ -15,36 +15,37 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// lateMemory is engines' memory whose orders may go unanswered and be carried out late, in virtual time.
-type lateMemory struct {
+// delayedMemory simulates the memory of engines. Calls may get no answer and may be processed late, in virtual time.
+type delayedMemory struct {
 	mu     sync.Mutex
-	held   map[string]time.Time // guarded by mu: when a reservation ends by itself
-	faults func() orderFault    // drawn for each order
+	held   map[string]time.Time // guarded by mu: when each reservation expires
+	faults func() callFault     // drawn for each call
 }
 
-// orderFault is what becomes of one order.
-type orderFault struct {
-	lost    bool          // never carried out
-	silent  bool          // its answer is lost
-	late    time.Duration // carried out so much later
-	refused bool
+// callFault is the fault that one call meets.
+type callFault struct {
+	lost       bool          // never processed
+	answerLost bool          // processed, but its answer is lost
+	delay      time.Duration // processed that much later
+	refused    bool
 }
 
 var errNoAnswer = errors.New("no answer")
 
-func (l *lateMemory) order(ctx context.Context, do func()) error {
+// call applies do unless the call is refused or lost, with the delay that its fault states.
+func (l *delayedMemory) call(ctx context.Context, do func()) error {
 	f := l.faults()
 	if f.refused {
 		return ErrNoMemory
 	}
 	if !f.lost {
-		time.AfterFunc(f.late, func() {
+		time.AfterFunc(f.delay, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			do()
 		})
 	}
-	if f.lost || f.silent || f.late > 0 {
+	if f.lost || f.answerLost || f.delay > 0 {
 		select {
 		case <-time.After(100 * time.Millisecond):
 		case <-ctx.Done():
@@ -54,15 +55,16 @@
 	return nil
 }
 
-func (l *lateMemory) Reserve(ctx context.Context, u *catalog.Upstream, ticket string, _ int, hold time.Duration) error {
-	return l.order(ctx, func() { l.held[string(u.ID)+ticket] = time.Now().Add(hold) })
+func (l *delayedMemory) Reserve(ctx context.Context, u *catalog.Upstream, ticket string, _ int, hold time.Duration) error {
+	return l.call(ctx, func() { l.held[string(u.ID)+ticket] = time.Now().Add(hold) })
 }
 
-func (l *lateMemory) Release(ctx context.Context, u *catalog.Upstream, ticket string) error {
-	return l.order(ctx, func() { delete(l.held, string(u.ID)+ticket) })
+func (l *delayedMemory) Release(ctx context.Context, u *catalog.Upstream, ticket string) error {
+	return l.call(ctx, func() { delete(l.held, string(u.ID)+ticket) })
 }
 
-func (l *lateMemory) heldNow() int {
+// countHeld returns the number of reservations that have not expired.
+func (l *delayedMemory) countHeld() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -74,73 +76,73 @@
 	return n
 }
 
-// An engine's memory is set aside for nobody, and prompts find no room for good: orders went unanswered, were
-// carried out seconds later, after the release, or the instance gave up in the middle. Whatever happens to the
-// orders, nothing is held four seconds after the last one was carried out.
+// Guards against engine memory that stays reserved without a request and leaves prompts without memory. It comes
+// about when calls get no answer, when engines process them seconds later, after the release, or when the instance
+// gives up halfway. No reservation is left four seconds after the last call was processed.
 func TestReservationsAlwaysEnd(t *testing.T) {
-	const latest = 12 * time.Second // that an order is carried out late
+	const maxDelay = 12 * time.Second // longest delay of a call
 	rapid.Check(t, func(r *rapid.T) {
-		seed := rapid.SliceOfN(rapid.IntRange(0, 9), 64, 64).Draw(r, "faults")
-		lives := time.Duration(rapid.IntRange(0, 9000).Draw(r, "request lasts ms")) * time.Millisecond
+		faultDraws := rapid.SliceOfN(rapid.IntRange(0, 9), 64, 64).Draw(r, "faults")
+		requestTime := time.Duration(rapid.IntRange(0, 9000).Draw(r, "request lasts ms")) * time.Millisecond
 		engines := rapid.IntRange(1, 4).Draw(r, "engines")
 		synctest.Test(t, func(t *testing.T) {
 			var next int
-			m := &lateMemory{held: map[string]time.Time{}}
-			m.faults = func() orderFault {
+			m := &delayedMemory{held: map[string]time.Time{}}
+			m.faults = func() callFault {
 				m.mu.Lock()
 				defer m.mu.Unlock()
 				next++
-				switch seed[next%len(seed)] {
+				switch faultDraws[next%len(faultDraws)] {
 				case 0:
-					return orderFault{lost: true}
+					return callFault{lost: true}
 				case 1:
-					return orderFault{silent: true}
+					return callFault{answerLost: true}
 				case 2:
-					return orderFault{late: time.Duration(1+next%12) * time.Second}
+					return callFault{delay: time.Duration(1+next%12) * time.Second}
 				case 3:
-					return orderFault{refused: next%3 == 0}
+					return callFault{refused: next%3 == 0}
 				default:
-					return orderFault{}
+					return callFault{}
 				}
 			}
-			var holders []Reservation
+			var items []Reservation
 			for i := range engines {
-				holders = append(holders, Reservation{Upstream: &catalog.Upstream{ID: fleet.UpstreamID(fmt.Sprint("e", i))}, Tokens: 1000})
+				items = append(items, Reservation{Upstream: &catalog.Upstream{ID: fleet.UpstreamID(fmt.Sprint("e", i))}, Tokens: 1000})
 			}
-			held, err := reserve(context.Background(), m, "t", holders, func(string, Reservation, error) {})
+			set, err := reserveAll(context.Background(), m, "t", items, func(string, Reservation, error) {})
 			if err == nil {
-				time.Sleep(lives)
-				held.release()
+				time.Sleep(requestTime)
+				set.release()
 			}
-			time.Sleep(latest + 4*time.Second)
+			time.Sleep(maxDelay + 4*time.Second)
 			synctest.Wait()
-			if n := m.heldNow(); n != 0 {
+			if n := m.countHeld(); n != 0 {
 				t.Fatalf("%d reservations are still held", n)
 			}
 		})
 	})
 }
 
-// Engines have no memory for the next prompt although the last one ended: what it held is released, not left to end by
-// itself seconds later.
+// Guards against engines without memory for the next prompt after the previous one ended. Its reservations are
+// released, not left to expire seconds later.
 func TestReleasedMemoryIsFreeAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &lateMemory{held: map[string]time.Time{}, faults: func() orderFault { return orderFault{} }}
-		holders := []Reservation{{Upstream: &catalog.Upstream{ID: "e0"}, Tokens: 1000}, {Upstream: &catalog.Upstream{ID: "e1"}, Tokens: 1000}}
-		held, err := reserve(context.Background(), m, "t", holders, func(string, Reservation, error) {})
+		m := &delayedMemory{held: map[string]time.Time{}, faults: func() callFault { return callFault{} }}
+		items := []Reservation{{Upstream: &catalog.Upstream{ID: "e0"}, Tokens: 1000}, {Upstream: &catalog.Upstream{ID: "e1"}, Tokens: 1000}}
+		set, err := reserveAll(context.Background(), m, "t", items, func(string, Reservation, error) {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		before := m.heldNow()
-		held.release()
-		time.Sleep(orderPause)
+		before := m.countHeld()
+		set.release()
+		time.Sleep(callRetryInterval)
 		synctest.Wait()
-		if n := m.heldNow(); n != 0 {
+		if n := m.countHeld(); n != 0 {
 			t.Fatalf("%d reservations of %d are still held", n, before)
 		}
-		if before != len(holders) {
-			t.Fatalf("%d reservations were held, want %d", before, len(holders))
+		if before != len(items) {
+			t.Fatalf("%d reservations were held, want %d", before, len(items))
 		}
 	})
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	// defaultWait is how long a request may take where neither caller nor route says.
-	defaultWait = 30 * time.Second
-	// Callers give a stream up that stays silent for the longest of these: a fixed time, some times its aim,
-	// some times the longest pause that is still in time. The figures are the platform's, of its callers.
-	patience     = 2 * time.Second
-	patienceAims = 4
-	patienceGaps = 8
+	// defaultTimeout is how long a request may take if neither the caller nor the route specifies it.
+	defaultTimeout = 30 * time.Second
+	// Callers give up a stream that is silent for the longest of these: a fixed time, a multiple of the route's
+	// latency target, and a multiple of the longest pause that is in time. The platform specifies these figures for
+	// its callers.
+	minSilenceTolerance = 2 * time.Second
+	toleranceTargets    = 4
+	toleranceGaps       = 8
 )
 
-// request is one attempt of a caller, read and matched to a route.
+// request is one attempt of a caller, parsed and matched with a route.
 type request struct {
 	Meta
-	route     *catalog.Route
-	service   catalog.ServiceName
-	workspace fleet.WorkspaceID
-	priority  int
-	version   uint64 // of the configuration that it was matched with
-	arrived   time.Time
-	deadline  time.Time // the caller's or the route's, whichever is first
-	method    string
-	head      fasthttp.RequestHeader // a copy without what concerns one connection only
-	body      []byte
+	route         *catalog.Route
+	service       catalog.ServiceName
+	workspace     fleet.WorkspaceID
+	priority      int
+	configVersion uint64    // version of the configuration that the request was matched with
+	arrived       time.Time // when the request was read
+	deadline      time.Time // the caller's or the route's, whichever is earlier
+	method        string
+	head          fasthttp.RequestHeader // copy without the headers that concern one connection only
+	body          []byte
 }
 
 // hopByHop lists the headers that concern one connection only.
@@ -45,9 +46,9 @@
 	fasthttp.HeaderExpect,
 }
 
-// intake reads a request and matches it with the snapshot. The *fault.Error of a request that goes no
-// further says that it did not run.
-func (g *Gateway) intake(ctx *fasthttp.RequestCtx, snap *catalog.Snapshot, arrived time.Time) (*request, *fault.Error) {
+// readRequest parses a request and matches it with the snapshot's configuration. A request that it rejects has not
+// run.
+func (g *Gateway) readRequest(ctx *fasthttp.RequestCtx, snap *catalog.Snapshot, arrived time.Time) (*request, *fault.Error) {
 	r := &request{arrived: arrived, method: string(ctx.Method())}
 	var err error
 	if r.Meta, err = g.deps.Dialect.ReadRequest(&ctx.Request.Header); err != nil {
@@ -57,7 +58,7 @@
 	if cfg == nil {
 		return r, fault.New(fault.NotReady, "no configuration is known yet")
 	}
-	r.version = cfg.Version
+	r.configVersion = cfg.Version
 	r.route = cfg.Route(string(ctx.Host()), string(ctx.Request.Header.RequestURI()))
 	if r.route == nil {
 		return r, fault.New(fault.NotFound, "no route for host %q and path %q", ctx.Host(), ctx.Path())
@@ -74,25 +75,25 @@
 		}
 	}
 	r.service = r.route.Pick(rand.Float64())
-	r.deadline = r.latest()
+	r.deadline = r.computeDeadline()
 	r.copyHead(&ctx.Request.Header)
 	r.body = append([]byte(nil), ctx.Request.Body()...)
 	return r, nil
 }
 
-// latest is when the request must have ended.
-func (r *request) latest() time.Time {
-	wait := defaultWait
+// computeDeadline returns when the request must have ended.
+func (r *request) computeDeadline() time.Time {
+	timeout := defaultTimeout
 	if r.HasTimeout {
-		wait = r.Timeout
+		timeout = r.Timeout
 	}
 	if r.route.Timeout > 0 {
-		wait = min(wait, r.route.Timeout)
+		timeout = min(timeout, r.route.Timeout)
 	}
-	return r.arrived.Add(wait)
+	return r.arrived.Add(timeout)
 }
 
-// copyHead copies the caller's head without what concerns its connection only.
+// copyHead copies the caller's head without the headers that concern its connection only.
 func (r *request) copyHead(from *fasthttp.RequestHeader) {
 	from.CopyTo(&r.head)
 	for _, token := range headerTokens(from.Peek(fasthttp.HeaderConnection)) {
@@ -105,8 +106,8 @@
 	r.head.SetProtocol("HTTP/1.1")
 }
 
-// headerTokens splits a comma-separated list of header names; what only says whether the connection stays
-// open is left out.
+// headerTokens splits a comma-separated list of header names. It omits the tokens that only state whether the
+// connection stays open.
 func headerTokens(v []byte) []string {
 	all := strings.Split(string(v), ",")
 	for i := range all {
@@ -117,40 +118,41 @@
 	})
 }
 
-// ask is the request's need for a place now. resumed is when the last event of a stream came that goes on
-// elsewhere; zero: the answer has not begun.
-func (r *request) ask(now, resumed time.Time, attempt int, avoid []fleet.UpstreamID) PlacementRequest {
-	since, aim := r.arrived, r.route.Aim
-	if !resumed.IsZero() {
-		// The caller has waited since the last event, and the pause that is in time takes the aim's place.
-		since, aim = resumed, r.route.MaxGap
+// placementRequest returns the request for a grant now. lastEventAt is when the last event arrived of a stream that
+// resumes on another upstream; zero means that the answer has not begun.
+func (r *request) placementRequest(now, lastEventAt time.Time, attempt int, avoid []fleet.UpstreamID) PlacementRequest {
+	start, target := r.arrived, r.route.Aim
+	if !lastEventAt.IsZero() {
+		// The caller has waited since the last event, and the longest pause that is in time replaces the latency
+		// target.
+		start, target = lastEventAt, r.route.MaxGap
 	}
 	a := PlacementRequest{
 		ID: fleet.RequestID(r.ID), Service: r.service, Kind: r.route.Kind, Workspace: r.workspace,
 		Priority: r.priority, PromptTokens: r.PromptTokens, MaxOutputTokens: r.MaxOutputTokens, MaxGap: r.route.MaxGap,
-		Resumed:  !resumed.IsZero() || r.LastEventID != "", // here, or by its caller on another connection
-		TimeLeft: r.deadline.Sub(now), Waited: now.Sub(since), Attempt: attempt, Avoid: avoid,
+		Resumed:  !lastEventAt.IsZero() || r.LastEventID != "", // by this instance, or by the caller on another connection
+		TimeLeft: r.deadline.Sub(now), Waited: now.Sub(start), Attempt: attempt, Avoid: avoid,
 	}
-	if aim > 0 {
+	if target > 0 {
 		a.HasTarget = true
-		a.TargetLeft = since.Add(aim).Sub(now)
+		a.TargetLeft = start.Add(target).Sub(now)
 	}
 	a.FirstEventTimeout = a.TimeLeft
-	if r.streams() {
-		a.FirstEventTimeout = min(a.TimeLeft, since.Add(r.silence()).Sub(now))
+	if r.isStream() {
+		a.FirstEventTimeout = min(a.TimeLeft, start.Add(r.silenceTolerance()).Sub(now))
 	}
 	return a
 }
 
-// silence is how long the caller bears a stream that says nothing.
-func (r *request) silence() time.Duration {
-	return max(patience, patienceAims*r.route.Aim, patienceGaps*r.route.MaxGap)
+// silenceTolerance returns how long the caller waits for a silent stream before it gives up.
+func (r *request) silenceTolerance() time.Duration {
+	return max(minSilenceTolerance, toleranceTargets*r.route.Aim, toleranceGaps*r.route.MaxGap)
 }
 
-// send is what an upstream is told.
-func (r *request) send(u *catalog.Upstream, helpers []Helper, left time.Duration, lastEvent string) DispatchMeta {
+// dispatchMeta returns what is stated to an upstream along with the request.
+func (r *request) dispatchMeta(u *catalog.Upstream, helpers []Helper, timeLeft time.Duration, lastEventID string) DispatchMeta {
 	return DispatchMeta{
-		Upstream: u.ID, TimeLeft: left, Workspace: r.workspace, Urgency: min(9, max(0, r.priority)),
-		Helpers: helpers, LastEventID: lastEvent,
+		Upstream: u.ID, TimeLeft: timeLeft, Workspace: r.workspace, Urgency: min(9, max(0, r.priority)),
+		Helpers: helpers, LastEventID: lastEventID,
 	}
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -24,32 +24,32 @@
 )
 
 var (
-	errCallerGone = errors.New("caller closed its connection")
-	errBudget     = errors.New("retry budget is spent")
+	errCallerGone  = errors.New("caller closed its connection")
+	errBudgetSpent = errors.New("retry budget is spent")
 )
 
-// Budget is the instance's share of the retries that the fleet may make.
+// RetryBudget is the instance's share of the retries that the fleet may make.
 type RetryBudget interface {
-	// Request counts a caller's request for the service.
+	// RecordRequest counts a caller's request for the service.
 	RecordRequest(catalog.ServiceName)
-	// Has tells whether a retry would be allowed.
+	// Allows reports whether a retry would be allowed.
 	Allows(catalog.ServiceName) bool
-	// Allow takes one retry.
+	// Take consumes one retry and reports whether it was allowed.
 	Take(catalog.ServiceName) bool
 }
 
-// Deps are what a Gateway works with.
+// Deps are the dependencies of a Gateway.
 type Deps struct {
 	Snapshot      func() *catalog.Snapshot
-	Untrusted     func() bool // the process was paused, and what it knows may be over
+	Untrusted     func() bool // reports that the process was paused and its state may be out of date
 	Dialect       Dialect
 	Placer        Placer
 	RetryBudget   RetryBudget
 	Client        *upstream.Client
 	Memory        Memory
 	Gate          *gate.Gate
-	MarkLeaving   func(u *catalog.Upstream, sign string) // an upstream said that it leaves
-	HeldOff       func(u *catalog.Upstream) bool         // an upstream wants nothing from here now
+	MarkLeaving   func(u *catalog.Upstream, sign string) // records that an upstream is leaving; sign is what showed it
+	HeldOff       func(u *catalog.Upstream) bool         // reports whether an upstream refuses this instance for now
 	ObserveAnswer AnswerObserver
 	Explain       *explain.Recorder
 	Metrics       *metrics.Registry
@@ -57,36 +57,36 @@
 	Limits        Limits
 }
 
-// Limits bound what callers may send, until a configuration says otherwise.
+// Limits bound what callers may send, unless a configuration specifies other limits.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
 	MaxConnections int
-	ReadTimeout    time.Duration // of a whole request
-	IdleTimeout    time.Duration // between two requests of a connection
-	WriteStall     time.Duration // a caller that takes nothing for so long is gone
+	ReadTimeout    time.Duration // for a complete request
+	IdleTimeout    time.Duration // between two requests on a connection
+	WriteStall     time.Duration // a caller that reads nothing for that long counts as gone
 }
 
 // Gateway serves callers' routed requests.
 type Gateway struct {
-	deps     Deps
-	http     *fasthttp.Server
-	listener net.Listener
-	idle     callerconn.Idle
-	served   chan error
-	began    time.Time // when callers could first connect
-	log      hclog.Logger
-	work     context.Context // of every request
-	abort    context.CancelFunc
+	deps           Deps
+	http           *fasthttp.Server
+	listener       net.Listener
+	idle           callerconn.Idle
+	serveErr       chan error // result of the HTTP server
+	listeningSince time.Time  // zero: not listening yet
+	log            hclog.Logger
+	requestsCtx    context.Context // parent of every request's context
+	cancelRequests context.CancelFunc
 }
 
-// New gives a Gateway that is not listening yet.
+// New returns a Gateway that is not listening yet.
 func New(d Deps) *Gateway {
-	g := &Gateway{deps: d, log: d.Log.Named("gateway"), served: make(chan error, 1)}
-	g.work, g.abort = context.WithCancel(context.Background())
+	g := &Gateway{deps: d, log: d.Log.Named("gateway"), serveErr: make(chan error, 1)}
+	g.requestsCtx, g.cancelRequests = context.WithCancel(context.Background())
 	g.http = &fasthttp.Server{
 		Handler:               g.serve,
-		ErrorHandler:          g.badRequest,
+		ErrorHandler:          g.refuseUnread,
 		ReadTimeout:           d.Limits.ReadTimeout,
 		IdleTimeout:           d.Limits.IdleTimeout,
 		ReadBufferSize:        d.Limits.MaxHeaderBytes,
@@ -108,11 +108,11 @@
 		return fmt.Errorf("listen for callers: %w", err)
 	}
 	g.listener = l
-	g.began = time.Now()
+	g.listeningSince = time.Now()
 	return nil
 }
 
-// Addr is where callers connect.
+// Addr returns the address on which callers connect.
 func (g *Gateway) Addr() string { return g.listener.Addr().String() }
 
 // Serve accepts callers until Shutdown.
@@ -121,10 +121,10 @@
 		Listener: g.listener, WriteStall: g.deps.Limits.WriteStall, MaxOpen: int64(g.deps.Limits.MaxConnections),
 		Refused: func() { g.deps.Metrics.Counter("connections_refused").Inc(1) },
 	}
-	g.served <- g.http.Serve(watched)
+	g.serveErr <- g.http.Serve(watched)
 }
 
-// CloseIdle closes the connections on which no caller waits, and gives how many.
+// CloseIdle closes the connections without a request and returns their number.
 func (g *Gateway) CloseIdle() int { return g.idle.Close() }
 
 // Shutdown stops listening and waits until open connections are idle and closed, or ctx ends.
@@ -132,21 +132,21 @@
 	if err := g.http.ShutdownWithContext(ctx); err != nil {
 		return fmt.Errorf("shut callers' listener down: %w", err)
 	}
-	return <-g.served
+	return <-g.serveErr
 }
 
 // Abort ends every request in flight with an explicit error.
-func (g *Gateway) Abort() { g.abort() }
+func (g *Gateway) Abort() { g.cancelRequests() }
 
-// serve handles one request. A stream goes on after it returns, read by the server until Close.
+// serve handles one request. A stream continues after it returns: the HTTP server reads it until Close.
 func (g *Gateway) serve(ctx *fasthttp.RequestCtx) {
-	defer g.recovered(ctx)
+	defer g.recoverPanic(ctx)
 	arrived := time.Now()
 	if !g.deps.Gate.Ready() {
-		// Callers of a stopping instance, the balancer first, use another connection next.
+		// Callers of a stopping instance, including the balancer, open a new connection for their next request.
 		ctx.SetConnectionClose()
 	}
-	r, f := g.intake(ctx, g.known(), arrived)
+	r, f := g.readRequest(ctx, g.awaitSnapshot(), arrived)
 	if f == nil {
 		if err := g.deps.Gate.Enter(); err != nil {
 			f = fault.From(err)
@@ -157,65 +157,68 @@
 		return
 	}
 	g.deps.RetryBudget.RecordRequest(r.service)
-	g.run(ctx, r)
+	g.handle(ctx, r)
 }
 
-// startTime is how long after its start an instance has requests wait for a configuration and upstreams instead of
-// refusing them: it knows both in less, even where it tries a dead instance first, and callers come back once only.
+// startupWait is how long after its start an instance lets requests wait for a configuration and upstreams instead
+// of refusing them, because callers retry only once. Both are known within less time, even if the instance tries a
+// dead instance first.
 const (
-	startTime = 600 * time.Millisecond
-	startPoll = 5 * time.Millisecond
+	startupWait         = 600 * time.Millisecond
+	startupPollInterval = 5 * time.Millisecond
 )
 
-// known gives what is known of the fleet; an instance that has just started waits for it.
-func (g *Gateway) known() *catalog.Snapshot {
+// awaitSnapshot returns the newest snapshot of the fleet. An instance that has just started first waits until the
+// snapshot has a configuration and upstreams, for at most startupWait.
+func (g *Gateway) awaitSnapshot() *catalog.Snapshot {
 	for {
 		snap := g.deps.Snapshot()
-		if snap.Config != nil && snap.FleetVersion > 0 || time.Since(g.began) > startTime {
+		if snap.Config != nil && snap.FleetVersion > 0 || time.Since(g.listeningSince) > startupWait {
 			return snap
 		}
-		if !wait.For(g.work, startPoll) {
+		if !wait.For(g.requestsCtx, startupPollInterval) {
 			return snap
 		}
 	}
 }
 
-// run answers an admitted request. A stream that was handed over ends with its body; anything else ends here,
-// also when it meets a defect: a request that is never counted out would hold up the planned stop.
-func (g *Gateway) run(ctx *fasthttp.RequestCtx, r *request) {
-	life, end := g.begin(ctx, r)
-	handed := false
+// handle answers an admitted request. The lifecycle of a stream that was handed over ends with its body. Any other
+// lifecycle ends here, also after a panic: a request that never leaves the gate would block a planned stop.
+func (g *Gateway) handle(ctx *fasthttp.RequestCtx, r *request) {
+	l, end := g.newLifecycle(ctx, r)
+	handedOver := false
 	defer func() {
-		if !handed {
+		if !handedOver {
 			end()
 		}
 	}()
 	var f *fault.Error
-	if r.streams() {
-		handed, f = life.stream(ctx, end)
+	if r.isStream() {
+		handedOver, f = l.serveStream(ctx, end)
 	} else {
-		f = life.plain(ctx)
+		f = l.servePlain(ctx)
 	}
-	if handed {
+	if handedOver {
 		return
 	}
 	if f != nil {
 		g.refuse(ctx, r, f)
 	}
-	g.observe(r, time.Since(r.arrived))
+	g.observeAnswerTime(r, time.Since(r.arrived))
 }
 
-func (r *request) streams() bool { return r.route.Kind == catalog.Stream }
+// isStream reports whether the request's answer is a stream of events.
+func (r *request) isStream() bool { return r.route.Kind == catalog.Stream }
 
-// begin opens a request's life; end must be called once.
-func (g *Gateway) begin(ctx *fasthttp.RequestCtx, r *request) (_ *life, end func()) {
-	timed, stop := context.WithDeadline(g.work, r.deadline)
-	work, cancel := context.WithCancelCause(timed)
+// newLifecycle starts the lifecycle of a request. The caller must call end once.
+func (g *Gateway) newLifecycle(ctx *fasthttp.RequestCtx, r *request) (_ *lifecycle, end func()) {
+	deadlineCtx, stop := context.WithDeadline(g.requestsCtx, r.deadline)
+	requestCtx, cancel := context.WithCancelCause(deadlineCtx)
 	unwatch := func() {}
 	if c, ok := ctx.Conn().(*callerconn.Conn); ok {
 		unwatch = c.Watch(func() { cancel(errCallerGone) })
 	}
-	return &life{g: g, r: r, ctx: work}, func() {
+	return &lifecycle{g: g, r: r, ctx: requestCtx}, func() {
 		unwatch()
 		cancel(nil)
 		stop()
@@ -223,54 +226,55 @@
 	}
 }
 
-// observe counts an answered request.
-func (g *Gateway) observe(r *request, took time.Duration) {
+// observeAnswerTime records the time to the end of an answered request.
+func (g *Gateway) observeAnswerTime(r *request, took time.Duration) {
 	g.deps.Metrics.Histogram("answer_ms", "kind", r.route.Kind.String()).Update(took.Milliseconds())
 }
 
-// observeWait counts the time until a request is sent to its first upstream.
+// observeWait records the time until a request is sent to its first upstream.
 func (g *Gateway) observeWait(r *request, waited time.Duration) {
 	g.deps.Metrics.Histogram("waited_ms", "kind", r.route.Kind.String()).Update(waited.Milliseconds())
 }
 
-// Bounds of the classes of prompts, in tokens, by which first events are measured.
+// Upper bounds of the classes of prompts, in tokens, by which the time to first events is measured.
 const (
-	shortPrompt  = 16_000
-	mediumPrompt = 128_000
+	shortPromptTokens  = 16_000
+	mediumPromptTokens = 128_000
 )
 
-// class names what callers may expect of a request: a stream by its prompt's size, a plain call by its kind.
+// class returns the name of the class for which callers expect a certain latency: for a stream the class of its
+// prompt's length, for a plain request its kind.
 func (r *request) class() string {
 	switch tokens := r.PromptTokens; {
-	case !r.streams():
+	case !r.isStream():
 		return r.route.Kind.String()
-	case tokens < shortPrompt:
+	case tokens < shortPromptTokens:
 		return "short"
-	case tokens < mediumPrompt:
+	case tokens < mediumPromptTokens:
 		return "medium"
 	default:
 		return "long"
 	}
 }
 
-// observeFirst counts the time to a stream's first event.
-func (g *Gateway) observeFirst(r *request) {
+// observeFirstEvent records the time to a stream's first event.
+func (g *Gateway) observeFirstEvent(r *request) {
 	g.deps.Metrics.Histogram("first_event_ms", "class", r.class()).Update(time.Since(r.arrived).Milliseconds())
 }
 
-// refusalBody is the body of an answer of the system's own.
+// refusalBody is the body of an answer by the gateway itself.
 type refusalBody struct {
 	Error  string `json:"error"`
 	Run    string `json:"run"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// refuse answers with a fault.
+// refuse answers with a fault. A caller that is gone gets no answer.
 func (g *Gateway) refuse(ctx *fasthttp.RequestCtx, r *request, f *fault.Error) {
 	g.deps.Metrics.Counter("refused", "kind", f.Kind.String()).Inc(1)
 	g.deps.Explain.Record("answer", r.ID, reasonRefused, append([]any{
-		"fault", f.Kind, "run", f.Run, "detail", f.Detail, "config", r.version,
-		"took_ms", time.Since(r.arrived).Milliseconds(), "retry_after_ms", f.RetryDelay().Milliseconds()}, r.terms()...)...)
+		"fault", f.Kind, "run", f.Run, "detail", f.Detail, "config", r.configVersion,
+		"took_ms", time.Since(r.arrived).Milliseconds(), "retry_after_ms", f.RetryDelay().Milliseconds()}, r.logFields()...)...)
 	if f.Kind == fault.CallerGone {
 		ctx.SetConnectionClose()
 		return
@@ -279,12 +283,12 @@
 	status := f.Kind.Rule().Status
 	ctx.SetStatusCode(status)
 	if w := f.RetryDelay(); w > 0 && f.Run == fault.RunNo {
-		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter(w))
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, formatRetryAfter(w))
 	}
 	g.deps.Dialect.WriteRefusal(&ctx.Response.Header, r.ID)
 	body, err := json.Marshal(refusalBody{Error: f.Kind.String(), Run: f.Run.String(), Detail: f.Detail})
 	if err != nil {
-		g.log.Error("refusal can't be encoded", "error", err)
+		g.log.Error("can't encode refusal", "error", err)
 	}
 	ctx.SetContentType("application/json")
 	ctx.Response.SetBodyRaw(body)
@@ -293,8 +297,8 @@
 	}
 }
 
-// recovered answers a request that met a defect; the requests of others go on.
-func (g *Gateway) recovered(ctx *fasthttp.RequestCtx) {
+// recoverPanic answers a request whose handler panicked. Other requests are not affected.
+func (g *Gateway) recoverPanic(ctx *fasthttp.RequestCtx) {
 	cause := recover()
 	if cause == nil {
 		return
@@ -305,8 +309,8 @@
 	ctx.SetConnectionClose()
 }
 
-// badRequest answers what the library refuses before a handler runs: nothing of it went anywhere.
-func (g *Gateway) badRequest(ctx *fasthttp.RequestCtx, err error) {
+// refuseUnread answers a request that the HTTP library rejects before a handler runs. No part of it was forwarded.
+func (g *Gateway) refuseUnread(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	var ne net.Error
 	f := fault.New(fault.BadRequest, "request: %v", err)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,59 +13,61 @@
 	"github.com/damaskshelf/damaskshelf/internal/fault"
 )
 
-// errStreamCut ends a caller's stream that can't be finished: the connection closes without the end mark.
-var errStreamCut = errors.New("stream can't be finished")
+// errStreamCut ends a caller's stream that can't be completed: the connection closes without the end mark.
+var errStreamCut = errors.New("stream can't be completed")
 
-// stream answers a request with a series of events. The head goes out with the first event, so that a
-// failure before it is the caller's to see as an answer, or nobody's.
-func (l *life) stream(ctx *fasthttp.RequestCtx, done func()) (handed bool, _ *fault.Error) {
+// serveStream handles a request whose answer is a stream of events. The head is sent with the first event, so that a
+// failure before it is either retried or reported as an error answer. It returns handedOver if the HTTP server reads
+// the rest of the stream; done then ends the lifecycle.
+func (l *lifecycle) serveStream(ctx *fasthttp.RequestCtx, done func()) (handedOver bool, _ *fault.Error) {
 	for {
 		if f := l.dispatch(l.r.LastEventID); f != nil {
 			return false, f
 		}
-		if status := l.x.Head.StatusCode(); status != fasthttp.StatusOK {
-			return false, l.passWhole(ctx)
+		if status := l.exchange.Head.StatusCode(); status != fasthttp.StatusOK {
+			return false, l.passOnNonStream(ctx)
 		}
-		s := &relay{l: l, events: newEventReader(l.x), done: done, last: lastID(l.r.LastEventID)}
+		s := &streamBody{l: l, events: newEventReader(l.exchange), done: done, lastID: parseLastEventID(l.r.LastEventID)}
 		first, err := s.events.next()
 		if err != nil && err != io.EOF {
-			f := l.cut(err)
-			if !l.after(f) {
-				return false, l.verdict(f)
+			f := l.endBrokenAnswer(err)
+			if !l.decideRetry(f) {
+				return false, l.finalFault(f)
 			}
 			continue
 		}
 		l.grant.RecordFirstEvent()
-		l.g.observeFirst(l.r)
-		s.take(first, err)
-		copyAnswerHead(&ctx.Response.Header, &l.x.Head)
+		l.g.observeFirstEvent(l.r)
+		s.accept(first, err)
+		copyAnswerHead(&ctx.Response.Header, &l.exchange.Head)
 		ctx.Response.SetBodyStream(s, -1)
 		return true, nil
 	}
 }
 
-// passWhole passes an answer that is no stream on.
-func (l *life) passWhole(ctx *fasthttp.RequestCtx) *fault.Error {
-	body, err := io.ReadAll(io.LimitReader(l.x, maxPlain))
+// passOnNonStream passes on an answer that is not a stream.
+func (l *lifecycle) passOnNonStream(ctx *fasthttp.RequestCtx) *fault.Error {
+	body, err := io.ReadAll(io.LimitReader(l.exchange, maxPlainBytes))
 	if err != nil {
-		f := l.cut(err)
-		l.after(f)
-		return l.verdict(f)
+		f := l.endBrokenAnswer(err)
+		l.decideRetry(f)
+		return l.finalFault(f)
 	}
-	l.pass(ctx, body)
+	l.passOn(ctx, body)
 	return nil
 }
 
-// cut ends an exchange whose answer broke off.
-func (l *life) cut(err error) *failure {
+// endBrokenAnswer ends an exchange whose answer broke off, and releases the grant.
+func (l *lifecycle) endBrokenAnswer(err error) *failure {
 	f := &failure{outcome: Failed, ran: fault.RunYes, cause: err}
-	l.blame(f)
-	l.drop(f)
+	l.classify(f)
+	l.closeExchange(f)
 	return f
 }
 
-// lastID gives the number of the event after which a stream goes on; below zero: from its start.
-func lastID(v string) int64 {
+// parseLastEventID returns the number of the event after which a stream resumes, or -1 if the stream begins at its
+// start.
+func parseLastEventID(v string) int64 {
 	id, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
 		return -1
@@ -73,65 +75,65 @@
 	return id
 }
 
-// relay is the body of a caller's stream: events as they come, each whole, none twice and none left out,
-// across the upstreams that they come from. The HTTP server reads it and writes each piece at once.
-type relay struct {
-	l      *life
-	events *eventReader
-	done   func()
-	out    []byte // due to the caller
-	last   int64  // id of the last event taken
-	count  int
-	end    error
-	closed bool
+// streamBody is the body of a caller's stream. It returns events as they arrive, complete, without duplicates or
+// omissions, across the upstreams that send them. The HTTP server reads it and writes each piece at once.
+type streamBody struct {
+	l          *lifecycle
+	events     *eventReader
+	done       func() // ends the lifecycle
+	buffered   []byte // events that Read has not returned yet
+	lastID     int64  // id of the last event that was accepted
+	eventCount int    // accepted events
+	endErr     error  // io.EOF after the regular end, or errStreamCut
+	closed     bool
 }
 
-// take takes an event, or the stream's end.
-func (s *relay) take(e event, err error) {
+// accept buffers an event for the caller, or records the end of the stream.
+func (s *streamBody) accept(e event, err error) {
 	if err != nil {
-		s.end = err
+		s.endErr = err
 		return
 	}
 	if e.hasID {
-		if e.id <= s.last {
-			return // a resumed stream may begin with what the caller has
+		if e.id <= s.lastID {
+			return // a resumed stream may begin with events that the caller already has
 		}
-		s.last = e.id
+		s.lastID = e.id
 	}
-	s.count++
-	s.l.noteEvent(time.Now())
-	s.out = append(s.out, e.raw...)
+	s.eventCount++
+	s.l.recordEvent(time.Now())
+	s.buffered = append(s.buffered, e.raw...)
 }
 
-// noteEvent takes when an event came.
-func (l *life) noteEvent(now time.Time) {
-	if l.lastEvent.IsZero() {
-		l.first = now.Sub(l.r.arrived)
+// recordEvent records when an event arrived and restarts the watchdog's timer.
+func (l *lifecycle) recordEvent(now time.Time) {
+	if l.lastEventAt.IsZero() {
+		l.firstEventDelay = now.Sub(l.r.arrived)
 	} else {
-		l.pause = max(l.pause, now.Sub(l.lastEvent))
+		l.longestPause = max(l.longestPause, now.Sub(l.lastEventAt))
 	}
-	l.lastEvent = now
-	l.heard()
+	l.lastEventAt = now
+	l.resetWatchdog()
 }
 
 // Read implements io.Reader.
-func (s *relay) Read(p []byte) (int, error) {
-	for len(s.out) == 0 && s.end == nil {
-		s.take(s.advance())
+func (s *streamBody) Read(p []byte) (int, error) {
+	for len(s.buffered) == 0 && s.endErr == nil {
+		s.accept(s.nextEvent())
 	}
-	for s.end == nil && s.events.pending() {
-		s.take(s.advance())
+	for s.endErr == nil && s.events.hasBufferedEvent() {
+		s.accept(s.nextEvent())
 	}
-	if len(s.out) > 0 {
-		n := copy(p, s.out)
-		s.out = s.out[n:]
+	if len(s.buffered) > 0 {
+		n := copy(p, s.buffered)
+		s.buffered = s.buffered[n:]
 		return n, nil
 	}
-	return 0, s.end
+	return 0, s.endErr
 }
 
-// advance gives the next event, going on at another upstream when one breaks off.
-func (s *relay) advance() (event, error) {
+// nextEvent returns the next event. If a stream breaks off, it resumes on another upstream.
+func (s *streamBody) nextEvent() (event, error) {
 	for {
 		e, err := s.events.next()
 		if err == nil || err == io.EOF {
@@ -143,58 +145,59 @@
 	}
 }
 
-// resume goes on after the last event at another upstream, where the route allows it.
-func (s *relay) resume(cause error) bool {
+// resume continues the stream after the last event on another upstream, and reports whether it succeeded. The route
+// must allow a retry.
+func (s *streamBody) resume(cause error) bool {
 	l := s.l
-	f := l.cut(cause)
-	if !l.after(f) {
+	f := l.endBrokenAnswer(cause)
+	if !l.decideRetry(f) {
 		return false
 	}
-	from := ""
-	if s.last >= 0 {
-		from = strconv.FormatInt(s.last, 10)
+	lastEventID := ""
+	if s.lastID >= 0 {
+		lastEventID = strconv.FormatInt(s.lastID, 10)
 	}
-	l.g.deps.Explain.Record("resume", l.r.ID, reasonResume, "after_event", s.last, "events", s.count)
+	l.g.deps.Explain.Record("resume", l.r.ID, reasonResume, "after_event", s.lastID, "events", s.eventCount)
 	for {
-		if f := l.dispatch(from); f != nil {
-			l.g.deps.Explain.Record("resume", l.r.ID, reasonCutStream, "fault", f)
+		if f := l.dispatch(lastEventID); f != nil {
+			l.g.deps.Explain.Record("resume", l.r.ID, reasonStreamCut, "fault", f)
 			return false
 		}
-		if status := l.x.Head.StatusCode(); status != fasthttp.StatusOK {
-			f := l.cut(fmt.Errorf("upstream answered %d to a resumed stream", status))
-			if l.after(f) {
+		if status := l.exchange.Head.StatusCode(); status != fasthttp.StatusOK {
+			f := l.endBrokenAnswer(fmt.Errorf("upstream answered %d to a resumed stream", status))
+			if l.decideRetry(f) {
 				continue
 			}
 			return false
 		}
 		l.grant.RecordFirstEvent()
-		s.events = newEventReader(l.x)
+		s.events = newEventReader(l.exchange)
 		return true
 	}
 }
 
-// Close ends the stream; the server calls it once the answer is written or the caller is lost.
-func (s *relay) Close() error {
+// Close ends the stream. The HTTP server calls it once the answer is written or the caller is gone.
+func (s *streamBody) Close() error {
 	if s.closed {
 		return nil
 	}
 	s.closed = true
 	l := s.l
 	switch {
-	case s.end == io.EOF && len(s.out) == 0:
-		l.x.Close()
-		l.finish(Served, "")
-		l.finished(reasonServed, "events", s.count)
-	case l.x != nil:
-		l.x.Close()
-		l.finish(Abandoned, "")
-		l.finished(reasonGone, "events", s.count, "cause", l.ctx.Err())
+	case s.endErr == io.EOF && len(s.buffered) == 0:
+		l.exchange.Close()
+		l.releaseGrant(Served, "")
+		l.recordAnswer(reasonServed, "events", s.eventCount)
+	case l.exchange != nil:
+		l.exchange.Close()
+		l.releaseGrant(Abandoned, "")
+		l.recordAnswer(reasonCallerGone, "events", s.eventCount, "cause", l.ctx.Err())
 	case errors.Is(context.Cause(l.ctx), errCallerGone):
-		l.finished(reasonGone, "events", s.count)
+		l.recordAnswer(reasonCallerGone, "events", s.eventCount)
 	default:
-		l.finished(reasonCutStream, "events", s.count)
+		l.recordAnswer(reasonStreamCut, "events", s.eventCount)
 	}
-	l.g.observe(l.r, time.Since(l.r.arrived))
+	l.g.observeAnswerTime(l.r, time.Since(l.r.arrived))
 	s.done()
 	return nil
 }
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -7,59 +7,61 @@
 	"time"
 )
 
-// errOverdue ends a send whose upstream has said nothing for too long.
+// errOverdue ends a send whose upstream has been silent for too long.
 var errOverdue = errors.New("upstream is silent: its answer is overdue")
 
-// silentShare is the part of its caller's patience with a silent stream after which an upstream that falls silent
-// midway is given up: what is left must do for the same at another one.
-const silentShare = 0.5
+// silenceShare is the fraction of the caller's silence tolerance after which a stream that falls silent is given up.
+// The remaining time must suffice for the same on another upstream.
+const silenceShare = 0.5
 
-// watchdog ends a send when its upstream falls silent, so that the request goes to another one. An upstream can lose
-// an answer, or its connection can go silent for good while it serves others; without this the caller waits until it
-// gives up, and the request is lost though other upstreams would serve it. Only what may be sent again is watched.
+// watchdog ends a send when its upstream falls silent, so that the request goes to another one. It guards against a
+// lost answer, or a connection that stays silent while the upstream serves others. Without it, the caller waits
+// until it gives up, and the request is lost although other upstreams would serve it. It runs only for requests that
+// may be repeated.
 type watchdog struct {
-	cancel context.CancelCauseFunc
-	timer  *time.Timer
-	pause  time.Duration
-	barked atomic.Bool
+	cancel     context.CancelCauseFunc
+	timer      *time.Timer
+	maxSilence time.Duration // between two events
+	expired    atomic.Bool   // set when the watchdog ends the send
 }
 
-// watch gives the context of the next send. It is the request's own where nobody knows when an answer is due.
-func (l *life) watch() context.Context {
-	l.dog = nil
-	overdue := l.grant.AnswerTimeout()
-	if overdue == 0 || !l.r.route.Repeatable() || l.attempts+1 >= l.r.route.Attempts {
+// startWatchdog returns the context of the next send. It is the request's own context, without a watchdog, if the
+// time of the answer is unknown or no further attempt is allowed.
+func (l *lifecycle) startWatchdog() context.Context {
+	l.watchdog = nil
+	timeout := l.grant.AnswerTimeout()
+	if timeout == 0 || !l.r.route.Repeatable() || l.attempts+1 >= l.r.route.Attempts {
 		return l.ctx
 	}
 	ctx, cancel := context.WithCancelCause(l.ctx)
-	dog := &watchdog{cancel: cancel, pause: time.Duration(float64(l.r.silence()) * silentShare)}
-	dog.timer = time.AfterFunc(overdue, func() { l.bark(dog) })
-	l.dog = dog
+	w := &watchdog{cancel: cancel, maxSilence: time.Duration(float64(l.r.silenceTolerance()) * silenceShare)}
+	w.timer = time.AfterFunc(timeout, func() { l.expireWatchdog(w) })
+	l.watchdog = w
 	return ctx
 }
 
-// bark gives the send up, if the retry budget allows another one; otherwise the answer may still come.
-func (l *life) bark(dog *watchdog) {
+// expireWatchdog ends the send if the retry budget allows another one. Otherwise the answer may still arrive.
+func (l *lifecycle) expireWatchdog(w *watchdog) {
 	if l.g.deps.RetryBudget.Allows(l.r.service) {
-		dog.barked.Store(true)
-		dog.cancel(errOverdue)
+		w.expired.Store(true)
+		w.cancel(errOverdue)
 	}
 }
 
-// heard takes that an event came.
-func (l *life) heard() {
-	if l.dog != nil {
-		l.dog.timer.Reset(l.dog.pause)
+// resetWatchdog restarts the watchdog's timer after an event.
+func (l *lifecycle) resetWatchdog() {
+	if l.watchdog != nil {
+		l.watchdog.timer.Reset(l.watchdog.maxSilence)
 	}
 }
 
-// unwatch ends the watch of a send that is over.
-func (l *life) unwatch() {
-	if l.dog != nil {
-		l.dog.timer.Stop()
-		l.dog.cancel(nil)
+// stopWatchdog stops the watchdog of a send that has ended.
+func (l *lifecycle) stopWatchdog() {
+	if l.watchdog != nil {
+		l.watchdog.timer.Stop()
+		l.watchdog.cancel(nil)
 	}
 }
 
-// overdue tells whether the send was given up for its upstream's silence.
-func (l *life) overdue() bool { return l.dog != nil && l.dog.barked.Load() }
+// watchdogExpired reports whether the send was ended because its upstream was silent.
+func (l *lifecycle) watchdogExpired() bool { return l.watchdog != nil && l.watchdog.expired.Load() }
