--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -17,17 +17,17 @@
 // CallError is a failed call, with what is known about its effect.
 type CallError struct {
 	Sent           bool // a byte of the request may have reached the upstream
-	NotStarted     bool // the upstream itself said that it did not start
-	Timeout        bool // silence: nothing came within the time
-	UpstreamDead   bool // the upstream does not answer over a new connection either
-	DeadlinePassed bool // the time of the dispatch itself ran out
-	Status         int  // HTTP status of an error answer; 0: none came
+	NotStarted     bool // the upstream itself reported that it did not start the request
+	Timeout        bool // no byte arrived within the time
+	UpstreamDead   bool // the upstream does not answer on a new connection either
+	DeadlinePassed bool // the deadline of the dispatch itself passed
+	Status         int  // HTTP status of an error answer; 0: none arrived
 	RetryAfter     time.Duration
 	BootID         string
 	Cause          error
 }
 
-// Error tells what happened.
+// Error describes the failure.
 func (e *CallError) Error() string {
 	switch {
 	case e.Status != 0:
@@ -39,10 +39,10 @@
 	}
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// Ran tells whether the call may have run.
+// MayHaveRun reports whether the call may have run.
 func (e *CallError) MayHaveRun() bool { return e.Sent && !e.NotStarted }
 
 // Client calls upstreams. It is safe for concurrent use.
@@ -50,52 +50,55 @@
 	pool *pool
 }
 
-// New gives a client without connections.
+// New returns a client without connections.
 func New() *Client { return &Client{pool: newPool()} }
 
 // Close closes the idle connections.
 func (c *Client) Close() { c.pool.close() }
 
-// Condemn bars the open connections to addr from further use.
-func (c *Client) InvalidateConnections(addr string) { c.pool.condemn(addr) }
+// InvalidateConnections excludes the existing connections to addr from further requests.
+func (c *Client) InvalidateConnections(addr string) { c.pool.invalidate(addr) }
 
-// exchange is one request sent and the head of its response read. Its user ends it with finish.
-type exchange struct {
+// httpExchange is one request sent by Client.send, with the head of its answer read. The caller ends it with finish,
+// or with fail after an error.
+type httpExchange struct {
 	client *Client
 	conn   *conn
 	resp   *fasthttp.Response
-	reused bool
+	reused bool        // the connection was idle in the pool before
 	guard  *guard      // nil: none
-	detach func() bool // from the context
+	detach func() bool // stops the end of the context from interrupting the exchange; false: it already has
 }
 
-// bounds are the time limits of one exchange: a wait for all of it, or silence on its connection.
-type bounds struct {
-	wait    time.Duration
+// timeLimits are the limits of one exchange: timeout bounds all of it; silence, if set, bounds the silence on its
+// connection instead.
+type timeLimits struct {
+	timeout time.Duration
 	silence *SilenceLimits
 }
 
-// send writes req to addr and reads the response's head, within the bounds; the body is left as a stream.
-// Cancelling ctx wakes every read and write of the exchange until finish.
-func (c *Client) send(ctx context.Context, addr string, req *fasthttp.Request, b bounds) (*exchange, error) {
+// send writes req to addr and reads the head of the answer within the limits. The body is left as a stream. The end
+// of ctx interrupts every read and write of the exchange until finish.
+func (c *Client) send(ctx context.Context, addr string, req *fasthttp.Request, b timeLimits) (*httpExchange, error) {
 	cn, reused, err := c.pool.get(ctx, addr)
 	if err != nil {
 		return nil, &CallError{Cause: err}
 	}
-	x := &exchange{client: c, conn: cn, reused: reused, resp: fasthttp.AcquireResponse()}
+	x := &httpExchange{client: c, conn: cn, reused: reused, resp: fasthttp.AcquireResponse()}
 	if b.silence != nil {
 		x.guard = newGuard(ctx, c, cn, reused, len(req.Body()), *b.silence)
 	} else {
-		_ = cn.SetDeadline(time.Now().Add(b.wait))
+		_ = cn.SetDeadline(time.Now().Add(b.timeout))
 	}
-	x.detach = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(past) })
-	if err := x.head(req); err != nil {
+	x.detach = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(expiredDeadline) })
+	if err := x.sendRequest(req); err != nil {
 		return nil, x.fail(ctx, err)
 	}
 	return x, nil
 }
 
-func (x *exchange) head(req *fasthttp.Request) error {
+// sendRequest writes the request and reads the head of the answer.
+func (x *httpExchange) sendRequest(req *fasthttp.Request) error {
 	if err := req.Write(x.conn.writer); err != nil {
 		return fmt.Errorf("write request: %w", err)
 	}
@@ -109,14 +112,14 @@
 	return nil
 }
 
-// fail ends the exchange after err and describes it. A request that the system took no byte of can't have
-// run; neither can one whose caller's context ended before.
+// fail ends the exchange after err and returns a CallError that describes it. A request has not run if the operating
+// system accepted no byte of it, which includes a request whose context ended before.
 //
-// A connection that was idle and is cut before an answer is usually not alone: the upstream has restarted,
-// and each other idle connection to it would cost a request its first dispatch.
-func (x *exchange) fail(ctx context.Context, err error) *CallError {
-	e := &CallError{Sent: x.conn.sent.Load() > 0, Cause: err}
-	verdict := x.end(false)
+// If the connection was idle before and breaks before an answer, the upstream has usually restarted. The other idle
+// connections to it are then broken too, and each would cost a request its first dispatch.
+func (x *httpExchange) fail(ctx context.Context, err error) *CallError {
+	e := &CallError{Sent: x.conn.bytesSent.Load() > 0, Cause: err}
+	verdict := x.finishWithVerdict(false)
 	switch {
 	case ctx.Err() != nil:
 		e.Cause = fmt.Errorf("%w: %w", context.Cause(ctx), err)
@@ -127,43 +130,43 @@
 	case verdict == stream.Resume, verdict == stream.Redispatch:
 		e.Timeout, e.UpstreamDead = true, verdict == stream.Redispatch
 	default:
-		e.Timeout = timedOut(err)
+		e.Timeout = isTimeout(err)
 	}
 	if e.Timeout || x.reused {
-		x.client.pool.condemn(x.conn.addr)
+		x.client.pool.invalidate(x.conn.addr)
 	}
 	return e
 }
 
-// timedOut tells whether err is a passed deadline of the connection; the HTTP library has an error of its
-// own for it, which is no net.Error.
-func timedOut(err error) bool {
+// isTimeout reports whether err is a passed deadline of the connection. The HTTP library has an error of its own for
+// that, which is not a net.Error.
+func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.Is(err, fasthttp.ErrTimeout) || (errors.As(err, &ne) && ne.Timeout())
 }
 
-// quiet ends the guard; what is still read has to come within wait.
-func (x *exchange) quiet(wait time.Duration) {
+// stopGuard ends the guard. What is still to be read must arrive within timeout.
+func (x *httpExchange) stopGuard(timeout time.Duration) {
 	if x.guard != nil {
 		x.guard.stop()
 		x.guard = nil
 	}
-	_ = x.conn.SetReadDeadline(time.Now().Add(wait))
+	_ = x.conn.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// finish gives the connection back if the exchange ended whole, and closes it otherwise.
-func (x *exchange) finish(whole bool) { x.end(whole) }
+// finish returns the connection to the pool if the exchange is complete, and closes it otherwise.
+func (x *httpExchange) finish(complete bool) { x.finishWithVerdict(complete) }
 
-// end is finish, and gives the guard's verdict.
-func (x *exchange) end(whole bool) stream.Action {
+// finishWithVerdict does what finish does and returns the guard's verdict, or stream.Wait without a guard.
+func (x *httpExchange) finishWithVerdict(complete bool) stream.Action {
 	verdict := stream.Wait
 	if x.guard != nil {
 		verdict = x.guard.stop()
 	}
 	detached := x.detach()
-	reusable := whole && detached && !x.resp.ConnectionClose()
+	reusable := complete && detached && !x.resp.ConnectionClose()
 	if !reusable {
-		_ = x.conn.SetDeadline(past) // closing the body may read on
+		_ = x.conn.SetDeadline(expiredDeadline) // closing the body may read further
 	}
 	_ = x.resp.CloseBodyStream()
 	fasthttp.ReleaseResponse(x.resp)
@@ -175,11 +178,11 @@
 	return verdict
 }
 
-// maxSmallBody bounds answers of the small calls and error bodies.
-const maxSmallBody = 8 << 20
+// maxSmallBodyBytes bounds the answers of small calls, and error bodies.
+const maxSmallBodyBytes = 8 << 20
 
-// refusal turns an error answer into a CallError; the exchange is finished.
-func (x *exchange) refusal(err error) *CallError {
+// answerError returns the CallError for an error answer with err as its cause. It doesn't finish the exchange.
+func (x *httpExchange) answerError(err error) *CallError {
 	h := &x.resp.Header
 	e := &CallError{
 		Sent:       true,
--- a/internal/upstream/export_test.go
+++ b/internal/upstream/export_test.go
@@ -5,9 +5,9 @@
 	"io"
 )
 
-// ReadEvents reads a stream to its end, and tells whether its last event came and how many parts did.
-func ReadEvents(r io.Reader) (whole bool, parts int) {
-	e := newEvents(r)
+// ReadParts reads a stream to its end. It reports whether the stream's last event arrived, and the number of parts.
+func ReadParts(r io.Reader) (complete bool, parts int) {
+	e := newPartReader(r)
 	for {
 		if _, err := e.next(); err != nil {
 			return errors.Is(err, io.EOF), parts
--- /dev/null
+++ b/internal/upstream/forward.go
@@ -0,0 +1,252 @@
+package upstream
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http/httputil"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/valyala/fasthttp"
+)
+
+const (
+	// connectTimeout bounds a connection attempt. It is some tens of times the round trip to the farthest failure
+	// domain, and short against the time in which callers expect an answer. An upstream without power doesn't refuse
+	// connections.
+	connectTimeout = 300 * time.Millisecond
+	// maxUnrelatedAnswers bounds the answers of other requests, and the interim answers, that are skipped before an
+	// exchange's own answer.
+	maxUnrelatedAnswers = 2
+	// maxTrailers bounds the trailer lines after a chunked body.
+	maxTrailers = 64
+)
+
+// Errors of a forwarded request.
+var (
+	// ErrTruncated reports that the answer's body ended before its length, or that its connection was reset.
+	ErrTruncated = errors.New("answer was cut short")
+	// ErrUnrelatedAnswer reports that the answers that arrived belong to other requests.
+	ErrUnrelatedAnswer = errors.New("only answers of other requests arrived")
+)
+
+// ForwardRequest is a request that is forwarded byte for byte.
+type ForwardRequest struct {
+	Addr          string
+	Head          *fasthttp.RequestHeader // complete except for the body's length
+	Body          []byte
+	NewConnection bool // use a new connection instead of an idle one
+	// MatchesRequest reports whether an answer belongs to this request. If it is nil, every answer does.
+	MatchesRequest func(*fasthttp.ResponseHeader) bool
+}
+
+// Exchange is one request in flight to an upstream, with the head of its answer read. Read reads the body. Close
+// ends the exchange and must be called once.
+type Exchange struct {
+	Head     fasthttp.ResponseHeader
+	client   *Client
+	conn     *conn
+	detach   func() bool // stops the end of the context from interrupting the exchange; false: it already has
+	body     io.Reader
+	complete bool  // the body was read to its end
+	reusable bool  // the answer allows further requests on the connection
+	err      error // of the last Read
+}
+
+// Forward sends o and reads the head of its answer. The deadline of ctx bounds each read and write of the exchange,
+// and the end of ctx interrupts them. A *CallError describes what is known of the effect.
+func (c *Client) Forward(ctx context.Context, o ForwardRequest) (*Exchange, error) {
+	cn, err := c.connect(ctx, o)
+	if err != nil {
+		return nil, &CallError{Cause: err}
+	}
+	x := &Exchange{client: c, conn: cn}
+	deadline, _ := ctx.Deadline()
+	_ = cn.SetDeadline(deadline)
+	x.detach = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(expiredDeadline) })
+	if err := x.roundTrip(o); err != nil {
+		x.conn.broken.Store(true)
+		e := &CallError{Sent: cn.bytesSent.Load() > 0, Cause: err, Timeout: isTimeout(err) || errors.Is(err, os.ErrDeadlineExceeded)}
+		x.Close()
+		return nil, e
+	}
+	return x, nil
+}
+
+// connect returns an idle connection that is open and has no unread data, or a new connection.
+func (c *Client) connect(ctx context.Context, o ForwardRequest) (*conn, error) {
+	if !o.NewConnection {
+		for cn := c.pool.takeIdle(o.Addr); cn != nil; cn = c.pool.takeIdle(o.Addr) {
+			if cn.openAndEmpty() {
+				cn.bytesSent.Store(0)
+				return cn, nil
+			}
+			_ = cn.Close()
+		}
+	}
+	dialCtx, cancel := context.WithTimeout(ctx, connectTimeout)
+	defer cancel()
+	return c.pool.dial(dialCtx, o.Addr)
+}
+
+// roundTrip writes the request and reads the head of the answer. An upstream may answer and close before it has read
+// the body. The write then fails, but the answer can still be read.
+func (x *Exchange) roundTrip(o ForwardRequest) error {
+	writeErr := x.writeRequest(o)
+	if writeErr != nil {
+		x.reusable = false
+	}
+	for range maxUnrelatedAnswers + 1 {
+		if err := x.Head.Read(x.conn.reader); err != nil {
+			if writeErr != nil {
+				return fmt.Errorf("write request: %w", writeErr)
+			}
+			return fmt.Errorf("read answer: %w", err)
+		}
+		if status := x.Head.StatusCode(); status >= 100 && status < 200 {
+			continue
+		}
+		x.initBody(string(o.Head.Method()))
+		if o.MatchesRequest == nil || o.MatchesRequest(&x.Head) {
+			x.reusable = x.reusable && writeErr == nil
+			return nil
+		}
+		// A second answer to the previous request can arrive late, where this request's answer is due.
+		if _, err := io.Copy(io.Discard, x); err != nil {
+			return fmt.Errorf("%w: %w", ErrUnrelatedAnswer, err)
+		}
+		x.complete, x.err = false, nil
+		x.Head.Reset()
+	}
+	return ErrUnrelatedAnswer
+}
+
+// writeRequest writes the head with the body's length, and the body.
+func (x *Exchange) writeRequest(o ForwardRequest) error {
+	h := o.Head
+	if len(o.Body) > 0 || h.ContentLength() >= 0 {
+		h.SetContentLength(len(o.Body))
+	}
+	w := x.conn.writer
+	if _, err := w.Write(h.Header()); err != nil {
+		return err
+	}
+	if _, err := w.Write(o.Body); err != nil {
+		return err
+	}
+	return w.Flush()
+}
+
+// initBody sets the reader of the body according to the answer's head.
+func (x *Exchange) initBody(method string) {
+	x.reusable = !x.Head.ConnectionClose()
+	status, length := x.Head.StatusCode(), x.Head.ContentLength()
+	switch {
+	case method == fasthttp.MethodHead || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified:
+		x.body = strings.NewReader("")
+	case length == -1:
+		x.body = &chunkedReader{chunks: httputil.NewChunkedReader(x.conn.reader), raw: x.conn.reader}
+	case length >= 0:
+		x.body = &lengthReader{r: x.conn.reader, remaining: length}
+	default:
+		// Without a length the body ends with its connection: regularly, or with a reset that Read reports.
+		x.body, x.reusable = x.conn.reader, false
+	}
+}
+
+// Read reads the answer's body. It returns io.EOF only at the complete end of the body.
+func (x *Exchange) Read(p []byte) (int, error) {
+	if x.err != nil {
+		return 0, x.err
+	}
+	n, err := x.body.Read(p)
+	switch {
+	case err == io.EOF:
+		x.complete = true
+		x.err = err
+	case err != nil:
+		x.err = fmt.Errorf("%w: %w", ErrTruncated, err)
+		err = x.err
+	}
+	return n, err
+}
+
+// Close ends the exchange. It keeps the connection if the answer was read completely and no data follows it.
+// Otherwise it closes the connection, which tells the upstream to stop the work.
+func (x *Exchange) Close() {
+	detached := x.detach()
+	if detached && x.complete && x.reusable && x.conn.reader.Buffered() == 0 {
+		x.conn.idleDeadline = idleDeadline(&x.Head, x.client.pool.now())
+		x.client.pool.put(x.conn)
+		return
+	}
+	_ = x.conn.Close()
+}
+
+// idleMargin is how long before the end of an announced idle time a connection is last used. A request that is in
+// transit when the upstream closes the connection is lost.
+const idleMargin = 500 * time.Millisecond
+
+// idleDeadline returns when a connection must no longer be used because of the idle time, in whole seconds, that the
+// upstream announces. It returns zero if none is announced.
+func idleDeadline(h *fasthttp.ResponseHeader, now time.Time) time.Time {
+	_, value, ok := strings.Cut(string(h.Peek("Keep-Alive")), "timeout=")
+	if !ok {
+		return time.Time{}
+	}
+	digits := value
+	if i := strings.IndexFunc(value, func(r rune) bool { return r < '0' || r > '9' }); i >= 0 {
+		digits = value[:i]
+	}
+	seconds, err := strconv.Atoi(digits)
+	if err != nil {
+		return now
+	}
+	return now.Add(time.Duration(seconds)*time.Second - idleMargin)
+}
+
+// lengthReader reads a body of known length.
+type lengthReader struct {
+	r         *bufio.Reader
+	remaining int // bytes
+}
+
+func (s *lengthReader) Read(p []byte) (int, error) {
+	if s.remaining == 0 {
+		return 0, io.EOF
+	}
+	n, err := s.r.Read(p[:min(len(p), s.remaining)])
+	s.remaining -= n
+	if err == io.EOF && s.remaining > 0 {
+		err = io.ErrUnexpectedEOF
+	}
+	return n, err
+}
+
+// chunkedReader reads a chunked body and discards its trailers.
+type chunkedReader struct {
+	chunks io.Reader
+	raw    *bufio.Reader
+}
+
+func (c *chunkedReader) Read(p []byte) (int, error) {
+	n, err := c.chunks.Read(p)
+	if err != io.EOF {
+		return n, err
+	}
+	for range maxTrailers {
+		line, err := c.raw.ReadSlice('\n')
+		if err != nil {
+			return n, io.ErrUnexpectedEOF
+		}
+		if len(line) <= 2 {
+			return n, io.EOF
+		}
+	}
+	return n, errors.New("too many trailers")
+}
--- a/internal/upstream/guard.go
+++ b/internal/upstream/guard.go
@@ -9,106 +9,109 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/stream"
 )
 
-// Silence says how long a stream's connection may be silent, and until when the request has time.
+// SilenceLimits bound the silence on a stream's connection, and the time of the request.
 type SilenceLimits struct {
-	Params   stream.Params
-	Deadline time.Time
-	OnStep   func(decide.Reason) // told of each step; may be nil
+	Params   stream.Params       // limits of silence
+	Deadline time.Time           // of the request
+	OnStep   func(decide.Reason) // called with the reason of each step; may be nil
 }
 
-// guard is the shell of stream.Watch on one exchange. The connection's Read calls it, so that a probe and
-// a longer wait happen inside a read: to the reader of the stream nothing has happened until the guard
-// gives the connection up.
+// guard applies the silence detector of package stream to one exchange. The connection's Read and Write call it, so
+// that probes and longer waits happen within a read. The reader of the stream notices nothing until the guard gives
+// the connection up.
 type guard struct {
-	ctx     context.Context // of the request: ended before its own deadline is put on the connection
-	probes  context.Context
-	client  *Client
-	conn    *conn
-	silence SilenceLimits
-	start   time.Time
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup // of probes
+	ctx          context.Context // of the request; ctx.Err is set before the connection gets expiredDeadline
+	probeCtx     context.Context // of the probes
+	client       *Client
+	conn         *conn
+	limits       SilenceLimits
+	start        time.Time
+	cancelProbes context.CancelFunc
+	wg           sync.WaitGroup // of probes
 
-	mu      sync.Mutex
-	watch   *stream.SilenceDetector // guarded by mu
-	verdict stream.Action           // guarded by mu: anything but Wait and Probe is final
+	mu       sync.Mutex
+	detector *stream.SilenceDetector // guarded by mu
+	verdict  stream.Action           // guarded by mu; any value but Wait and Probe is final
 }
 
+// newGuard starts the guard of an exchange with a request body of size bytes.
 func newGuard(ctx context.Context, c *Client, cn *conn, reused bool, size int, s SilenceLimits) *guard {
-	g := &guard{ctx: ctx, client: c, conn: cn, silence: s, start: time.Now()}
-	g.probes, g.cancel = context.WithCancel(ctx)
-	g.watch = stream.NewSilenceDetector(s.Params, reused, size, 0, decide.Instant(s.Deadline.Sub(g.start)))
+	g := &guard{ctx: ctx, client: c, conn: cn, limits: s, start: time.Now()}
+	g.probeCtx, g.cancelProbes = context.WithCancel(ctx)
+	g.detector = stream.NewSilenceDetector(s.Params, reused, size, 0, decide.Instant(s.Deadline.Sub(g.start)))
 	cn.guard = g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.rearm()
+	g.setDeadline()
 	return g
 }
 
+// now returns the time since the guard started.
 func (g *guard) now() decide.Instant { return decide.Instant(time.Since(g.start)) }
 
-// rearm sets the time of the next look; mu is held. A context that ends just now has its own deadline in
-// the past, which must not be overwritten.
-func (g *guard) rearm() {
-	at := g.start.Add(time.Duration(g.watch.NextCheck()))
-	if g.final() || g.ctx.Err() != nil {
-		at = past
+// setDeadline sets the connection's read deadline to the detector's next check. The caller holds mu. A context that
+// ends meanwhile sets expiredDeadline, which must not be overwritten.
+func (g *guard) setDeadline() {
+	at := g.start.Add(time.Duration(g.detector.NextCheck()))
+	if g.hasVerdict() || g.ctx.Err() != nil {
+		at = expiredDeadline
 	}
 	_ = g.conn.SetReadDeadline(at)
 	if g.ctx.Err() != nil {
-		_ = g.conn.SetReadDeadline(past)
+		_ = g.conn.SetReadDeadline(expiredDeadline)
 	}
 }
 
-// past is a deadline that wakes every read and write at once.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past. It interrupts every read and write at once.
+var expiredDeadline = time.Unix(1, 0)
 
-func (g *guard) final() bool { return g.verdict != stream.Wait && g.verdict != stream.Probe }
+// hasVerdict reports whether the verdict is final. The caller holds mu.
+func (g *guard) hasVerdict() bool { return g.verdict != stream.Wait && g.verdict != stream.Probe }
 
-// beforeWrite gives the next piece of the request the longest silence to go out. A request that is still
-// being written doesn't wait for its answer yet.
-func (g *guard) beforeWrite() {
+// onWrite sets the deadline for writing the next piece of the request: the longest silence, but not past the
+// request's deadline. The wait for the answer starts once the request is written.
+func (g *guard) onWrite() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.watch.OnWritten(g.now())
-	g.rearm()
-	at := time.Now().Add(g.silence.Params.MaxSilence)
-	if g.silence.Deadline.Before(at) {
-		at = g.silence.Deadline
+	g.detector.OnWritten(g.now())
+	g.setDeadline()
+	at := time.Now().Add(g.limits.Params.MaxSilence)
+	if g.limits.Deadline.Before(at) {
+		at = g.limits.Deadline
 	}
 	_ = g.conn.SetWriteDeadline(at)
 	if g.ctx.Err() != nil {
-		_ = g.conn.SetWriteDeadline(past)
+		_ = g.conn.SetWriteDeadline(expiredDeadline)
 	}
 }
 
-// alive notes that bytes came.
-func (g *guard) alive() {
+// onRead records that bytes arrived.
+func (g *guard) onRead() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.watch.OnBytes(g.now())
-	g.rearm()
+	g.detector.OnBytes(g.now())
+	g.setDeadline()
 }
 
-// goOn is asked when a read ran out of time, and tells whether to read on.
-func (g *guard) goOn() bool {
+// continueReading reports whether to continue a read that passed its deadline.
+func (g *guard) continueReading() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.ctx.Err() != nil || g.final() {
+	if g.ctx.Err() != nil || g.hasVerdict() {
 		return false
 	}
-	g.act(g.watch.OnTimer(g.now()))
-	g.rearm()
-	return !g.final()
+	g.apply(g.detector.OnTimer(g.now()))
+	g.setDeadline()
+	return !g.hasVerdict()
 }
 
-// act carries out what the watch decided; mu is held.
-func (g *guard) act(a stream.Action, reason decide.Reason) {
+// apply carries out the detector's decision. The caller holds mu.
+func (g *guard) apply(a stream.Action, reason decide.Reason) {
 	if a == stream.Wait {
 		return
 	}
-	if g.silence.OnStep != nil {
-		g.silence.OnStep(reason)
+	if g.limits.OnStep != nil {
+		g.limits.OnStep(reason)
 	}
 	g.verdict = a
 	if a != stream.Probe {
@@ -117,20 +120,20 @@
 	g.wg.Add(1)
 	go func() {
 		defer g.wg.Done()
-		err := g.client.Ping(g.probes, g.conn.addr, g.silence.Params.ProbeTimeout)
+		err := g.client.Ping(g.probeCtx, g.conn.addr, g.limits.Params.ProbeTimeout)
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.probes.Err() != nil {
+		if g.probeCtx.Err() != nil {
 			return
 		}
-		g.act(g.watch.OnProbeResult(err == nil, g.now()))
-		g.rearm()
+		g.apply(g.detector.OnProbeResult(err == nil, g.now()))
+		g.setDeadline()
 	}()
 }
 
-// stop ends the guard and gives its verdict; the connection is then read without it.
+// stop ends the guard and returns its verdict. The connection is then read without a guard.
 func (g *guard) stop() stream.Action {
-	g.cancel()
+	g.cancelProbes()
 	g.wg.Wait()
 	g.conn.guard = nil
 	g.mu.Lock()
--- a/internal/upstream/quiet.go
+++ b/internal/upstream/idle.go
@@ -6,11 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet tells whether the idle connection is open with nothing to read: the other end has not closed it,
-// and no late answer lies in it. It guards against sending a request on a connection that is known to be
-// dead, or reading another request's answer as its own. It can't see an end that dropped the connection
-// without a word.
-func (c *conn) quiet() bool {
+// openAndEmpty reports whether the idle connection is open and has no data to read: the upstream has not closed it,
+// and it holds no late answer. This guards against sending a request on a dead connection, and against reading the
+// answer to another request. It can't detect a peer that dropped the connection without closing it.
+func (c *conn) openAndEmpty() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/internal/upstream/small.go
+++ b/internal/upstream/jsoncall.go
@@ -10,18 +10,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// SmallCall is a call with small JSON bodies to an upstream.
+// JSONCall is a call with small JSON bodies to an upstream.
 type JSONCall struct {
 	Addr    string
 	Method  string
 	Path    string
-	In, Out any // nil: no body sent, answer dropped
-	Timeout time.Duration
-	Headers [][2]string
-	OnHead  func(*fasthttp.ResponseHeader) // takes the answer's head; nil: nobody does
+	In, Out any                            // nil: no body is sent, or the answer's body is discarded
+	Timeout time.Duration                  // of the whole call
+	Headers [][2]string                    // name and value of each
+	OnHead  func(*fasthttp.ResponseHeader) // called with the answer's head; may be nil
 }
 
-// JSON makes a small call. A *CallError holds the status of an answer that is no success.
+// CallJSON makes a JSONCall. An answer with a status other than 2xx is returned as a *CallError with that status.
 func (c *Client) CallJSON(ctx context.Context, q JSONCall) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -38,26 +38,26 @@
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(body)
 	}
-	x, err := c.send(ctx, q.Addr, req, bounds{wait: q.Timeout})
+	x, err := c.send(ctx, q.Addr, req, timeLimits{timeout: q.Timeout})
 	if err != nil {
 		return err
 	}
 	if q.OnHead != nil {
 		q.OnHead(&x.resp.Header)
 	}
-	return x.take(ctx, q)
+	return x.readJSON(ctx, q)
 }
 
-// take reads a small call's answer and finishes the exchange.
-func (x *exchange) take(ctx context.Context, q JSONCall) error {
+// readJSON reads the answer of a JSONCall and finishes the exchange.
+func (x *httpExchange) readJSON(ctx context.Context, q JSONCall) error {
 	body, err := readBody(x)
 	if err != nil {
 		return x.fail(ctx, err)
 	}
 	if status := x.resp.StatusCode(); status < 200 || status > 299 {
-		refused := x.refusal(errors.New(string(body)))
+		answerErr := x.answerError(errors.New(string(body)))
 		x.finish(true)
-		return refused
+		return answerErr
 	}
 	x.finish(true)
 	if q.Out == nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// json makes a small call without looking at its answer's head.
-func (c *Client) json(ctx context.Context, addr, method, path string, in, out any, wait time.Duration, headers ...[2]string) error {
-	return c.CallJSON(ctx, JSONCall{Addr: addr, Method: method, Path: path, In: in, Out: out, Timeout: wait, Headers: headers})
+// smallCall makes a JSONCall without processing the head of its answer.
+func (c *Client) smallCall(ctx context.Context, addr, method, path string, in, out any, timeout time.Duration, headers ...[2]string) error {
+	return c.CallJSON(ctx, JSONCall{Addr: addr, Method: method, Path: path, In: in, Out: out, Timeout: timeout, Headers: headers})
 }
--- a/internal/upstream/probes_test.go
+++ b/internal/upstream/keepalive_test.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Memory stays reserved on engines for seconds after its request is over. The engine that answered it lost
-// power: no reset comes, the connection looks open, and its instance goes on waiting and renewing. The
-// connection itself must find out that nobody is there.
-func TestASilentEndIsFoundOut(t *testing.T) {
+// Guards against memory that stays reserved on engines for seconds after its request ended. If the engine that
+// answers the request loses power, no reset arrives and the connection looks open, so the instance keeps waiting and
+// renewing. The connection itself must detect that its peer is gone.
+func TestConnectionDetectsSilentPeer(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,7 @@
-// Package upstream calls engines and plain services: completions streams, plain-service calls, and the
-// small calls of an engine's API. It owns its connections, because three promises hang on them: whether a
-// byte of a request was sent (run: no), how long one may be silent, and that a dead one is not used again.
+// Package upstream calls engines and plain services: completion streams, calls of plain services, and the small
+// calls of an engine's API. It manages its own connections because three guarantees depend on them: whether a byte
+// of a request was sent (run: no), how long a connection may be silent, and that a dead connection is not used
+// again.
 package upstream
 
 import (
@@ -18,27 +19,28 @@
 )
 
 const (
-	dialTimeout = time.Second
-	maxIdle     = 5 * time.Second // an idle connection is not used again after it
-	maxAge      = time.Minute     // no connection is used for a new request after it
-	maxIdleHost = 64              // idle connections kept to one upstream
-	bufferSize  = 16 << 10
+	dialTimeout        = time.Second
+	maxIdleTime        = 5 * time.Second // a connection that was idle for longer is not used again
+	maxAge             = time.Minute     // an older connection is not used for a new request
+	maxIdlePerUpstream = 64              // idle connections kept to one upstream
+	bufferSize         = 16 << 10        // bytes
 )
 
-// probes find out that the other end is gone without a word: a machine that lost power, or a way that is cut.
-// While an answer is awaited nothing else shows it, and the request, with memory reserved for it on other
-// engines, would wait for its whole time. Two probes unanswered are about two seconds.
-var probes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 400 * time.Millisecond, Count: 2}
+// keepAlive configures probes that detect a peer that is gone without closing its connections, because its machine
+// lost power or the network is partitioned. While the client waits for an answer nothing else detects that. The
+// request would wait until its deadline, with memory reserved for it on other engines. Two unanswered probes take
+// about two seconds.
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 400 * time.Millisecond, Count: 2}
 
-// unanswered is how long the other end may leave sent bytes without acknowledgement: the same for a request
-// that is being sent.
-const unanswered = 1800 * time.Millisecond
+// ackTimeout is how long sent bytes may remain unacknowledged. It detects the same failure while a request is being
+// sent.
+const ackTimeout = 1800 * time.Millisecond
 
-// boundUnanswered sets the bound on a new connection.
-func boundUnanswered(_, _ string, raw syscall.RawConn) error {
+// setAckTimeout sets ackTimeout on a new connection.
+func setAckTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unanswered.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
 	return errors.Join(err, failed)
 }
@@ -46,37 +48,37 @@
 // conn is one connection to an upstream, used by one request at a time.
 type conn struct {
 	net.Conn
-	addr     string
-	created  time.Time
-	lastUsed time.Time
-	idleEnd  time.Time // the other end closes it then if it stays idle; zero: not stated
-	reader   *bufio.Reader
-	writer   *bufio.Writer
-	sent     atomic.Int64 // bytes handed to the system by the current request
-	broken   atomic.Bool  // not to be used again
-	guard    *guard       // of the current exchange; nil: none. Of the exchange's goroutine.
+	addr         string
+	created      time.Time
+	lastUsed     time.Time
+	idleDeadline time.Time // when the upstream closes the connection if it stays idle; zero: not announced
+	reader       *bufio.Reader
+	writer       *bufio.Writer
+	bytesSent    atomic.Int64 // bytes of the current request that the operating system accepted
+	broken       atomic.Bool  // must not be used again
+	guard        *guard       // of the current exchange; nil: none. Used only by the exchange's goroutine.
 }
 
-// writePiece is written in one go; a guarded connection has to take each within the gap.
-const writePiece = 64 << 10
+// maxWriteSize is the most bytes of a single write. On a guarded connection each write has a time limit.
+const maxWriteSize = 64 << 10
 
-// Write counts what the system took. A failed write may have sent some of it.
+// Write counts the bytes that the operating system accepted. A failed write may have sent some bytes.
 func (c *conn) Write(p []byte) (int, error) {
 	written := 0
 	for {
 		if c.guard != nil {
-			c.guard.beforeWrite()
+			c.guard.onWrite()
 		}
-		n, err := c.Conn.Write(p[written:min(len(p), written+writePiece)])
+		n, err := c.Conn.Write(p[written:min(len(p), written+maxWriteSize)])
 		written += n
-		c.sent.Add(int64(n))
+		c.bytesSent.Add(int64(n))
 		if err != nil || written == len(p) {
 			return written, err
 		}
 	}
 }
 
-// Read gives a guard a say in whether a silence is the end.
+// Read lets the guard, if there is one, decide whether to continue after a passed deadline.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -84,9 +86,9 @@
 		case c.guard == nil:
 			return n, err
 		case n > 0:
-			c.guard.alive()
+			c.guard.onRead()
 			return n, err
-		case !errors.Is(err, os.ErrDeadlineExceeded) || !c.guard.goOn():
+		case !errors.Is(err, os.ErrDeadlineExceeded) || !c.guard.continueReading():
 			return n, err
 		}
 	}
@@ -96,28 +98,30 @@
 type pool struct {
 	now func() time.Time
 
-	mu     sync.Mutex
-	idle   map[string][]*conn   // guarded by mu; the latest used last
-	dead   map[string]time.Time // guarded by mu: connections created before it are condemned
-	closed bool                 // guarded by mu
+	mu            sync.Mutex
+	idle          map[string][]*conn   // guarded by mu; the most recently used is last
+	invalidBefore map[string]time.Time // guarded by mu; connections created earlier must not be used
+	closed        bool                 // guarded by mu
 }
 
+// newPool returns an empty pool.
 func newPool() *pool {
-	return &pool{now: time.Now, idle: map[string][]*conn{}, dead: map[string]time.Time{}}
+	return &pool{now: time.Now, idle: map[string][]*conn{}, invalidBefore: map[string]time.Time{}}
 }
 
-// get gives an idle connection or dials. reused tells which.
+// get returns an idle connection or dials a new one. reused reports that the connection was idle.
 func (p *pool) get(ctx context.Context, addr string) (c *conn, reused bool, err error) {
 	if c := p.takeIdle(addr); c != nil {
-		c.sent.Store(0)
+		c.bytesSent.Store(0)
 		return c, true, nil
 	}
 	c, err = p.dial(ctx, addr)
 	return c, false, err
 }
 
+// dial opens a new connection.
 func (p *pool) dial(ctx context.Context, addr string) (*conn, error) {
-	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: probes, Control: boundUnanswered}
+	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: setAckTimeout}
 	created := p.now()
 	raw, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -129,6 +133,8 @@
 	return c, nil
 }
 
+// takeIdle removes the most recently used idle connection that is usable, and returns it. It returns nil if there is
+// none.
 func (p *pool) takeIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,41 +152,42 @@
 	}
 }
 
-// usable tells whether c may carry another request; mu is held.
+// usable reports whether c may be used for another request. The caller holds mu.
 func (p *pool) usable(c *conn) bool {
 	now := p.now()
-	stated := c.idleEnd.IsZero() || now.Before(c.idleEnd)
-	return !c.broken.Load() && stated && c.created.After(p.dead[c.addr]) &&
-		now.Sub(c.created) < maxAge && now.Sub(c.lastUsed) < maxIdle
+	beforeIdleDeadline := c.idleDeadline.IsZero() || now.Before(c.idleDeadline)
+	return !c.broken.Load() && beforeIdleDeadline && c.created.After(p.invalidBefore[c.addr]) &&
+		now.Sub(c.created) < maxAge && now.Sub(c.lastUsed) < maxIdleTime
 }
 
-// put takes back a connection whose exchange ended whole; others are closed by their user.
+// put returns a connection to the pool after a complete exchange. The connections of incomplete exchanges are closed
+// instead.
 func (p *pool) put(c *conn) {
 	c.lastUsed = p.now()
 	_ = c.SetDeadline(time.Time{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || !p.usable(c) || len(p.idle[c.addr]) >= maxIdleHost {
+	if p.closed || !p.usable(c) || len(p.idle[c.addr]) >= maxIdlePerUpstream {
 		_ = c.Close()
 		return
 	}
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// condemn bars every connection to addr that exists now from further use. Something between the two ends
-// that lost track of one open connection has usually lost the others too, and each of them would cost a
-// request its gap timeout. New connections are dialled after now and are not barred.
-func (p *pool) condemn(addr string) {
+// invalidate excludes every existing connection to addr from further requests. A device between the two ends that
+// lost the state of one connection has usually lost the others too, and each of them would cost a request the time
+// until its silence is detected. Connections that are dialled later are not affected.
+func (p *pool) invalidate(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dead[addr] = p.now()
+	p.invalidBefore[addr] = p.now()
 	for _, c := range p.idle[addr] {
 		_ = c.Close()
 	}
 	delete(p.idle, addr)
 }
 
-// close closes the idle connections; connections in use are closed when they come back.
+// close closes the idle connections. Connections in use are closed when they are returned.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/service.go
+++ b/internal/upstream/service.go
@@ -8,17 +8,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Answer is a plain service's whole answer.
+// Answer is the complete answer of a plain service.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Call sends req, whose URI has the path only of interest, to a plain service and reads the whole answer
-// within wait. An error answer of the service is an Answer, unless the service said that it did not start.
-func (c *Client) Call(ctx context.Context, addr string, req *fasthttp.Request, wait time.Duration) (Answer, error) {
-	x, err := c.send(ctx, addr, req, bounds{wait: wait})
+// Call sends req to a plain service and reads the complete answer within timeout. Only the path of the request's URI
+// matters. An error answer of the service is returned as an Answer, unless the service reported that it did not
+// start.
+func (c *Client) Call(ctx context.Context, addr string, req *fasthttp.Request, timeout time.Duration) (Answer, error) {
+	x, err := c.send(ctx, addr, req, timeLimits{timeout: timeout})
 	if err != nil {
 		return Answer{}, err
 	}
@@ -27,18 +28,18 @@
 		return Answer{}, x.fail(ctx, err)
 	}
 	a := Answer{Status: x.resp.StatusCode(), ContentType: string(x.resp.Header.ContentType()), Body: body}
-	refused := x.refusal(errors.New("service did not start"))
+	answerErr := x.answerError(errors.New("service did not start"))
 	x.finish(true)
-	if refused.NotStarted {
-		return Answer{}, refused
+	if answerErr.NotStarted {
+		return Answer{}, answerErr
 	}
 	return a, nil
 }
 
-// CallFresh is Call over a new connection. A call that may not be repeated doesn't use a pooled one: that
-// may have died unnoticed, and the first byte written to it would leave the outcome unknown for nothing.
-func (c *Client) CallNewConnection(ctx context.Context, addr string, req *fasthttp.Request, wait time.Duration) (Answer, error) {
+// CallNewConnection does what Call does on a new connection. It is for calls that must not be repeated: a pooled
+// connection may be dead without notice, and the first byte written to it would leave the outcome unknown.
+func (c *Client) CallNewConnection(ctx context.Context, addr string, req *fasthttp.Request, timeout time.Duration) (Answer, error) {
 	fresh := &Client{pool: newPool()}
 	defer fresh.Close()
-	return fresh.Call(ctx, addr, req, wait)
+	return fresh.Call(ctx, addr, req, timeout)
 }
--- a/internal/upstream/sse.go
+++ b/internal/upstream/sse.go
@@ -10,26 +10,28 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// maxEvent bounds one line of a stream.
-const maxEvent = 1 << 20
+// maxLineBytes bounds one line of a stream.
+const maxLineBytes = 1 << 20
 
+// dataPrefix begins the lines of an event that hold its data.
 var dataPrefix = []byte("data:")
 
-// events reads the parts out of a stream of server-sent events.
-type events struct {
-	scanner *bufio.Scanner
-	ended   bool // the stream's last event came
+// partReader reads the parts of a completion from a stream of server-sent events.
+type partReader struct {
+	scanner      *bufio.Scanner
+	doneMarkSeen bool // the stream's last event arrived
 }
 
-func newEvents(r io.Reader) *events {
-	e := &events{scanner: bufio.NewScanner(r)}
-	e.scanner.Buffer(make([]byte, 0, 4<<10), maxEvent)
+// newPartReader returns a partReader that reads from r.
+func newPartReader(r io.Reader) *partReader {
+	e := &partReader{scanner: bufio.NewScanner(r)}
+	e.scanner.Buffer(make([]byte, 0, 4<<10), maxLineBytes)
 	return e
 }
 
-// next gives the next part. Comments, empty lines and other fields of an event are passed over. io.EOF
-// comes only after the stream's last event; a stream that ends before it is an io.ErrUnexpectedEOF.
-func (e *events) next() (wire.Part, error) {
+// next returns the next part. It skips comments, empty lines and other fields of an event. It returns io.EOF only
+// after the stream's last event, and io.ErrUnexpectedEOF for a stream that ends before it.
+func (e *partReader) next() (wire.Part, error) {
 	for e.scanner.Scan() {
 		data, ok := bytes.CutPrefix(e.scanner.Bytes(), dataPrefix)
 		if !ok {
@@ -37,7 +39,7 @@
 		}
 		data = bytes.TrimSpace(data)
 		if string(data) == wire.DoneMark {
-			e.ended = true
+			e.doneMarkSeen = true
 			continue
 		}
 		var p wire.Part
@@ -49,7 +51,7 @@
 	switch err := e.scanner.Err(); {
 	case err != nil:
 		return wire.Part{}, err
-	case !e.ended:
+	case !e.doneMarkSeen:
 		return wire.Part{}, io.ErrUnexpectedEOF
 	default:
 		return wire.Part{}, io.EOF
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -18,19 +18,19 @@
 	Workspace    string
 	Priority     int
 	Attempt      int
-	Remaining    time.Duration // time left for the request
-	Reservation  string
-	Group        string // reservations on other engines for the same request, as in wire.HeaderGroup
-	ResumeOffset int    // first token still needed
+	Remaining    time.Duration // until the request's deadline
+	Reservation  string        // id of the reservation on the engine; empty: none
+	Group        string        // reservations on other engines for the same request, in the format of wire.HeaderGroup
+	ResumeOffset int           // index of the first token that is still needed
 	Body         []byte
 }
 
-// Stream is a completion's answer as it comes.
+// Stream is the answer to a Completion, read part by part.
 type Stream struct {
-	ctx    context.Context
-	x      *exchange
-	events *events
-	closed bool
+	ctx      context.Context
+	exchange *httpExchange
+	parts    *partReader
+	closed   bool
 }
 
 // Complete sends a prompt and waits for the head of the answer, which an engine sends at once.
@@ -56,63 +56,63 @@
 		h.Set(wire.HeaderResumeOffset, strconv.Itoa(q.ResumeOffset))
 	}
 	req.SetBodyRaw(q.Body)
-	x, err := c.send(ctx, addr, req, bounds{silence: &silence})
+	x, err := c.send(ctx, addr, req, timeLimits{silence: &silence})
 	if err != nil {
 		return nil, err
 	}
 	if x.resp.StatusCode() != fasthttp.StatusOK {
 		body, rerr := readBody(x)
-		refused := x.refusal(errors.New(string(body)))
+		answerErr := x.answerError(errors.New(string(body)))
 		x.finish(rerr == nil)
-		return nil, refused
+		return nil, answerErr
 	}
-	return &Stream{ctx: ctx, x: x, events: newEvents(x.resp.BodyStream())}, nil
+	return &Stream{ctx: ctx, exchange: x, parts: newPartReader(x.resp.BodyStream())}, nil
 }
 
-// BootID is the engine's at the time it answered.
-func (s *Stream) BootID() string { return string(s.x.resp.Header.Peek(wire.HeaderBootID)) }
+// BootID returns the boot id that the engine had when it answered.
+func (s *Stream) BootID() string { return string(s.exchange.resp.Header.Peek(wire.HeaderBootID)) }
 
-// Next gives the next part. An engine that computes without a new token writes a comment line now and then,
-// so that silence means a dead connection and not a long prompt. io.EOF comes only after the stream's last
+// Next returns the next part. An engine that computes without a new token sends a comment line from time to time, so
+// that silence indicates a dead connection and not a long prompt. Next returns io.EOF only after the stream's last
 // event. Any other error is a *CallError and ends the stream.
 func (s *Stream) Next() (wire.Part, error) {
 	if s.closed {
 		return wire.Part{}, io.EOF
 	}
-	p, err := s.events.next()
+	p, err := s.parts.next()
 	if err == nil || errors.Is(err, io.EOF) {
 		return p, err
 	}
 	s.closed = true
-	return wire.Part{}, s.x.fail(s.ctx, err)
+	return wire.Part{}, s.exchange.fail(s.ctx, err)
 }
 
-// endWait bounds the wait for the event after the end mark; a connection without it is just not reused.
-const endWait = 50 * time.Millisecond
+// doneMarkTimeout bounds the wait for the event after the last part. A connection on which it doesn't arrive is not
+// used again.
+const doneMarkTimeout = 50 * time.Millisecond
 
-// Finish reads what comes after the end mark and closes the stream. It gives the number of parts that
-// should not have come. A connection that ends as it should is used again.
+// Finish reads the rest of the stream after the last part and closes the stream. It returns the number of unexpected
+// parts. A connection whose stream ends regularly is used again.
 func (s *Stream) Finish() int {
 	if s.closed {
 		return 0
 	}
 	s.closed = true
-	s.x.quiet(endWait)
-	extra := 0
+	s.exchange.stopGuard(doneMarkTimeout)
+	extraParts := 0
 	for {
-		if _, err := s.events.next(); err != nil {
-			s.x.finish(errors.Is(err, io.EOF))
-			return extra
+		if _, err := s.parts.next(); err != nil {
+			s.exchange.finish(errors.Is(err, io.EOF))
+			return extraParts
 		}
-		extra++
+		extraParts++
 	}
 }
 
-// Close ends a stream that is not read to its end. It closes the connection, by which the engine learns
-// that nobody reads on.
+// Close ends a stream before its end. It closes the connection, which tells the engine to stop.
 func (s *Stream) Close() {
 	if !s.closed {
 		s.closed = true
-		s.x.finish(false)
+		s.exchange.finish(false)
 	}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -25,22 +25,23 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// engine is a raw server: each connection is handled by serve, which gets the connection's number from 0.
-type engine struct {
-	l     net.Listener
-	conns atomic.Int32
-	wg    sync.WaitGroup
-	mu    sync.Mutex
-	open  []net.Conn // guarded by mu
+// rawServer is a TCP server that passes each connection to a handler, with the connection's number, from 0.
+type rawServer struct {
+	listener net.Listener
+	conns    atomic.Int32
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	open     []net.Conn // guarded by mu
 }
 
-func serve(t *testing.T, handle func(n int, c net.Conn, r *bufio.Reader)) *engine {
+// startServer starts a rawServer, which is closed at the end of the test.
+func startServer(t *testing.T, handle func(n int, c net.Conn, r *bufio.Reader)) *rawServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &engine{l: l}
+	e := &rawServer{listener: l}
 	e.wg.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -58,10 +59,10 @@
 	return e
 }
 
-func (e *engine) addr() string { return e.l.Addr().String() }
+func (e *rawServer) addr() string { return e.listener.Addr().String() }
 
-func (e *engine) close() {
-	_ = e.l.Close()
+func (e *rawServer) close() {
+	_ = e.listener.Close()
 	e.mu.Lock()
 	for _, c := range e.open {
 		_ = c.Close()
@@ -70,8 +71,8 @@
 	e.wg.Wait()
 }
 
-// request reads one request off the connection, and gives its path; empty at the connection's end.
-func request(r *bufio.Reader) string {
+// readRequest reads one request from the connection and returns its path, or "" at the end of the connection.
+func readRequest(r *bufio.Reader) string {
 	var req fasthttp.Request
 	if err := req.Read(r); err != nil {
 		return ""
@@ -79,27 +80,32 @@
 	return string(req.URI().Path())
 }
 
-const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Boot-Id: b1\r\nTransfer-Encoding: chunked\r\n\r\n"
+// streamHead is the head of a completion stream.
+const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Boot-Id: b1\r\nTransfer-Encoding: chunked\r\n\r\n"
 
+// chunk returns text as one chunk of a chunked body.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-func event(offset int, finish string) string {
+// partChunk returns an event with one part of a completion as a chunk.
+func partChunk(offset int, finish string) string {
 	return chunk(fmt.Sprintf("data: {\"id\":\"r\",\"offset\":%d,\"tokens\":1,\"text\":\"x\",\"finish_reason\":%q}\n\n", offset, finish))
 }
 
-// answerPing answers a probe.
+// answerPing answers a ping.
 func answerPing(c net.Conn) {
 	_, _ = io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
 }
 
-const gap = 200 * time.Millisecond
+// maxSilence is the longest silence that startCompletion allows.
+const maxSilence = 200 * time.Millisecond
 
-// complete sends a prompt whose silences are noted in notes.
-func complete(t *testing.T, c *upstream.Client, addr string, notes *[]decide.Reason) (*upstream.Stream, error) {
+// startCompletion sends a prompt and appends the reason of each step of the silence guard to notes, if notes isn't
+// nil.
+func startCompletion(t *testing.T, c *upstream.Client, addr string, notes *[]decide.Reason) (*upstream.Stream, error) {
 	t.Helper()
 	var mu sync.Mutex
 	return c.Complete(t.Context(), addr, upstream.Completion{RequestID: "r", Attempt: 1, Body: []byte("{}")}, upstream.SilenceLimits{
-		Params: stream.NewParams(gap), Deadline: time.Now().Add(20 * time.Second),
+		Params: stream.NewParams(maxSilence), Deadline: time.Now().Add(20 * time.Second),
 		OnStep: func(r decide.Reason) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -110,73 +116,76 @@
 	})
 }
 
-func callError(t *testing.T, err error) *upstream.CallError {
+// requireCallError returns err as a *CallError, and fails the test if it is none.
+func requireCallError(t *testing.T, err error) *upstream.CallError {
 	t.Helper()
 	var ce *upstream.CallError
 	if !errors.As(err, &ce) {
-		t.Fatalf("%v is no CallError", err)
+		t.Fatalf("%v is not a CallError", err)
 	}
 	return ce
 }
 
-// A router between entry and engine forgets one open connection. The stream stops, new connections work.
-// The silence is found, the upstream is probed over a new connection, and the old one is given up.
-func TestSilentConnectionIsProbedAndCondemned(t *testing.T) {
+// Guards against a stream that hangs on a dead connection. A router between instance and engine loses the state of
+// one open connection: the stream stops, while new connections work. The silence is detected, the upstream is probed
+// on a new connection, and the old connection is given up.
+func TestSilentConnectionIsProbedAndInvalidated(t *testing.T) {
 	is := is.New(t)
-	e := serve(t, func(n int, c net.Conn, r *bufio.Reader) {
-		for path := request(r); path != ""; path = request(r) {
+	e := startServer(t, func(n int, c net.Conn, r *bufio.Reader) {
+		for path := readRequest(r); path != ""; path = readRequest(r) {
 			if path == wire.PathPing {
 				answerPing(c)
 				continue
 			}
-			_, _ = io.WriteString(c, head+event(0, "")) // and then nothing more
+			_, _ = io.WriteString(c, streamHead+partChunk(0, "")) // nothing follows
 		}
 	})
 	c := upstream.New()
 	defer c.Close()
 	var notes []decide.Reason
-	s, err := complete(t, c, e.addr(), &notes)
+	s, err := startCompletion(t, c, e.addr(), &notes)
 	is.NoErr(err)
 	_, err = s.Next()
 	is.NoErr(err)
 	_, err = s.Next()
-	ce := callError(t, err)
+	ce := requireCallError(t, err)
 	is.True(ce.Timeout && !ce.UpstreamDead && ce.Sent)
 	is.Equal(notes, []decide.Reason{stream.ReasonProbe, stream.ReasonConnectionDead})
-	is.Equal(e.conns.Load(), int32(2)) // the stream's and the probe's
+	is.Equal(e.conns.Load(), int32(2)) // that of the stream and that of the probe
 }
 
-// Both ends are cut off from each other: neither the stream nor a probe is answered, so the request goes
-// to another upstream.
-func TestDeadUpstreamIsLeft(t *testing.T) {
+// If the network between both ends is partitioned, neither the stream nor a probe is answered. The error reports the
+// upstream as dead, so that the request goes to another one.
+func TestUnreachableUpstreamIsReportedDead(t *testing.T) {
 	is := is.New(t)
-	e := serve(t, func(_ int, _ net.Conn, r *bufio.Reader) {
-		for request(r) != "" {
+	e := startServer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+		for readRequest(r) != "" {
 			continue
 		}
 	})
 	c := upstream.New()
 	defer c.Close()
-	_, err := complete(t, c, e.addr(), nil)
-	ce := callError(t, err)
+	_, err := startCompletion(t, c, e.addr(), nil)
+	ce := requireCallError(t, err)
 	is.True(ce.Timeout && ce.UpstreamDead && ce.Sent)
 }
 
-// An engine computes for long and says so: comment lines are signs of life, though no part comes.
-func TestWorkingEngineIsNotSilent(t *testing.T) {
+// Guards against giving up an engine that computes for a long time. Its comment lines count as activity, although no
+// part arrives.
+func TestCommentLinesKeepStreamAlive(t *testing.T) {
 	is := is.New(t)
-	e := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		request(r)
-		_, _ = io.WriteString(c, head)
+	e := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		readRequest(r)
+		_, _ = io.WriteString(c, streamHead)
 		for range 10 {
-			time.Sleep(gap / 2)
+			time.Sleep(maxSilence / 2)
 			_, _ = io.WriteString(c, chunk(": working\n"))
 		}
-		_, _ = io.WriteString(c, event(0, "stop")+chunk("data: [DONE]\n\n")+"0\r\n\r\n")
+		_, _ = io.WriteString(c, partChunk(0, "stop")+chunk("data: [DONE]\n\n")+"0\r\n\r\n")
 	})
 	c := upstream.New()
 	defer c.Close()
-	s, err := complete(t, c, e.addr(), nil)
+	s, err := startCompletion(t, c, e.addr(), nil)
 	is.NoErr(err)
 	p, err := s.Next()
 	is.NoErr(err)
@@ -184,22 +193,22 @@
 	is.Equal(s.Finish(), 0)
 }
 
-// An engine restarts while connections to it are idle. The first request finds its connection cut; the
-// others' connections must not each cost a request too.
-func TestOneCutIdleConnectionCondemnsTheOthers(t *testing.T) {
+// Guards against a failed dispatch for each idle connection to an engine that restarted. The first request finds its
+// connection closed, and the other idle connections are then not used again.
+func TestClosedIdleConnectionInvalidatesTheOthers(t *testing.T) {
 	is := is.New(t)
 	var restarted atomic.Bool
-	e := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	e := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		defer func() { _ = c.Close() }()
-		for request(r) != "" && !restarted.Load() {
-			_, _ = io.WriteString(c, head+event(0, "stop")+chunk("data: [DONE]\n\n")+"0\r\n\r\n")
+		for readRequest(r) != "" && !restarted.Load() {
+			_, _ = io.WriteString(c, streamHead+partChunk(0, "stop")+chunk("data: [DONE]\n\n")+"0\r\n\r\n")
 		}
 	})
 	c := upstream.New()
 	defer c.Close()
 	var all []*upstream.Stream
 	for range 5 {
-		s, err := complete(t, c, e.addr(), nil)
+		s, err := startCompletion(t, c, e.addr(), nil)
 		is.NoErr(err)
 		all = append(all, s)
 	}
@@ -210,39 +219,39 @@
 	}
 	is.Equal(e.conns.Load(), int32(5))
 	restarted.Store(true)
-	_, err := complete(t, c, e.addr(), nil)
-	is.True(callError(t, err).Sent)
+	_, err := startCompletion(t, c, e.addr(), nil)
+	is.True(requireCallError(t, err).Sent)
 	restarted.Store(false)
-	s, err := complete(t, c, e.addr(), nil)
-	is.NoErr(err) // over a new connection
+	s, err := startCompletion(t, c, e.addr(), nil)
+	is.NoErr(err) // on a new connection
 	is.Equal(e.conns.Load(), int32(6))
 	s.Close()
 }
 
-// Nothing of a request was sent when its connection could not be opened: it is "not run".
-func TestRefusedConnectionHasNotRun(t *testing.T) {
+// If the connection can't be opened, no byte of the request was sent, and the request has not run.
+func TestRefusedConnectionMeansNotRun(t *testing.T) {
 	is := is.New(t)
-	e := serve(t, func(int, net.Conn, *bufio.Reader) {})
+	e := startServer(t, func(int, net.Conn, *bufio.Reader) {})
 	addr := e.addr()
 	e.close()
 	c := upstream.New()
 	defer c.Close()
-	_, err := complete(t, c, addr, nil)
-	is.True(!callError(t, err).MayHaveRun())
+	_, err := startCompletion(t, c, addr, nil)
+	is.True(!requireCallError(t, err).MayHaveRun())
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + addr + "/bookings")
 	_, err = c.CallNewConnection(t.Context(), addr, req, time.Second)
-	is.True(!callError(t, err).MayHaveRun())
+	is.True(!requireCallError(t, err).MayHaveRun())
 }
 
-// A caller goes away while its stream is silent: the wait ends at once, and nothing is left behind.
-func TestCancelWakesASilentStream(t *testing.T) {
+// If the caller goes away while its stream is silent, the wait ends at once and no goroutine is left.
+func TestCancelEndsSilentStream(t *testing.T) {
 	is := is.New(t)
-	e := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		request(r)
-		_, _ = io.WriteString(c, head+event(0, ""))
-		request(r)
+	e := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		readRequest(r)
+		_, _ = io.WriteString(c, streamHead+partChunk(0, ""))
+		readRequest(r)
 	})
 	c := upstream.New()
 	defer c.Close()
@@ -259,8 +268,8 @@
 	is.True(errors.Is(err, gone))
 }
 
-// Whatever an engine writes on a stream, reading it ends, gives no part that isn't JSON, and says
-// "whole" only after the last event.
+// FuzzStream checks that reading a stream ends, returns only parts that are JSON, and reports a complete stream only
+// after the last event, whatever an engine sends.
 func FuzzStream(f *testing.F) {
 	f.Add("data: {\"id\":\"r\",\"offset\":0,\"tokens\":1,\"text\":\"x\"}\n\ndata: [DONE]\n\n")
 	f.Add(": working\n\nevent: x\ndata:{}\ndata: [DONE]")
@@ -268,9 +277,9 @@
 	f.Add("data: [DONE]\ndata: {\"offset\":9}\n")
 	f.Add(strings.Repeat("data:", 1000))
 	f.Fuzz(func(t *testing.T, body string) {
-		whole, parts := upstream.ReadEvents(strings.NewReader(body))
-		if whole && !strings.Contains(body, wire.DoneMark) {
-			t.Fatalf("whole without the last event: %q", body)
+		complete, parts := upstream.ReadParts(strings.NewReader(body))
+		if complete && !strings.Contains(body, wire.DoneMark) {
+			t.Fatalf("stream is complete without its last event: %q", body)
 		}
 		if parts > strings.Count(body, "data:") {
 			t.Fatalf("%d parts out of %q", parts, body)
@@ -278,12 +287,13 @@
 	})
 }
 
-// A stream goes silent and is resumed on the same engine. The cancel of its old dispatch comes after the
-// new one has begun, and ended that too: the caller saw its answer break off. It names the attempts it means.
-func TestCancelNamesItsAttempt(t *testing.T) {
+// Guards against a resumed stream that breaks off. A stream goes silent and resumes on the same engine. The cancel
+// of its old dispatch arrives after the new dispatch has begun, and must not end that too. It therefore states the
+// attempts that it applies to.
+func TestCancelSendsItsAttempt(t *testing.T) {
 	is := is.New(t)
 	attempts := make(chan string, 1)
-	e := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	e := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		var req fasthttp.Request
 		if req.Read(r) == nil {
 			attempts <- string(req.URI().Path()) + " " + string(req.Header.Peek(wire.HeaderAttempt))
--- a/internal/upstream/wire/wire.go
+++ b/internal/upstream/wire/wire.go
@@ -1,12 +1,12 @@
-// Package wire holds the messages, paths and headers that engines and plain services speak with an
-// entry instance. docs/UPSTREAMS.md is the contract in words; the stand-ins and the clients share this.
+// Package wire defines the messages, paths and headers that engines, plain services and instances exchange.
+// docs/UPSTREAMS.md describes the contract in words; the stand-ins and the clients share this package.
 package wire
 
 import (
 	"github.com/cespare/xxhash/v2"
 )
 
-// Headers on calls to upstreams and, for the first group, on callers' requests.
+// Headers of calls to upstreams. Those of the first group are also headers of callers' requests.
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderWorkspace      = "X-Workspace"
@@ -16,18 +16,18 @@
 	HeaderIdempotent     = "X-Idempotent"       // "true" or "false"
 	HeaderIdempotencyKey = "Idempotency-Key"
 
-	HeaderAttempt      = "X-Attempt"       // counts dispatches of one request, from 1
-	HeaderRemaining    = "X-Remaining-Ms"  // milliseconds left for the request
+	HeaderAttempt      = "X-Attempt"       // number of the dispatch among those of one request, from 1
+	HeaderRemaining    = "X-Remaining-Ms"  // milliseconds until the request's deadline
 	HeaderReservation  = "X-Reservation"   // id of the memory reservation that the request uses
-	HeaderResumeOffset = "X-Resume-Offset" // first token that the entry still needs
+	HeaderResumeOffset = "X-Resume-Offset" // index of the first token that the instance still needs
 	HeaderGroup        = "X-Group"         // reservations on other engines for the same request: id@ip:port, comma-separated
-	HeaderNotStarted   = "X-Not-Started"   // "true" on a refusal: the upstream did not start
-	HeaderBootID       = "X-Boot-Id"       // changes whenever the upstream starts anew
-	HeaderRun          = "X-Run"           // to callers: no, yes or unknown
-	HeaderReplayed     = "X-Replayed"      // to callers: the recorded outcome of an earlier run
+	HeaderNotStarted   = "X-Not-Started"   // "true" on a refusal: the upstream did not start the request
+	HeaderBootID       = "X-Boot-Id"       // changes whenever the upstream restarts
+	HeaderRun          = "X-Run"           // to callers: run outcome, one of no, yes or unknown
+	HeaderReplayed     = "X-Replayed"      // to callers: the answer is the recorded outcome of an earlier run
 )
 
-// Paths of an engine. IDs in paths are URL-escaped.
+// Paths of an engine. Ids in paths are URL-escaped.
 const (
 	PathCompletions  = "/v1/completions"
 	PathCancel       = "/v1/cancel/{id}" // POST, idempotent
@@ -42,17 +42,18 @@
 	PathPing         = "/v1/ping"
 )
 
-// BytesPerToken is the rough size of a token in prompt bytes, by which both sides count prompts.
+// BytesPerToken is the approximate size of a token in bytes of a prompt. Both sides use it to count the tokens of
+// prompts.
 const BytesPerToken = 4
 
-// Tokens is the number of tokens of a prompt of n bytes.
+// TokenCount returns the number of tokens of a prompt of n bytes.
 func TokenCount(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
 
-// BlockTokens is the size of a prefix-cache block.
+// BlockTokens is the size of a prefix-cache block in tokens.
 const BlockTokens = 1024
 
-// Blocks gives the chained hashes of the prompt's whole blocks: two prompts share the first n hashes
-// just when they share the first n*BlockTokens tokens.
+// BlockHashes returns the chained hashes of the prompt's complete blocks. Two prompts share the first n hashes
+// exactly if they share the first n*BlockTokens tokens.
 func BlockHashes(prompt []byte) []uint64 {
 	const size = BlockTokens * BytesPerToken
 	hashes := make([]uint64, 0, len(prompt)/size)
@@ -66,7 +67,7 @@
 	return hashes
 }
 
-// Completion is the body of a completions request, from callers and to engines.
+// CompletionRequest is the body of a completions request, from callers and to engines.
 type CompletionRequest struct {
 	Model     string `json:"model"`
 	Adapter   string `json:"adapter,omitempty"`
@@ -75,8 +76,8 @@
 	Stream    bool   `json:"stream,omitempty"`
 }
 
-// Part is one event of a completion stream: data: {json}. Offset is the index of its first token in the
-// whole answer. The last part has a FinishReason and is the end mark; data: [DONE] follows it.
+// Part is one event of a completion stream: data: {json}. Offset is the index of its first token in the whole
+// answer. The last part has a FinishReason and is the end mark. The event data: [DONE] follows it.
 type Part struct {
 	ID           string `json:"id"`
 	Offset       int    `json:"offset"`
@@ -86,7 +87,7 @@
 	Error        string `json:"error,omitempty"`
 }
 
-// Whole is the answer to a completions request without stream.
+// CompletionAnswer is the answer to a completions request without stream.
 type CompletionAnswer struct {
 	ID           string `json:"id"`
 	Model        string `json:"model"`
@@ -98,32 +99,32 @@
 // DoneMark is the data of the event after the last part.
 const DoneMark = "[DONE]"
 
-// Load is an engine's lagging load report.
+// LoadReport is an engine's load report, which lags behind its load.
 type LoadReport struct {
 	BootID       string `json:"boot_id"`
-	Seq          uint64 `json:"seq"`    // grows with each report
-	AgeMs        int64  `json:"age_ms"` // how old the figures are
+	Seq          uint64 `json:"seq"`    // increases with each report
+	AgeMs        int64  `json:"age_ms"` // age of the figures
 	Cold         bool   `json:"cold"`
-	ColdLimit    int    `json:"cold_limit"` // requests at once that it bears while cold
+	ColdLimit    int    `json:"cold_limit"` // requests that it accepts at once while cold
 	Running      int    `json:"running"`
 	Queued       int    `json:"queued"`
-	QueuedTokens int64  `json:"queued_tokens"` // prompt tokens not yet computed
-	MemoryUsed   int64  `json:"memory_used"`   // tokens of KV cache held by work and reservations
-	MemoryTotal  int64  `json:"memory_total"`
-	PrefillRate  int64  `json:"prefill_rate"` // prompt tokens a second
+	QueuedTokens int64  `json:"queued_tokens"` // prompt tokens that are not computed yet
+	MemoryUsed   int64  `json:"memory_used"`   // tokens of KV cache in use by work and reservations
+	MemoryTotal  int64  `json:"memory_total"`  // tokens of KV cache
+	PrefillRate  int64  `json:"prefill_rate"`  // prompt tokens a second
 	Leaving      bool   `json:"leaving"`
-	CacheNext    uint64 `json:"cache_next,omitempty"` // sequence number after the latest published cache event; 0: not told
+	CacheNext    uint64 `json:"cache_next,omitempty"` // sequence number after the latest published cache event; 0: not stated
 }
 
-// CacheEvent tells of one prefix block that entered or left the engine's cache.
+// CacheEvent reports one prefix block that entered the engine's cache, or left it if Drop is set.
 type CacheEvent struct {
 	Seq  uint64 `json:"seq"`
 	Hash uint64 `json:"hash"`
 	Drop bool   `json:"drop,omitempty"`
 }
 
-// CacheEvents answers PathCacheEvents. First is the oldest sequence number still kept: a reader that
-// asked for an older one has a gap.
+// CacheEvents is the answer to PathCacheEvents. First is the oldest sequence number that is still kept. A reader
+// that asked for an older one has missed events.
 type CacheEvents struct {
 	BootID string       `json:"boot_id"`
 	First  uint64       `json:"first"`
@@ -131,27 +132,27 @@
 	Events []CacheEvent `json:"events"`
 }
 
-// Reservation is memory held on one engine for one request or one exported KV cache.
+// Reservation is memory reserved on one engine for one request or one exported KV cache.
 type Reservation struct {
 	ID          string `json:"id"`
-	Holder      string `json:"holder"`      // instance
+	Holder      string `json:"holder"`      // id of the instance
 	Incarnation string `json:"incarnation"` // of the holder
 	Tokens      int64  `json:"tokens"`
-	TTLMs       int64  `json:"ttl_ms"` // in a request: time to live; in a list: time left; 0 where the engine has no expiry
+	TTLMs       int64  `json:"ttl_ms"` // in a request: time to live; in a list: time left; 0 if the engine has no expiry
 	AgeMs       int64  `json:"age_ms,omitempty"`
-	DeadlineMs  int64  `json:"deadline_ms"` // milliseconds until the request it serves has to be over, from its creation
+	DeadlineMs  int64  `json:"deadline_ms"` // ms from the reservation's creation to its request's deadline
 }
 
-// Reservations answers GET PathReservations.
+// Reservations is the answer to GET PathReservations.
 type Reservations struct {
 	BootID       string        `json:"boot_id"`
 	Reservations []Reservation `json:"reservations"`
 }
 
-// Order tells an engine to change what it serves.
+// Order instructs an engine to change what it serves.
 type Order struct {
-	ID      string `json:"id"`    // operation id: an order seen before is not carried out again
-	Fence   uint64 `json:"fence"` // fencing number; older than the highest seen is refused where the engine checks
+	ID      string `json:"id"`    // operation id; an engine doesn't carry out an order twice
+	Fence   uint64 `json:"fence"` // fencing number; an engine that checks it refuses one lower than the highest seen
 	Kind    string `json:"kind"`  // load, unload, role
 	Model   string `json:"model,omitempty"`
 	Version string `json:"version,omitempty"`
@@ -167,14 +168,14 @@
 	Detail string `json:"detail,omitempty"`
 }
 
-// Loaded is one model version in an engine's memory.
+// LoadedModel is one model version in an engine's memory.
 type LoadedModel struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// EngineState answers GET PathState.
+// EngineState is the answer to GET PathState.
 type EngineState struct {
 	BootID       string        `json:"boot_id"`
 	Role         string        `json:"role"`
@@ -190,8 +191,8 @@
 	NotStarted bool   `json:"not_started"`
 }
 
-// KVExport asks an engine to keep a copy of a cached prefix for transfer. The copy counts as a
-// reservation with the export's id until that is released or expires.
+// KVExport asks an engine to keep a copy of a cached prefix for transfer. The copy counts as a reservation with the
+// export's id until it is released or expires.
 type KVExport struct {
 	ID          string   `json:"id"`
 	Holder      string   `json:"holder"`
@@ -201,7 +202,7 @@
 	DeadlineMs  int64    `json:"deadline_ms"`
 }
 
-// KVExported answers PathKVExport: how much of the prefix the engine had.
+// KVExportResult is the answer to PathKVExport: how much of the prefix the engine had.
 type KVExportResult struct {
 	ID     string `json:"id"`
 	Blocks int    `json:"blocks"`
