--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -46,7 +46,7 @@
 
 // Held is a granted claim. Exactly one of Record and Withdraw ends it; if neither does, the key stays
 // unknown and is never run again.
-type Held struct {
+type Grant struct {
 	keeper *Keeper
 	op     claim.Op
 }
@@ -81,7 +81,7 @@
 
 // Claim asks for the right to dispatch a request. Held is nil unless the result's verdict is Granted.
 // When ctx ends first the claim is given up and its request must not be dispatched.
-func (k *Keeper) Claim(ctx context.Context, r Request) (*Held, claim.Result) {
+func (k *Keeper) Claim(ctx context.Context, r Request) (*Grant, claim.Result) {
 	op := claim.Op{
 		Kind: claim.Claim, Key: claim.FullKey(r.Workspace, r.Key), Fingerprint: r.Fingerprint,
 		Token:    claim.Token(fmt.Sprintf("%s.%d", k.cfg.Incarnation, k.tokens.Add(1))),
@@ -92,7 +92,7 @@
 	if res.Verdict != claim.Granted {
 		return nil, res
 	}
-	return &Held{keeper: k, op: op}, res
+	return &Grant{keeper: k, op: op}, res
 }
 
 func (k *Keeper) claim(ctx context.Context, op claim.Op, deadline time.Time) claim.Result {
@@ -121,7 +121,7 @@
 
 // Record keeps the outcome in the background: the caller's answer doesn't wait for the store. Until the
 // store has it, repeats get "in progress"; if the instance dies before, they get "unknown".
-func (h *Held) Record(o claim.Outcome) {
+func (h *Grant) Record(o claim.Outcome) {
 	op := h.op
 	op.Kind, op.Outcome = claim.Record, o
 	h.keeper.submit(op)
@@ -130,7 +130,7 @@
 // RecordWithin is Record, and waits up to wait for the store to have the outcome. It tells whether it has:
 // then a repeat hears it even if this instance dies right after the answer. An outage costs the caller no
 // more than wait.
-func (h *Held) RecordWithin(o claim.Outcome, wait time.Duration) bool {
+func (h *Grant) RecordWithin(o claim.Outcome, wait time.Duration) bool {
 	op := h.op
 	op.Kind, op.Outcome = claim.Record, o
 	answer := h.keeper.submit(op)
@@ -145,7 +145,7 @@
 }
 
 // Withdraw drops the claim of a request that certainly did not run.
-func (h *Held) Withdraw() {
+func (h *Grant) Withdraw() {
 	op := h.op
 	op.Kind = claim.Withdraw
 	h.keeper.submit(op)
--- a/internal/entry/again/again.go
+++ b/internal/entry/again/again.go
@@ -55,13 +55,13 @@
 }
 
 // First counts a request's first dispatch.
-func (r *Retrier) First(w fleet.WorkspaceID, u fleet.UpstreamID) {
+func (r *Retrier) RecordRequest(w fleet.WorkspaceID, u fleet.UpstreamID) {
 	r.budgets(w, u).RecordRequest(r.now())
 }
 
 // After waits until the request may be dispatched again after the failure of a dispatch to u, and gives
 // true; or it gives false as soon as that is known never to be, with the reason.
-func (r *Retrier) After(ctx context.Context, f retry.Failure, w fleet.WorkspaceID, u fleet.UpstreamID) (bool, decide.Reason) {
+func (r *Retrier) AwaitRetry(ctx context.Context, f retry.Failure, w fleet.WorkspaceID, u fleet.UpstreamID) (bool, decide.Reason) {
 	r.all.SetMinRetries(retry.InstanceMinRetries(r.instances()))
 	b := r.budgets(w, u)
 	for {
--- a/internal/entry/callerconn/callerconn.go
+++ b/internal/entry/callerconn/callerconn.go
@@ -13,9 +13,9 @@
 // Listener wraps the accepted connections and bounds how many are open.
 type Listener struct {
 	net.Listener
-	WriteStall time.Duration // a write that makes no progress for so long fails the connection
-	MaxOpen    int64         // connections over it are closed at once; 0: no bound
-	Refused    func()        // called for each connection closed by MaxOpen; may be nil
+	WriteTimeout time.Duration // a write that makes no progress for so long fails the connection
+	MaxOpen      int64         // connections over it are closed at once; 0: no bound
+	OnRefused    func()        // called for each connection closed by MaxOpen; may be nil
 
 	open atomic.Int64
 }
@@ -30,12 +30,12 @@
 		if n := l.open.Add(1); l.MaxOpen > 0 && n > l.MaxOpen {
 			l.open.Add(-1)
 			_ = c.Close()
-			if l.Refused != nil {
-				l.Refused()
+			if l.OnRefused != nil {
+				l.OnRefused()
 			}
 			continue
 		}
-		return &Conn{Conn: c, stall: l.WriteStall, closed: func() { l.open.Add(-1) }}, nil
+		return &Conn{Conn: c, stall: l.WriteTimeout, closed: func() { l.open.Add(-1) }}, nil
 	}
 }
 
--- a/internal/entry/callerconn/idle.go
+++ b/internal/entry/callerconn/idle.go
@@ -10,13 +10,13 @@
 // Idle knows the connections of a server on which no request is under way, so that a planned stop can close
 // them. A caller that kept one would send its next request to an instance that refuses it, and would lose an
 // attempt. The zero value knows none; it is safe for concurrent use.
-type Idle struct {
+type IdleConns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]struct{} // guarded by mu
 }
 
 // Note takes a connection's new state; it is a fasthttp.Server's ConnState.
-func (i *Idle) Note(c net.Conn, s fasthttp.ConnState) {
+func (i *IdleConns) OnStateChange(c net.Conn, s fasthttp.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if s != fasthttp.StateIdle {
@@ -30,7 +30,7 @@
 }
 
 // Close closes all idle connections, and gives how many.
-func (i *Idle) Close() int {
+func (i *IdleConns) CloseAll() int {
 	i.mu.Lock()
 	idle := i.conns
 	i.conns = nil
--- a/internal/entry/command/claims.go
+++ b/internal/entry/command/claims.go
@@ -49,14 +49,14 @@
 	// The caller hears of its booking once the store has it: without that wait an instance that died right
 	// after the answer left the key unknown, and the caller's next question was answered so.
 	held.RecordWithin(decideclaim.Outcome{
-		Run: intake.Ran(a), Status: a.Status, ContentType: a.ContentType, Body: a.Body,
+		Run: intake.RunOutcome(a), Status: a.Status, ContentType: a.ContentType, Body: a.Body,
 	}, recordWait)
 	return a, false, nil
 }
 
 // ended keeps what a failed dispatch means for repeats: what certainly did not run may be asked for again
 // with the same key, all else is final.
-func (c *StoredClaims) ended(held *claim.Held, e *fault.Error) {
+func (c *StoredClaims) ended(held *claim.Grant, e *fault.Error) {
 	if e.Run == fault.RunNo {
 		held.Withdraw()
 		return
--- a/internal/entry/command/command.go
+++ b/internal/entry/command/command.go
@@ -77,7 +77,7 @@
 	defer h.d.Gate.Leave()
 	timed, cancel := context.WithDeadline(h.base, m.Deadline)
 	defer cancel()
-	a, replayed, err := h.run(timed, m, intake.CallOf(ctx))
+	a, replayed, err := h.run(timed, m, intake.ReadCall(ctx))
 	if err != nil {
 		h.refuse(ctx, m, err)
 		return
@@ -85,7 +85,7 @@
 	h.d.Metrics.Counter("answered", "mode", "command").Inc(1)
 	intake.Respond(ctx, m, a)
 	if replayed {
-		intake.Replayed(ctx)
+		intake.MarkReplayed(ctx)
 	}
 }
 
@@ -127,7 +127,7 @@
 			return upstream.Answer{}, err
 		}
 		if attempt == 1 {
-			h.d.Retrier.First(m.Workspace, g.Upstream.ID)
+			h.d.Retrier.RecordRequest(m.Workspace, g.Upstream.ID)
 		}
 		a, failed := h.call(ctx, g, m, t, attempt)
 		if failed == nil {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -46,7 +46,7 @@
 	metrics  *metrics.Registry
 	log      hclog.Logger
 	listener net.Listener
-	idle     callerconn.Idle
+	idle     callerconn.IdleConns
 	served   chan error
 }
 
@@ -75,7 +75,7 @@
 		MaxRequestBodySize:    d.Limits.MaxBodyBytes,
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
-		ConnState:             s.idle.Note,
+		ConnState:             s.idle.OnStateChange,
 		Logger:                httplog.Logger{Log: s.log},
 	}
 	return s
@@ -142,7 +142,7 @@
 }
 
 // Unlisten gives the address back before Serve was called.
-func (s *Server) Unlisten() error { return s.listener.Close() }
+func (s *Server) CloseListener() error { return s.listener.Close() }
 
 // Addr is where callers connect.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
@@ -150,16 +150,16 @@
 // Serve accepts callers until Shutdown.
 func (s *Server) Serve() {
 	watched := &callerconn.Listener{
-		Listener:   s.listener,
-		WriteStall: writeStall,
-		MaxOpen:    int64(s.limits.MaxConnections),
-		Refused:    func() { s.metrics.Counter("connections_refused").Inc(1) },
+		Listener:     s.listener,
+		WriteTimeout: writeStall,
+		MaxOpen:      int64(s.limits.MaxConnections),
+		OnRefused:    func() { s.metrics.Counter("connections_refused").Inc(1) },
 	}
 	s.served <- s.http.Serve(watched)
 }
 
 // CloseIdle closes the connections on which no caller waits, and gives how many.
-func (s *Server) CloseIdle() int { return s.idle.Close() }
+func (s *Server) CloseIdle() int { return s.idle.CloseAll() }
 
 // Shutdown stops listening and waits until open connections are idle and closed, or ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error {
--- a/internal/entry/gate/gate.go
+++ b/internal/entry/gate/gate.go
@@ -53,14 +53,14 @@
 func (g *Gate) Ready() bool { return g.state.Load() == serving }
 
 // Unready makes readiness say no; requests are still served.
-func (g *Gate) Unready() { g.state.CompareAndSwap(serving, unready) }
+func (g *Gate) MarkUnready() { g.state.CompareAndSwap(serving, unready) }
 
 // Refuse refuses new requests from now on.
-func (g *Gate) Refuse() { g.state.Store(refusing) }
+func (g *Gate) RefuseNew() { g.state.Store(refusing) }
 
 // Drained waits until nothing is in flight; call it after Refuse. It gives ctx's error when that ends
 // first.
-func (g *Gate) Drained(ctx context.Context) error {
+func (g *Gate) AwaitIdle(ctx context.Context) error {
 	ch := make(chan struct{})
 	g.idle.Store(&ch)
 	if g.inFlight.Load() == 0 {
--- a/internal/entry/intake/answer.go
+++ b/internal/entry/intake/answer.go
@@ -23,7 +23,7 @@
 }
 
 // FailureOf gives the body for e.
-func FailureOf(id fleet.RequestID, e *fault.Error) Failure {
+func NewFailure(id fleet.RequestID, e *fault.Error) Failure {
 	detail := e.Detail
 	if e.Cause != nil && e.Kind != fault.Internal {
 		detail += ": " + e.Cause.Error()
@@ -37,7 +37,7 @@
 // Refuse writes the final answer for err at once, with Retry-After where coming back makes sense.
 func Refuse(ctx *fasthttp.RequestCtx, id fleet.RequestID, err error) {
 	e := fault.From(err)
-	body, merr := json.Marshal(FailureOf(id, e))
+	body, merr := json.Marshal(NewFailure(id, e))
 	if merr != nil {
 		ctx.Error(merr.Error(), fasthttp.StatusInternalServerError)
 		return
@@ -45,7 +45,7 @@
 	ctx.Response.Reset()
 	ctx.SetStatusCode(e.Kind.Rule().Status)
 	ctx.SetContentType("application/json")
-	Mark(ctx, id, e.Run)
+	SetOutcomeHeaders(ctx, id, e.Run)
 	if wait := e.RetryDelay(); wait > 0 {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter(wait))
 	}
@@ -53,7 +53,7 @@
 }
 
 // Mark puts request id and run outcome on an answer.
-func Mark(ctx *fasthttp.RequestCtx, id fleet.RequestID, run fault.Run) {
+func SetOutcomeHeaders(ctx *fasthttp.RequestCtx, id fleet.RequestID, run fault.Run) {
 	ctx.Response.Header.Set(wire.HeaderRequestID, string(id))
 	ctx.Response.Header.Set(wire.HeaderRun, run.String())
 }
@@ -64,6 +64,6 @@
 }
 
 // Replayed marks an answer as the recorded outcome of an earlier run.
-func Replayed(ctx *fasthttp.RequestCtx) {
+func MarkReplayed(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.Set(wire.HeaderReplayed, "true")
 }
--- a/internal/entry/intake/call.go
+++ b/internal/entry/intake/call.go
@@ -21,7 +21,7 @@
 }
 
 // CallOf reads the call out of a request on /services/{service}/{path:*}.
-func CallOf(ctx *fasthttp.RequestCtx) Call {
+func ReadCall(ctx *fasthttp.RequestCtx) Call {
 	service, _ := ctx.UserValue("service").(string)
 	path, _ := ctx.UserValue("path").(string)
 	if q := ctx.QueryArgs().QueryString(); len(q) > 0 {
@@ -58,13 +58,13 @@
 	if a.ContentType != "" {
 		ctx.SetContentType(a.ContentType)
 	}
-	Mark(ctx, m.ID, Ran(a))
+	SetOutcomeHeaders(ctx, m.ID, RunOutcome(a))
 	ctx.SetBody(a.Body)
 }
 
 // Ran tells whether a call ran whose answer is a. An error of the service's own leaves that open: it may
 // have come before, in or after the work.
-func Ran(a upstream.Answer) fault.Run {
+func RunOutcome(a upstream.Answer) fault.Run {
 	if a.Status >= fasthttp.StatusInternalServerError {
 		return fault.RunUnknown
 	}
--- a/internal/entry/intake/intake.go
+++ b/internal/entry/intake/intake.go
@@ -28,7 +28,7 @@
 
 // What a caller may say.
 const (
-	Unsaid Idempotence = iota
+	Unspecified Idempotence = iota
 	Idempotent
 	NotIdempotent
 )
@@ -157,13 +157,13 @@
 func (p *parser) idempotence() Idempotence {
 	switch v := p.value(wire.HeaderIdempotent); strings.ToLower(v) {
 	case "":
-		return Unsaid
+		return Unspecified
 	case "true":
 		return Idempotent
 	case "false":
 		return NotIdempotent
 	default:
 		p.fail("header %s: %q; allowed: true or false", wire.HeaderIdempotent, v)
-		return Unsaid
+		return Unspecified
 	}
 }
--- a/internal/entry/query/answer.go
+++ b/internal/entry/query/answer.go
@@ -104,7 +104,7 @@
 	}
 	a.began = true
 	a.grant.FirstToken()
-	a.h.limits.FirstByte(a.grant.Upstream, time.Since(a.sentAt), 0)
+	a.h.limits.OnFirstByte(a.grant.Upstream, time.Since(a.sentAt), 0)
 }
 
 func (a *answer) left() time.Duration { return time.Until(a.prompt.meta.Deadline) }
@@ -130,7 +130,7 @@
 	a.grant, a.began, a.sentAt = grant, false, time.Now()
 	a.parts.BeginAttempt(a.attempt)
 	if a.attempt == 1 {
-		a.h.retrier.First(p.meta.Workspace, grant.Upstream.ID)
+		a.h.retrier.RecordRequest(p.meta.Workspace, grant.Upstream.ID)
 	}
 	silence := a.bounds()
 	s, err := a.h.client.Complete(a.ctx, grant.Upstream.Addr, upstream.Completion{
@@ -151,7 +151,7 @@
 // upstream ends before its slot can be another instance's; the answer goes on in another dispatch.
 func (a *answer) bounds() upstream.SilenceLimits {
 	a.until = a.prompt.meta.Deadline
-	if bound, cold := a.h.limits.Bound(a.grant.Upstream); cold && a.left() > bound {
+	if bound, cold := a.h.limits.MaxDispatch(a.grant.Upstream); cold && a.left() > bound {
 		a.until = a.sentAt.Add(bound)
 	}
 	u := a.grant.Upstream
@@ -232,7 +232,7 @@
 
 // again waits until the request may be dispatched again, or gives the final error.
 func (a *answer) again(u *fleet.Upstream, ce *upstream.CallError) error {
-	again, reason := a.h.retrier.After(a.ctx, retry.Failure{
+	again, reason := a.h.retrier.AwaitRetry(a.ctx, retry.Failure{
 		Started: ce.MayHaveRun(), Idempotent: true, Attempts: a.vain, TimeLeft: a.left(),
 		RetryAfter: ce.RetryAfter, OtherUpstream: true,
 	}, a.prompt.meta.Workspace, u.ID)
@@ -255,9 +255,9 @@
 	a.h.limits.OnBoot(a.grant.Upstream, ce.BootID)
 	switch {
 	case ce.UpstreamDead:
-		a.h.limits.Evidence(a.grant.Upstream, health.NoReply)
+		a.h.limits.RecordEvidence(a.grant.Upstream, health.NoReply)
 	case !ce.Sent:
-		a.h.limits.Evidence(a.grant.Upstream, health.ConnReset)
+		a.h.limits.RecordEvidence(a.grant.Upstream, health.ConnReset)
 	}
 }
 
@@ -304,7 +304,7 @@
 	}
 	g := a.grant
 	if g != nil && a.began {
-		a.h.limits.LastByte(g.Upstream)
+		a.h.limits.OnLastByte(g.Upstream)
 	}
 	a.grant, a.began = nil, false
 	return g
--- a/internal/entry/query/handler.go
+++ b/internal/entry/query/handler.go
@@ -54,21 +54,21 @@
 // Limits are told how dispatches go, and bound those to cold upstreams; warm.Limits are.
 type Limits interface {
 	// Bound is the longest time of one dispatch to the upstream, if there is one.
-	Bound(u *fleet.Upstream) (time.Duration, bool)
-	FirstByte(u *fleet.Upstream, took, expected time.Duration)
-	LastByte(u *fleet.Upstream)
+	MaxDispatch(u *fleet.Upstream) (time.Duration, bool)
+	OnFirstByte(u *fleet.Upstream, took, expected time.Duration)
+	OnLastByte(u *fleet.Upstream)
 	OnBoot(u *fleet.Upstream, bootID string)
-	Evidence(u *fleet.Upstream, e health.Event)
+	RecordEvidence(u *fleet.Upstream, e health.Event)
 }
 
 // noLimits bound nothing.
 type noLimits struct{}
 
-func (noLimits) Bound(*fleet.Upstream) (time.Duration, bool)             { return 0, false }
-func (noLimits) FirstByte(*fleet.Upstream, time.Duration, time.Duration) {}
-func (noLimits) LastByte(*fleet.Upstream)                                {}
-func (noLimits) OnBoot(*fleet.Upstream, string)                          {}
-func (noLimits) Evidence(*fleet.Upstream, health.Event)                  {}
+func (noLimits) MaxDispatch(*fleet.Upstream) (time.Duration, bool)         { return 0, false }
+func (noLimits) OnFirstByte(*fleet.Upstream, time.Duration, time.Duration) {}
+func (noLimits) OnLastByte(*fleet.Upstream)                                {}
+func (noLimits) OnBoot(*fleet.Upstream, string)                            {}
+func (noLimits) RecordEvidence(*fleet.Upstream, health.Event)              {}
 
 // Handler serves queries.
 type Handler struct {
@@ -154,7 +154,7 @@
 		return
 	}
 	h.metrics.Histogram("first_token_ms", "length", lengthClass(p.tokens)).Update(time.Since(began).Milliseconds())
-	intake.Mark(ctx, meta.ID, fault.RunYes)
+	intake.SetOutcomeHeaders(ctx, meta.ID, fault.RunYes)
 	if p.stream {
 		ctx.SetContentType("text/event-stream")
 		ctx.Response.Header.Set(fasthttp.HeaderCacheControl, "no-store")
@@ -262,7 +262,7 @@
 			e := fault.From(err)
 			s.h.count("broken_off", "kind", e.Kind.String())
 			s.h.log.Warn("broken off", "request", s.prompt.meta.ID, "kind", e.Kind, "run", e.Run, "detail", e.Detail)
-			_ = event(w, intake.FailureOf(s.prompt.meta.ID, e))
+			_ = event(w, intake.NewFailure(s.prompt.meta.ID, e))
 			return
 		}
 	}
--- a/internal/entry/query/read.go
+++ b/internal/entry/query/read.go
@@ -29,7 +29,7 @@
 	defer h.gate.Leave()
 	timed, cancel := context.WithDeadline(h.base, m.Deadline)
 	defer cancel()
-	a, err := h.read(timed, m, intake.CallOf(ctx))
+	a, err := h.read(timed, m, intake.ReadCall(ctx))
 	if err != nil {
 		h.refuse(ctx, m, err)
 		return
@@ -73,7 +73,7 @@
 		return upstream.Answer{}, false, r.refused(err)
 	}
 	if r.attempt == 1 {
-		r.h.retrier.First(r.meta.Workspace, g.Upstream.ID)
+		r.h.retrier.RecordRequest(r.meta.Workspace, g.Upstream.ID)
 	}
 	a, failed := r.call(g)
 	if failed == nil {
@@ -83,7 +83,7 @@
 		r.run = fault.RunUnknown
 	}
 	r.tried = append(r.tried, g.Upstream.ID)
-	again, reason := r.h.retrier.After(r.ctx, retry.Failure{
+	again, reason := r.h.retrier.AwaitRetry(r.ctx, retry.Failure{
 		Started: failed.MayHaveRun(), Idempotent: true, Attempts: r.attempt, TimeLeft: time.Until(r.meta.Deadline),
 		RetryAfter: failed.RetryAfter, OtherUpstream: true,
 	}, r.meta.Workspace, g.Upstream.ID)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -72,7 +72,7 @@
 	deps           Deps
 	http           *fasthttp.Server
 	listener       net.Listener
-	idle           callerconn.Idle
+	idle           callerconn.IdleConns
 	serveErr       chan error // result of the HTTP server
 	listeningSince time.Time  // zero: not listening yet
 	log            hclog.Logger
@@ -95,7 +95,7 @@
 		NoDefaultContentType:  true,
 		NoDefaultDate:         true,
 		CloseOnShutdown:       true,
-		ConnState:             g.idle.Note,
+		ConnState:             g.idle.OnStateChange,
 		Logger:                httplog.Logger{Log: g.log},
 	}
 	return g
@@ -118,14 +118,14 @@
 // Serve accepts callers until Shutdown.
 func (g *Gateway) Serve() {
 	watched := &callerconn.Listener{
-		Listener: g.listener, WriteStall: g.deps.Limits.WriteStall, MaxOpen: int64(g.deps.Limits.MaxConnections),
-		Refused: func() { g.deps.Metrics.Counter("connections_refused").Inc(1) },
+		Listener: g.listener, WriteTimeout: g.deps.Limits.WriteStall, MaxOpen: int64(g.deps.Limits.MaxConnections),
+		OnRefused: func() { g.deps.Metrics.Counter("connections_refused").Inc(1) },
 	}
 	g.serveErr <- g.http.Serve(watched)
 }
 
 // CloseIdle closes the connections without a request and returns their number.
-func (g *Gateway) CloseIdle() int { return g.idle.Close() }
+func (g *Gateway) CloseIdle() int { return g.idle.CloseAll() }
 
 // Shutdown stops listening and waits until open connections are idle and closed, or ctx ends.
 func (g *Gateway) Shutdown(ctx context.Context) error {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -101,7 +101,7 @@
 		return errors.Join(err, p.Follower.Close())
 	}
 	if err := p.Operators.listen(p.Settings.Listen.Operators); err != nil {
-		return errors.Join(err, p.Callers.Unlisten(), p.Follower.Close())
+		return errors.Join(err, p.Callers.CloseListener(), p.Follower.Close())
 	}
 	n.run(func(context.Context) { p.Callers.Serve() })
 	n.run(func(context.Context) { p.Operators.serve() })
@@ -192,11 +192,11 @@
 	limit, cancel := context.WithTimeout(context.Background(), time.Duration(p.Settings.Intervals.StopTimeout))
 	defer cancel()
 	p.Log.Info("stopping", "in_flight", p.Gate.InFlight())
-	p.Gate.Unready()
+	p.Gate.MarkUnready()
 	wait.For(limit, lag)
-	p.Gate.Refuse()
+	p.Gate.RefuseNew()
 	p.Log.Info("refusing new requests", "in_flight", p.Gate.InFlight(), "idle_closed", p.Callers.CloseIdle())
-	err := p.Gate.Drained(limit)
+	err := p.Gate.AwaitIdle(limit)
 	if err == nil {
 		return nil
 	}
--- a/internal/warm/follow.go
+++ b/internal/warm/follow.go
@@ -73,12 +73,12 @@
 	for _, u := range v.Upstreams {
 		switch state := l.State(u); {
 		case !u.Takes() && state != health.Leaving:
-			l.Evidence(u, health.Listed)
-			l.Evidence(u, health.IsLeaving)
+			l.RecordEvidence(u, health.Listed)
+			l.RecordEvidence(u, health.IsLeaving)
 		case u.Takes() && state == health.Leaving:
-			l.Evidence(u, health.IsBack)
+			l.RecordEvidence(u, health.IsBack)
 		case u.Takes() && state == health.Gone:
-			l.Evidence(u, health.Listed)
+			l.RecordEvidence(u, health.Listed)
 		}
 	}
 	l.ups.Range(func(id, up any) bool { return l.unlisted(v, id.(fleet.UpstreamID), up.(*upstream)) })
@@ -90,7 +90,7 @@
 	switch {
 	case v.Upstream(id) != nil:
 	case up.caps.Load().state != health.Gone:
-		l.Evidence(&fleet.Upstream{ID: id}, health.Unlisted)
+		l.RecordEvidence(&fleet.Upstream{ID: id}, health.Unlisted)
 	case up.inFlight.Load() == 0:
 		l.ups.Delete(id)
 	}
--- a/internal/warm/limits.go
+++ b/internal/warm/limits.go
@@ -146,16 +146,16 @@
 
 // Bound is the longest time that one dispatch to the upstream may take, and whether there is one: what is
 // sent to a cold upstream ends before its slot can be another instance's.
-func (l *Limits) Bound(u *fleet.Upstream) (time.Duration, bool) {
+func (l *Limits) MaxDispatch(u *fleet.Upstream) (time.Duration, bool) {
 	return l.cfg.Params.MaxDispatch, l.upstream(u).caps.Load().FromSlots
 }
 
 // FirstByte notes that the first byte of a dispatch came after took. LastByte must follow, before Done.
-func (l *Limits) FirstByte(u *fleet.Upstream, took, expected time.Duration) {
+func (l *Limits) OnFirstByte(u *fleet.Upstream, took, expected time.Duration) {
 	up := l.upstream(u)
 	unanswered := up.inFlight.Load() - up.answered.Add(1) + 1
 	if expected > 0 && health.IsSlowFirstByte(took, expected) {
-		l.Evidence(u, health.SlowFirstByte)
+		l.RecordEvidence(u, health.SlowFirstByte)
 		return
 	}
 	if up.caps.Load().state == health.Warming {
@@ -171,7 +171,7 @@
 }
 
 // LastByte ends a dispatch whose first byte had come.
-func (l *Limits) LastByte(u *fleet.Upstream) { l.upstream(u).answered.Add(-1) }
+func (l *Limits) OnLastByte(u *fleet.Upstream) { l.upstream(u).answered.Add(-1) }
 
 // Done gives a place back.
 func (l *Limits) Done(u *fleet.Upstream, o route.Outcome) {
@@ -183,7 +183,7 @@
 			l.succeeded(u, up)
 		}
 	case route.Failed:
-		l.Evidence(u, health.Errored)
+		l.RecordEvidence(u, health.Errored)
 	}
 }
 
@@ -201,7 +201,7 @@
 }
 
 // Evidence takes what else was seen of an upstream, as that it refused a connection.
-func (l *Limits) Evidence(u *fleet.Upstream, e health.Event) {
+func (l *Limits) RecordEvidence(u *fleet.Upstream, e health.Event) {
 	up := l.upstream(u)
 	up.mu.Lock()
 	defer up.mu.Unlock()
@@ -242,7 +242,7 @@
 }
 
 // OnSilent takes note that a report or probe was not answered.
-func (l *Limits) OnSilent(u *fleet.Upstream, _ error) { l.Evidence(u, health.NoReply) }
+func (l *Limits) OnSilent(u *fleet.Upstream, _ error) { l.RecordEvidence(u, health.NoReply) }
 
 // on applies an event; up.mu is held.
 func (l *Limits) on(id fleet.UpstreamID, up *upstream, e health.Event) {
--- a/internal/warm/probe.go
+++ b/internal/warm/probe.go
@@ -69,8 +69,8 @@
 	up.mu.Unlock()
 	switch {
 	case proven:
-		l.Evidence(u, health.ProbationPassed)
+		l.RecordEvidence(u, health.ProbationPassed)
 	case newer:
-		l.Evidence(u, health.ProbeAnswered)
+		l.RecordEvidence(u, health.ProbeAnswered)
 	}
 }
--- a/internal/warm/warm_test.go
+++ b/internal/warm/warm_test.go
@@ -93,7 +93,7 @@
 		is.True(n <= 1)
 		is.Equal(b.Open(e), false)
 		sum += n
-		_, bounded := b.Bound(e)
+		_, bounded := b.MaxDispatch(e)
 		is.True(bounded)
 	}
 	is.Equal(sum, 4)
@@ -135,8 +135,8 @@
 	b.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now())
 	is.Equal(b.State(e), health.Warming) // load grows anew
 	for range 63 {
-		b.FirstByte(e, time.Millisecond, 0)
-		b.LastByte(e)
+		b.OnFirstByte(e, time.Millisecond, 0)
+		b.OnLastByte(e)
 	}
 	is.Equal(b.State(e), health.Warm)
 	b.OnLoad(e, wire.LoadReport{BootID: "b2", ColdLimit: 2}, time.Now())
@@ -176,10 +176,10 @@
 	b.OnLoad(e, wire.LoadReport{BootID: "b1"}, time.Now())
 	for range 50 {
 		is.True(b.Allow(e))
-		b.FirstByte(e, time.Millisecond, 0)
+		b.OnFirstByte(e, time.Millisecond, 0)
 	}
 	for range 50 {
-		b.LastByte(e)
+		b.OnLastByte(e)
 		b.Done(e, route.OK)
 	}
 	is.Equal(b.take(e), 16)
