--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,5 +1,5 @@
-// Package claim is the shell of claims on idempotency keys: it carries the decisions of decide/claim out
-// against the object API. See docs/design/at-most-once.md.
+// Package claim executes the decisions of decide/claim on idempotency keys: it makes the store calls and sets the
+// timers. See docs/design/at-most-once.md.
 package claim
 
 import (
@@ -17,48 +17,49 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects"
 )
 
-// Config is what a Keeper needs besides the store.
+// Config holds the settings and clocks of a Keeper.
 type Config struct {
 	Limits      claim.Limits
-	Incarnation string        // unique to this run of the process; part of tokens and write ids
-	CallTimeout time.Duration // of one store call; 0: DefaultCallTimeout
-	Now         func() decide.Instant
-	Wall        func() claim.WallTime
+	Incarnation string                // unique to this run of the process; part of tokens and write ids
+	CallTimeout time.Duration         // timeout of one store call; 0: DefaultCallTimeout
+	Now         func() decide.Instant // monotonic clock
+	Wall        func() claim.WallTime // wall clock
 }
 
-// DefaultCallTimeout bounds a store call. A keyed request waits at most a read and a write.
+// DefaultCallTimeout is the timeout of a store call. A keyed request waits for at most one read and one write.
 const DefaultCallTimeout = time.Second
 
-// Clocks gives the process's clocks for a Config.
+// Clocks returns the process's clocks for a Config: now is monotonic and starts at zero with this call, wall is the
+// wall clock.
 func Clocks() (now func() decide.Instant, wall func() claim.WallTime) {
 	start := time.Now()
 	return func() decide.Instant { return decide.Instant(time.Since(start)) },
 		func() claim.WallTime { return claim.WallTime(time.Now().UnixMilli()) }
 }
 
-// Request is one keyed request.
+// Request describes a request that carries an idempotency key.
 type Request struct {
 	Workspace   string
 	Key         string
-	Fingerprint string // of everything that makes the request what it is
+	Fingerprint string // hash of the call; a repeat with another one is refused
 	Deadline    time.Time
 }
 
-// Held is a granted claim. Exactly one of Record and Withdraw ends it; if neither does, the key stays
-// unknown and is never run again.
+// Grant is a granted claim. The holder calls exactly one of Record, RecordWithin and Withdraw. Without any of them
+// the outcome of the key stays unknown and its request is never run again.
 type Grant struct {
 	keeper *Keeper
 	op     claim.Op
 }
 
-// Keeper claims keys and keeps outcomes. It is safe for concurrent use.
+// Keeper claims keys and records outcomes in the object store. It is safe for concurrent use.
 type Keeper struct {
 	store  objects.Store
 	cfg    Config
 	log    hclog.Logger
 	tokens atomic.Uint64
 
-	base   context.Context // of store calls
+	base   context.Context // parent of the contexts of store calls; canceled by Close
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
@@ -67,7 +68,7 @@
 	closed bool              // guarded by mu
 }
 
-// New gives a Keeper; Close ends it.
+// New returns a Keeper; Close stops it.
 func New(store objects.Store, cfg Config, log hclog.Logger) *Keeper {
 	if cfg.CallTimeout == 0 {
 		cfg.CallTimeout = DefaultCallTimeout
@@ -79,8 +80,8 @@
 	}
 }
 
-// Claim asks for the right to dispatch a request. Held is nil unless the result's verdict is Granted.
-// When ctx ends first the claim is given up and its request must not be dispatched.
+// Claim claims the key of a request before it is dispatched. The Grant is nil unless the verdict of the result is
+// Granted, and without a Grant the request must not be dispatched. If ctx ends first, the claim is canceled.
 func (k *Keeper) Claim(ctx context.Context, r Request) (*Grant, claim.Result) {
 	op := claim.Op{
 		Kind: claim.Claim, Key: claim.FullKey(r.Workspace, r.Key), Fingerprint: r.Fingerprint,
@@ -95,22 +96,23 @@
 	return &Grant{keeper: k, op: op}, res
 }
 
+// claim submits op, a claim, and returns its result. A grant that arrives after the deadline is withdrawn.
 func (k *Keeper) claim(ctx context.Context, op claim.Op, deadline time.Time) claim.Result {
 	unavailable := claim.Result{Verdict: claim.Unavailable, Run: fault.RunNo}
 	s := k.shard(op.Key)
 	if s == nil {
 		return unavailable
 	}
-	id, answer := s.submit(op)
+	id, response := s.submit(op)
 	var res claim.Result
 	select {
-	case res = <-answer:
+	case res = <-response:
 	case <-ctx.Done():
-		s.giveUp(id)
-		res = <-answer
+		s.cancel(id)
+		res = <-response
 	}
-	// An instance that was paused may find an old grant here. The clock that ran on meanwhile says so even
-	// before its timers do.
+	// After a pause of the process this may be a grant whose deadline has passed. The clock shows that even if the
+	// context's timer has not fired yet.
 	if res.Verdict == claim.Granted && (ctx.Err() != nil || !time.Now().Before(deadline)) {
 		op.Kind = claim.Withdraw
 		s.submit(op)
@@ -119,50 +121,51 @@
 	return res
 }
 
-// Record keeps the outcome in the background: the caller's answer doesn't wait for the store. Until the
-// store has it, repeats get "in progress"; if the instance dies before, they get "unknown".
-func (h *Grant) Record(o claim.Outcome) {
-	op := h.op
+// Record records the outcome in the background and returns at once. Until the outcome is in the store, repeats are
+// answered with "in progress"; if the instance dies before that, with "unknown".
+func (g *Grant) Record(o claim.Outcome) {
+	op := g.op
 	op.Kind, op.Outcome = claim.Record, o
-	h.keeper.submit(op)
+	g.keeper.submit(op)
 }
 
-// RecordWithin is Record, and waits up to wait for the store to have the outcome. It tells whether it has:
-// then a repeat hears it even if this instance dies right after the answer. An outage costs the caller no
-// more than wait.
-func (h *Grant) RecordWithin(o claim.Outcome, wait time.Duration) bool {
-	op := h.op
+// RecordWithin is like Record, but waits up to timeout until the outcome is in the store. It reports whether the
+// outcome is there; then repeats get it even if this instance dies right after the answer. During an outage of the
+// store it delays the caller by no more than timeout.
+func (g *Grant) RecordWithin(o claim.Outcome, timeout time.Duration) bool {
+	op := g.op
 	op.Kind, op.Outcome = claim.Record, o
-	answer := h.keeper.submit(op)
-	timer := time.NewTimer(wait)
+	response := g.keeper.submit(op)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case res := <-answer:
+	case res := <-response:
 		return res.Verdict != claim.Unavailable
 	case <-timer.C:
 		return false
 	}
 }
 
-// Withdraw drops the claim of a request that certainly did not run.
-func (h *Grant) Withdraw() {
-	op := h.op
+// Withdraw deletes the claim of a request that is known not to have run.
+func (g *Grant) Withdraw() {
+	op := g.op
 	op.Kind = claim.Withdraw
-	h.keeper.submit(op)
+	g.keeper.submit(op)
 }
 
-// submit gives the channel of the operation's answer; of a closed Keeper it never answers.
+// submit queues op and returns the channel on which its result arrives. On a closed Keeper the channel is nil and the
+// operation is lost.
 func (k *Keeper) submit(op claim.Op) <-chan claim.Result {
 	s := k.shard(op.Key)
 	if s == nil {
 		k.log.Error("claim", "reason", claim.Unavailable.Reason(), "key", op.Key, "lost", "outcome")
 		return nil
 	}
-	_, answer := s.submit(op)
-	return answer
+	_, response := s.submit(op)
+	return response
 }
 
-// shard gives the key's shard, or nil once the Keeper is closed.
+// shard returns the shard of the key and counts a use of it. It returns nil once the Keeper is closed.
 func (k *Keeper) shard(fullKey string) *shard {
 	name := claim.Place(fullKey)
 	k.mu.Lock()
@@ -175,16 +178,16 @@
 		s = newShard(k, name)
 		k.shards[name] = s
 	}
-	s.users++
+	s.uses++
 	return s
 }
 
-// Flush waits until nothing waits for the store, or for ctx.
+// Flush waits until no operation is queued or in flight. It returns an error if ctx ends first.
 func (k *Keeper) Flush(ctx context.Context) error {
-	tick := time.NewTicker(flushPoll)
+	tick := time.NewTicker(flushPollInterval)
 	defer tick.Stop()
 	for {
-		n := k.waiting()
+		n := k.pending()
 		if n == 0 {
 			return nil
 		}
@@ -196,23 +199,25 @@
 	}
 }
 
-const flushPoll = 10 * time.Millisecond
+// flushPollInterval is the interval at which Flush checks for pending operations.
+const flushPollInterval = 10 * time.Millisecond
 
-func (k *Keeper) waiting() int {
+// pending returns the number of operations that are queued or in flight, over all shards.
+func (k *Keeper) pending() int {
 	k.mu.Lock()
-	all := make([]*shard, 0, len(k.shards))
+	shards := make([]*shard, 0, len(k.shards))
 	for _, s := range k.shards {
-		all = append(all, s)
+		shards = append(shards, s)
 	}
 	k.mu.Unlock()
 	n := 0
-	for _, s := range all {
-		n += s.waiting()
+	for _, s := range shards {
+		n += s.pending()
 	}
 	return n
 }
 
-// Close ends the Keeper. What was not flushed stays "unknown" in the store.
+// Close stops the Keeper. The keys of claims whose outcomes were not flushed stay "unknown" in the store.
 func (k *Keeper) Close() {
 	k.mu.Lock()
 	k.closed = true
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -23,23 +23,24 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var errLost = errors.New("answer lost")
+var errAnswerLost = errors.New("answer lost")
 
-// faultyStore is the object API with faults that a test switches on.
+// faultyStore is an object store with faults that a test switches on.
 type faultyStore struct {
 	objects.Store
-	loseAnswers atomic.Int32 // of so many writes that take effect
-	loseWrites  atomic.Int32 // so many writes without effect
-	down        atomic.Bool
-	hang        atomic.Bool
+	loseAnswers atomic.Int32 // number of writes to apply and answer with errAnswerLost
+	dropWrites  atomic.Int32 // number of writes to drop and answer with errAnswerLost
+	unavailable atomic.Bool
+	hanging     atomic.Bool
 	writes      atomic.Int32
 }
 
+// blocked returns the error of a call while the store is unavailable or hanging, and nil otherwise.
 func (s *faultyStore) blocked(ctx context.Context) error {
-	if s.down.Load() {
+	if s.unavailable.Load() {
 		return objects.ErrUnavailable
 	}
-	if s.hang.Load() {
+	if s.hanging.Load() {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -58,17 +59,17 @@
 		return 0, err
 	}
 	s.writes.Add(1)
-	if s.loseWrites.Add(-1) >= 0 {
-		return 0, errLost
+	if s.dropWrites.Add(-1) >= 0 {
+		return 0, errAnswerLost
 	}
 	v, err := s.Store.Put(ctx, w)
 	if err == nil && s.loseAnswers.Add(-1) >= 0 {
-		return 0, errLost
+		return 0, errAnswerLost
 	}
 	return v, err
 }
 
-func keeper(t *testing.T, store objects.Store, name string) *shell.Keeper {
+func newKeeper(t *testing.T, store objects.Store, name string) *shell.Keeper {
 	t.Helper()
 	now, wall := shell.Clocks()
 	limits := claim.DefaultLimits()
@@ -93,18 +94,18 @@
 	}
 }
 
-// A guest's booking is sent to one entry, its answer is lost on the way, and the app repeats it through
-// another entry. The repeat gets the recorded outcome, byte for byte, and nothing is booked again.
-func TestRepeatThroughAnotherEntry(t *testing.T) {
+// The answer to a booking is lost and the client repeats it through another instance. The repeat gets the recorded
+// outcome byte for byte, and nothing is booked again.
+func TestRepeatThroughAnotherInstanceReplaysOutcome(t *testing.T) {
 	is := is.New(t)
 	store := memory.New()
-	a, b := keeper(t, store, "a"), keeper(t, store, "b")
-	held, r := a.Claim(t.Context(), request("k"))
+	a, b := newKeeper(t, store, "a"), newKeeper(t, store, "b")
+	grant, r := a.Claim(t.Context(), request("k"))
 	is.Equal(r.Verdict, claim.Granted)
 	_, r = b.Claim(t.Context(), request("k"))
 	is.Equal(r.Verdict, claim.InProgress)
 	outcome := claim.Outcome{Run: fault.RunYes, Status: 201, ContentType: "application/json", Body: []byte(`{"hut":7}`)}
-	held.Record(outcome)
+	grant.Record(outcome)
 	flush(t, a)
 	_, r = b.Claim(t.Context(), request("k"))
 	is.Equal(r.Verdict, claim.Replay)
@@ -115,25 +116,25 @@
 	is.Equal(r.Fault().Kind, fault.KeyReused)
 }
 
-// Many repeats of few keys through two entries at once, while answers and writes are lost: each key is
-// granted once, and every other attempt ends as in progress or with the one outcome.
-func TestOneGrantUnderLossAndConcurrency(t *testing.T) {
+// Two instances receive many concurrent repeats of a few keys while answers and writes of the store are lost. Each key
+// is granted once; every other attempt ends as in progress or with the recorded outcome.
+func TestKeyGrantedOnceUnderLossAndConcurrency(t *testing.T) {
 	is := is.New(t)
 	store := &faultyStore{Store: memory.New()}
 	store.loseAnswers.Store(7)
-	store.loseWrites.Store(5)
-	entries := []*shell.Keeper{keeper(t, store, "a"), keeper(t, store, "b")}
+	store.dropWrites.Store(5)
+	keepers := []*shell.Keeper{newKeeper(t, store, "a"), newKeeper(t, store, "b")}
 	const keys, repeats = 20, 6
 	var granted [keys]atomic.Int32
 	var wg sync.WaitGroup
 	for i := range keys * repeats {
 		wg.Go(func() {
 			key := i % keys
-			held, r := entries[i/keys%2].Claim(t.Context(), request(fmt.Sprint("k", key)))
+			grant, r := keepers[i/keys%2].Claim(t.Context(), request(fmt.Sprint("k", key)))
 			switch r.Verdict {
 			case claim.Granted:
 				granted[key].Add(1)
-				held.Record(claim.Outcome{Run: fault.RunYes, Status: 200, Body: []byte(fmt.Sprint(key))})
+				grant.Record(claim.Outcome{Run: fault.RunYes, Status: 200, Body: []byte(fmt.Sprint(key))})
 			case claim.Replay:
 				if string(r.Outcome.Body) != fmt.Sprint(key) {
 					t.Errorf("key %d replayed %q", key, r.Outcome.Body)
@@ -150,93 +151,93 @@
 	}
 }
 
-// The store hangs. A keyed request is refused "not run" with a time to come back, and once the store is
-// known to be down the next ones don't wait for it; when it is back, the key is free again.
-func TestStoreOutage(t *testing.T) {
-	for _, fails := range []string{"hangs", "refuses"} {
-		t.Run(fails, func(t *testing.T) {
+// The store hangs or refuses calls. A keyed request is refused as not run, with a delay before a retry. Once the store
+// is available again, the key can be claimed.
+func TestStoreOutageRefusesAsNotRun(t *testing.T) {
+	for _, failure := range []string{"hangs", "refuses"} {
+		t.Run(failure, func(t *testing.T) {
 			is := is.New(t)
 			store := &faultyStore{Store: memory.New()}
-			store.hang.Store(fails == "hangs")
-			store.down.Store(fails == "refuses")
-			k := keeper(t, store, "a")
+			store.hanging.Store(failure == "hangs")
+			store.unavailable.Store(failure == "refuses")
+			k := newKeeper(t, store, "a")
 			_, r := k.Claim(t.Context(), request("k"))
 			f := r.Fault()
 			is.Equal(f.Kind, fault.StoreUnavailable)
 			is.Equal(f.Run, fault.RunNo)
 			is.True(f.RetryDelay() > 0)
-			store.hang.Store(false)
-			store.down.Store(false)
-			flush(t, k) // the withdrawal of the refused claim
+			store.hanging.Store(false)
+			store.unavailable.Store(false)
+			flush(t, k) // until the refused claim is withdrawn
 			_, r = k.Claim(t.Context(), request("k"))
 			is.Equal(r.Verdict, claim.Granted)
 		})
 	}
 }
 
-// The store goes down while a booking runs at the service. Its outcome waits for the store and is kept.
-func TestOutcomeOutlastsAnOutage(t *testing.T) {
+// The store becomes unavailable while a booking runs. The outcome is written once the store is available again.
+func TestOutcomeRecordedAfterOutage(t *testing.T) {
 	is := is.New(t)
 	store := &faultyStore{Store: memory.New()}
-	a, b := keeper(t, store, "a"), keeper(t, store, "b")
-	held, _ := a.Claim(t.Context(), request("k"))
-	store.down.Store(true)
-	held.Record(claim.Outcome{Run: fault.RunYes, Status: 201})
-	time.Sleep(20 * time.Millisecond) // several failed tries; more or fewer change nothing
-	store.down.Store(false)
+	a, b := newKeeper(t, store, "a"), newKeeper(t, store, "b")
+	grant, _ := a.Claim(t.Context(), request("k"))
+	store.unavailable.Store(true)
+	grant.Record(claim.Outcome{Run: fault.RunYes, Status: 201})
+	time.Sleep(20 * time.Millisecond) // time for several failed attempts; their number does not matter
+	store.unavailable.Store(false)
 	flush(t, a)
 	_, r := b.Claim(t.Context(), request("k"))
 	is.Equal(r.Verdict, claim.Replay)
 }
 
-// The caller's time runs out while the store hangs with the claim's write, which takes effect later. The
-// refusal said "not run", so the key must come free.
-func TestGivenUpClaimComesFree(t *testing.T) {
+// The deadline passes while the store hangs on the write of the claim, which takes effect later. The request was
+// refused as not run, so the key must become free.
+func TestCanceledClaimFreesKey(t *testing.T) {
 	is := is.New(t)
 	store := &faultyStore{Store: memory.New()}
-	k := keeper(t, store, "a")
-	_, r := k.Claim(t.Context(), request("warm")) // so that the shard's copy is loaded or not, as it may
+	k := newKeeper(t, store, "a")
+	_, r := k.Claim(t.Context(), request("warm")) // may load the copy of the shard beforehand
 	is.Equal(r.Verdict, claim.Granted)
 	store.loseAnswers.Store(1)
-	store.hang.Store(true)
+	store.hanging.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	_, r = k.Claim(ctx, request("k"))
 	is.Equal(r.Verdict, claim.Unavailable)
-	store.hang.Store(false)
+	store.hanging.Store(false)
 	flush(t, k)
-	_, r = keeper(t, store, "b").Claim(t.Context(), request("k"))
+	_, r = newKeeper(t, store, "b").Claim(t.Context(), request("k"))
 	is.Equal(r.Verdict, claim.Granted)
 }
 
-// An entry is paused between its claim and its dispatch and wakes after the deadline. Its timers have not
-// run yet, but the clock has: nothing is dispatched, and the key comes free.
-func TestGrantAfterTheDeadlineIsNotUsed(t *testing.T) {
+// A process is paused between claim and dispatch and resumes after the deadline, before its timers have fired. The
+// clock shows that the deadline has passed: nothing is dispatched, and the key becomes free.
+func TestGrantAfterDeadlineIsWithdrawn(t *testing.T) {
 	is := is.New(t)
 	store := memory.New()
-	k := keeper(t, store, "a")
+	k := newKeeper(t, store, "a")
 	late := request("k")
 	late.Deadline = time.Now().Add(-time.Millisecond)
-	held, r := k.Claim(t.Context(), late)
-	is.True(held == nil)
+	grant, r := k.Claim(t.Context(), late)
+	is.True(grant == nil)
 	is.Equal(r.Verdict, claim.Unavailable)
 	flush(t, k)
-	_, r = keeper(t, store, "b").Claim(t.Context(), request("k"))
+	_, r = newKeeper(t, store, "b").Claim(t.Context(), request("k"))
 	is.Equal(r.Verdict, claim.Granted)
 }
 
-// A planned stop: outcomes are flushed, and a closed Keeper refuses as not run.
-func TestClosedKeeperRefuses(t *testing.T) {
+// After a planned stop the closed Keeper refuses requests as not run.
+func TestClosedKeeperRefusesAsNotRun(t *testing.T) {
 	is := is.New(t)
-	k := keeper(t, memory.New(), "a")
+	k := newKeeper(t, memory.New(), "a")
 	k.Close()
 	_, r := k.Claim(t.Context(), request("k"))
 	is.Equal(r.Fault().Run, fault.RunNo)
 }
 
-// Shards of keys that carry their time are deleted once every instance refuses those keys, and not before:
-// a repeat that found no shard would run again.
-func TestSweepTakesOnlyWhatIsRefused(t *testing.T) {
+// Shards of keys with an issue time are deleted once every instance refuses those keys, and not earlier: a repeat that
+// finds no shard would run again.
+func TestSweepDeletesOnlyExpiredShards(t *testing.T) {
 	is := is.New(t)
 	store := memory.New()
 	limits := claim.DefaultLimits()
@@ -261,36 +262,36 @@
 		is.True(deleted == 0 || r.Verdict == claim.KeyExpired)
 	}
 	_, err := store.Get(t.Context(), objects.Key{Kind: claim.ObjectKind, Name: name})
-	is.Equal(err, objects.ErrNotFound) // it does go
+	is.Equal(err, objects.ErrNotFound) // the shard was deleted in the end
 }
 
 const timedKey = "01890a5d-ac96-774b-bcce-b302099a8057"
 
-// A guide is told that the booking is confirmed; the entry that said so dies at once. Asked again through
-// another entry, the key was unknown for good: the outcome had waited in the dead entry's memory.
-func TestConfirmedOutcomeOutlivesItsEntry(t *testing.T) {
+// An instance confirms a booking and dies at once. If the outcome were only in its memory, repeats through another
+// instance would get "unknown" for good. RecordWithin waits for the store before the confirmation.
+func TestRecordWithinSurvivesInstance(t *testing.T) {
 	is := is.New(t)
 	store := memory.New()
-	a, b := keeper(t, store, "a"), keeper(t, store, "b")
-	held, _ := a.Claim(t.Context(), request("k"))
+	a, b := newKeeper(t, store, "a"), newKeeper(t, store, "b")
+	grant, _ := a.Claim(t.Context(), request("k"))
 	outcome := claim.Outcome{Run: fault.RunYes, Status: 201, Body: []byte(`{"hut":7}`)}
-	is.True(held.RecordWithin(outcome, 30*time.Second))
+	is.True(grant.RecordWithin(outcome, 30*time.Second))
 	a.Close() // nothing is flushed
 	_, r := b.Claim(t.Context(), request("k"))
 	is.Equal(r.Verdict, claim.Replay)
 	is.Equal(r.Outcome.Body, outcome.Body)
 }
 
-// The object API goes down while a booking runs. Its guest waits no longer than the bound for the record, and
-// the outcome is written when the store is back.
-func TestOutageCostsAConfirmationTheBoundOnly(t *testing.T) {
+// The store becomes unavailable while a booking runs. RecordWithin delays the caller no longer than its timeout, and the
+// outcome is written once the store is available again.
+func TestRecordWithinBoundsWaitDuringOutage(t *testing.T) {
 	is := is.New(t)
 	store := &faultyStore{Store: memory.New()}
-	a, b := keeper(t, store, "a"), keeper(t, store, "b")
-	held, _ := a.Claim(t.Context(), request("k"))
-	store.down.Store(true)
-	is.True(!held.RecordWithin(claim.Outcome{Run: fault.RunYes, Status: 201}, 10*time.Millisecond))
-	store.down.Store(false)
+	a, b := newKeeper(t, store, "a"), newKeeper(t, store, "b")
+	grant, _ := a.Claim(t.Context(), request("k"))
+	store.unavailable.Store(true)
+	is.True(!grant.RecordWithin(claim.Outcome{Run: fault.RunYes, Status: 201}, 10*time.Millisecond))
+	store.unavailable.Store(false)
 	flush(t, a)
 	_, r := b.Claim(t.Context(), request("k"))
 	is.Equal(r.Verdict, claim.Replay)
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -14,82 +14,88 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects"
 )
 
-// keepShard is how long the copy of a shard is kept after its last use.
-const keepShard = 2 * time.Second
+// shardIdleTime is how long the local copy of an idle shard is kept after its last use.
+const shardIdleTime = 2 * time.Second
 
-// shard drives one Committer. At most one store call of it is under way.
+// shard executes the effects of one Committer, which holds the operations on one shard object. It makes at most one
+// store call at a time.
 type shard struct {
 	keeper *Keeper
 	key    objects.Key
-	users  int // guarded by Keeper.mu: uses so far; an unchanged count means nobody came meanwhile
-
-	mu      sync.Mutex
-	c       *claim.Committer                   // guarded by mu
-	answers map[claim.OpID]chan<- claim.Result // guarded by mu
-	writes  uint64                             // guarded by mu: makes write ids
-	wake    decide.Instant                     // guarded by mu: the earliest timer that is set; 0: none
-	forget  *time.Timer                        // guarded by mu
+	uses   int // guarded by Keeper.mu: calls of Keeper.shard so far; an unchanged count means no use since
+
+	mu         sync.Mutex
+	committer  *claim.Committer                   // guarded by mu
+	responses  map[claim.OpID]chan<- claim.Result // guarded by mu
+	writes     uint64                             // guarded by mu: writes so far, from which write ids are made
+	nextWake   decide.Instant                     // guarded by mu: time of the earliest pending timer; 0: none
+	evictTimer *time.Timer                        // guarded by mu: removes the shard from the Keeper; nil: not scheduled yet
 }
 
 func newShard(k *Keeper, name string) *shard {
 	return &shard{
 		keeper: k, key: objects.Key{Kind: claim.ObjectKind, Name: name},
-		c: claim.NewCommitter(k.cfg.Limits), answers: map[claim.OpID]chan<- claim.Result{},
+		committer: claim.NewCommitter(k.cfg.Limits), responses: map[claim.OpID]chan<- claim.Result{},
 	}
 }
 
-// submit queues op and gives the channel of its answer, which never blocks its sender.
+// submit queues op and returns its id and the channel on which its result arrives. The channel is buffered, so that
+// its sender never blocks.
 func (s *shard) submit(op claim.Op) (claim.OpID, <-chan claim.Result) {
-	answer := make(chan claim.Result, 1)
+	response := make(chan claim.Result, 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id, e := s.c.Submit(op, s.keeper.cfg.Now(), s.keeper.cfg.Wall())
-	s.answers[id] = answer
-	s.carry(e)
-	return id, answer
+	id, effects := s.committer.Submit(op, s.keeper.cfg.Now(), s.keeper.cfg.Wall())
+	s.responses[id] = response
+	s.apply(effects)
+	return id, response
 }
 
-func (s *shard) giveUp(id claim.OpID) {
+// cancel cancels the claim with that id: it is answered with Unavailable and withdrawn, as its write may still take
+// effect. A claim that was answered before is left alone.
+func (s *shard) cancel(id claim.OpID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.carry(s.c.Cancel(id, s.keeper.cfg.Now(), s.keeper.cfg.Wall()))
+	s.apply(s.committer.Cancel(id, s.keeper.cfg.Now(), s.keeper.cfg.Wall()))
 }
 
-func (s *shard) waiting() int {
+// pending returns the number of operations that are queued or in flight.
+func (s *shard) pending() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.c.Pending()
+	return s.committer.Pending()
 }
 
-// carry starts the effects; mu is held.
-func (s *shard) carry(e claim.Effects) {
-	for _, a := range e.Responses {
-		if ch := s.answers[a.ID]; ch != nil {
-			ch <- a.Result
-			delete(s.answers, a.ID)
+// apply sends the responses and starts the store call or timer that effects ask for; mu is held.
+func (s *shard) apply(effects claim.Effects) {
+	for _, r := range effects.Responses {
+		if ch := s.responses[r.ID]; ch != nil {
+			ch <- r.Result
+			delete(s.responses, r.ID)
 		}
 	}
 	switch {
-	case e.Read:
+	case effects.Read:
 		s.start(s.read)
-	case e.Put != nil:
-		put := *e.Put
+	case effects.Put != nil:
+		put := *effects.Put
 		s.writes++
 		id := fmt.Sprintf("%s.%s.%d", s.keeper.cfg.Incarnation, s.key.Name, s.writes)
 		s.start(func(ctx context.Context) { s.put(ctx, put, id) })
-	case e.Wake > 0:
-		s.wakeAt(e.Wake)
+	case effects.Wake > 0:
+		s.wakeAt(effects.Wake)
 	}
-	if s.c.Idle() {
-		s.forgetLater()
+	if s.committer.Idle() {
+		s.scheduleEviction()
 	}
 }
 
-// start makes one store call in the background; mu is held. A closed Keeper makes none.
+// start makes a store call in the background; mu is held. On a closed Keeper it makes none and fails all pending
+// operations.
 func (s *shard) start(call func(ctx context.Context)) {
 	k := s.keeper
 	if k.base.Err() != nil {
-		s.abandon()
+		s.failAll()
 		return
 	}
 	k.wg.Add(1)
@@ -101,14 +107,15 @@
 	}()
 }
 
-// abandon answers all that wait when the Keeper is closed; mu is held.
-func (s *shard) abandon() {
-	for id, ch := range s.answers {
+// failAll answers all pending operations with Unavailable, as the Keeper is closed; mu is held.
+func (s *shard) failAll() {
+	for id, ch := range s.responses {
 		ch <- claim.Result{Verdict: claim.Unavailable, Run: fault.RunNo}
-		delete(s.answers, id)
+		delete(s.responses, id)
 	}
 }
 
+// read reads the shard object and passes it to the committer. An object that does not exist is an empty shard.
 func (s *shard) read(ctx context.Context) {
 	o, err := s.keeper.store.Get(ctx, s.key)
 	var value claim.Shard
@@ -123,9 +130,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.carry(s.c.OnRead(value, o.Version, err == nil, s.keeper.cfg.Now(), s.keeper.cfg.Wall()))
+	s.apply(s.committer.OnRead(value, o.Version, err == nil, s.keeper.cfg.Now(), s.keeper.cfg.Wall()))
 }
 
+// put writes the shard object and passes the outcome of the write to the committer.
 func (s *shard) put(ctx context.Context, p claim.Put, writeID string) {
 	version, written, err := s.write(ctx, p, writeID)
 	if err != nil {
@@ -133,9 +141,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.carry(s.c.OnWrite(written, version, s.keeper.cfg.Now(), s.keeper.cfg.Wall()))
+	s.apply(s.committer.OnWrite(written, version, s.keeper.cfg.Now(), s.keeper.cfg.Wall()))
 }
 
+// write writes the shard object conditionally. It returns the object's new version, the outcome of the write, and the
+// error to log; a conflict is an outcome and no error.
 func (s *shard) write(ctx context.Context, p claim.Put, writeID string) (uint64, claim.WriteOutcome, error) {
 	value, err := json.Marshal(p.Shard)
 	if err != nil {
@@ -157,12 +167,12 @@
 	}
 }
 
-// wakeAt sets a timer unless an earlier one is set; mu is held.
+// wakeAt sets a timer that ticks the committer, unless an earlier one is pending; mu is held.
 func (s *shard) wakeAt(at decide.Instant) {
-	if s.wake > 0 && s.wake <= at {
+	if s.nextWake > 0 && s.nextWake <= at {
 		return
 	}
-	s.wake = at
+	s.nextWake = at
 	k := s.keeper
 	k.wg.Add(1)
 	timer := time.NewTimer(at.Sub(k.cfg.Now()))
@@ -173,32 +183,33 @@
 		case <-timer.C:
 		case <-k.base.Done():
 			s.mu.Lock()
-			s.abandon()
+			s.failAll()
 			s.mu.Unlock()
 			return
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.wake = 0
-		s.carry(s.c.Tick(k.cfg.Now(), k.cfg.Wall()))
+		s.nextWake = 0
+		s.apply(s.committer.Tick(k.cfg.Now(), k.cfg.Wall()))
 	}()
 }
 
-// forgetLater drops the shard once it was not used for a while, so that memory follows use; mu is held.
-func (s *shard) forgetLater() {
-	if s.forget != nil {
-		s.forget.Stop()
+// scheduleEviction schedules the removal of an idle shard from the Keeper if it stays unused for shardIdleTime, which
+// bounds memory; mu is held.
+func (s *shard) scheduleEviction() {
+	if s.evictTimer != nil {
+		s.evictTimer.Stop()
 	}
-	s.forget = time.AfterFunc(keepShard, func() {
+	s.evictTimer = time.AfterFunc(shardIdleTime, func() {
 		s.keeper.mu.Lock()
-		users := s.users
+		uses := s.uses
 		s.keeper.mu.Unlock()
 		s.mu.Lock()
-		idle := s.c.Idle()
+		idle := s.committer.Idle()
 		s.mu.Unlock()
 		s.keeper.mu.Lock()
 		defer s.keeper.mu.Unlock()
-		if idle && s.users == users && s.keeper.shards[s.key.Name] == s {
+		if idle && s.uses == uses && s.keeper.shards[s.key.Name] == s {
 			delete(s.keeper.shards, s.key.Name)
 		}
 	})
--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	// firstSweep is how far back a new sweeper looks for shards that an earlier one left behind. An
-	// outage of all owners that is longer leaves objects behind; they cost room and break no promise.
-	firstSweep = time.Hour
-	sweepPause = 50 * time.Millisecond // between two calls, so that a sweep never crowds out requests
+	// firstSweepSpan is how far back a new sweeper looks for expired shards that an earlier one did not delete. An
+	// outage of all owners that lasts longer leaves objects behind. They only occupy storage.
+	firstSweepSpan = time.Hour
+	sweepPause     = 50 * time.Millisecond // between two shards, so that a sweep leaves the store to requests
 )
 
-// Sweeper deletes time shards that no request can ask for any more: keys that old are refused by every
-// instance for their own time, so whether the shard is there changes no answer. Two sweepers of one shard
-// do no harm.
+// Sweeper deletes expired shards of keys that carry an issue time. Every instance refuses keys of that age because of
+// their issue time, without reading the shard, so the deletion changes no answer. Several sweepers may work on one
+// shard.
 type Sweeper struct {
-	keeper *Keeper
-	own    func(shard string) bool // the caller's share, by rendezvous
-	swept  claim.WallTime          // all that was dead then is done; 0: nothing yet
+	keeper     *Keeper
+	owns       func(shard string) bool // reports whether this instance sweeps the shard, by rendezvous hashing
+	sweptUntil claim.WallTime          // shards expired at this time are deleted; 0: no sweep completed yet
 }
 
-// NewSweeper gives a Sweeper of the shards for which own says yes.
-func NewSweeper(k *Keeper, own func(shard string) bool) *Sweeper {
-	return &Sweeper{keeper: k, own: own}
+// NewSweeper returns a Sweeper of the shards for which owns returns true.
+func NewSweeper(k *Keeper, owns func(shard string) bool) *Sweeper {
+	return &Sweeper{keeper: k, owns: owns}
 }
 
-// Sweep deletes what has died since the last Sweep and gives the number of deleted objects. After an error
-// the next one starts over.
+// Sweep deletes the shards that expired since the last complete Sweep and returns the number of deleted objects. After
+// an error the next Sweep covers the same time again.
 func (s *Sweeper) Sweep(ctx context.Context) (int, error) {
-	wall := s.keeper.cfg.Wall()
-	span := firstSweep
-	if s.swept > 0 {
-		span = time.Duration(wall-s.swept) * time.Millisecond
+	now := s.keeper.cfg.Wall()
+	span := firstSweepSpan
+	if s.sweptUntil > 0 {
+		span = time.Duration(now-s.sweptUntil) * time.Millisecond
 	}
 	deleted := 0
-	for _, name := range s.keeper.cfg.Limits.ExpiredShards(wall, span) {
-		if !s.own(name) {
+	for _, name := range s.keeper.cfg.Limits.ExpiredShards(now, span) {
+		if !s.owns(name) {
 			continue
 		}
-		gone, err := s.drop(ctx, objects.Key{Kind: claim.ObjectKind, Name: name})
+		removed, err := s.deleteShard(ctx, objects.Key{Kind: claim.ObjectKind, Name: name})
 		if err != nil {
 			return deleted, err
 		}
-		if gone {
+		if removed {
 			deleted++
 		}
 		select {
@@ -56,11 +56,12 @@
 			return deleted, ctx.Err()
 		}
 	}
-	s.swept = wall
+	s.sweptUntil = now
 	return deleted, nil
 }
 
-func (s *Sweeper) drop(ctx context.Context, key objects.Key) (bool, error) {
+// deleteShard deletes one shard object and reports whether it was there and this call deleted it.
+func (s *Sweeper) deleteShard(ctx context.Context, key objects.Key) (bool, error) {
 	o, err := s.keeper.store.Get(ctx, key)
 	if errors.Is(err, objects.ErrNotFound) {
 		return false, nil
@@ -71,7 +72,7 @@
 	err = s.keeper.store.Delete(ctx, key, o.Version)
 	var conflict *objects.ConflictError
 	if errors.Is(err, objects.ErrNotFound) || errors.As(err, &conflict) {
-		return false, nil // another sweeper was first, or a late outcome came: the next sweep sees
+		return false, nil // deleted by another sweeper, or changed by a late outcome
 	}
 	return err == nil, err
 }
