--- a/internal/entry/again/again.go
+++ b/internal/entry/again/again.go
@@ -1,4 +1,4 @@
-// Package again is the shell of decide/retry: it keeps the budgets and waits out the backoff.
+// Package again executes the decisions of decide/retry: it holds the retry budgets and waits for the backoff.
 package again
 
 import (
@@ -13,69 +13,71 @@
 	"github.com/damaskshelf/damaskshelf/internal/wait"
 )
 
-// Retrier holds one instance's budgets. It is safe for concurrent use.
+// Retrier holds the retry budgets of one instance. It is safe for concurrent use.
 type Retrier struct {
-	params     retry.Params
-	start      time.Time
-	instances  func() int
-	all        *retry.Budget
-	workspaces sync.Map // fleet.WorkspaceID to *retry.Budget
-	upstreams  sync.Map // fleet.UpstreamID to *retry.Budget
+	params        retry.Params
+	start         time.Time
+	instanceCount func() int
+	overall       *retry.Budget // of all requests of the instance
+	workspaces    sync.Map      // fleet.WorkspaceID to *retry.Budget
+	upstreams     sync.Map      // fleet.UpstreamID to *retry.Budget
 }
 
-// New gives a Retrier. instances tells how many entry instances there are.
-func New(p retry.Params, instances func() int) *Retrier {
+// New returns a Retrier. instanceCount returns the number of instances of the fleet.
+func New(p retry.Params, instanceCount func() int) *Retrier {
 	return &Retrier{
-		params: p, start: time.Now(), instances: instances,
-		all: retry.NewBudget(retry.InstancePercent, retry.InstanceMinRetries(1)),
+		params: p, start: time.Now(), instanceCount: instanceCount,
+		overall: retry.NewBudget(retry.InstancePercent, retry.InstanceMinRetries(1)),
 	}
 }
 
-// random is the source of jitter; the generator behind it is safe for concurrent use.
-type random struct{}
+// jitterSource is the random source of jitter. It is safe for concurrent use.
+type jitterSource struct{}
 
-func (random) Uint64() uint64 { return rand.Uint64() }
+func (jitterSource) Uint64() uint64 { return rand.Uint64() }
 
 func (r *Retrier) now() decide.Instant { return decide.Instant(time.Since(r.start)) }
 
+// budgets returns the budgets that a retry consumes for a workspace after a failure of an upstream.
 func (r *Retrier) budgets(w fleet.WorkspaceID, u fleet.UpstreamID) retry.Budgets {
 	return retry.Budgets{
-		r.all,
+		r.overall,
 		budget(&r.upstreams, u, retry.UpstreamPercent, retry.UpstreamMinRetries),
 		budget(&r.workspaces, w, retry.WorkspacePercent, retry.WorkspaceMinRetries),
 	}
 }
 
-func budget(m *sync.Map, key any, percent, least int64) *retry.Budget {
+// budget returns the budget stored in m under key. If there is none, it stores a new one with the given parameters.
+func budget(m *sync.Map, key any, percent, minRetries int64) *retry.Budget {
 	if b, ok := m.Load(key); ok {
 		return b.(*retry.Budget)
 	}
-	b, _ := m.LoadOrStore(key, retry.NewBudget(percent, least))
+	b, _ := m.LoadOrStore(key, retry.NewBudget(percent, minRetries))
 	return b.(*retry.Budget)
 }
 
-// First counts a request's first dispatch.
+// RecordRequest counts a request in its budgets, at its first dispatch.
 func (r *Retrier) RecordRequest(w fleet.WorkspaceID, u fleet.UpstreamID) {
 	r.budgets(w, u).RecordRequest(r.now())
 }
 
-// After waits until the request may be dispatched again after the failure of a dispatch to u, and gives
-// true; or it gives false as soon as that is known never to be, with the reason.
+// AwaitRetry waits until a request may be dispatched again after a failed dispatch to u, and returns true. If the request
+// must not be retried, it returns false as soon as that is known. The reason belongs to the decision.
 func (r *Retrier) AwaitRetry(ctx context.Context, f retry.Failure, w fleet.WorkspaceID, u fleet.UpstreamID) (bool, decide.Reason) {
-	r.all.SetMinRetries(retry.InstanceMinRetries(r.instances()))
+	r.overall.SetMinRetries(retry.InstanceMinRetries(r.instanceCount()))
 	b := r.budgets(w, u)
 	for {
-		v := r.params.Decide(f, b, random{}, r.now())
-		if !v.Retry && !v.WaitForBudget {
-			return false, v.Reason
+		verdict := r.params.Decide(f, b, jitterSource{}, r.now())
+		if !verdict.Retry && !verdict.WaitForBudget {
+			return false, verdict.Reason
 		}
-		if !wait.For(ctx, v.Wait) {
+		if !wait.For(ctx, verdict.Wait) {
 			return false, retry.ReasonNoTime
 		}
-		if v.Retry {
-			return true, v.Reason
+		if verdict.Retry {
+			return true, verdict.Reason
 		}
-		f.BudgetWait += v.Wait
-		f.TimeLeft -= v.Wait
+		f.BudgetWait += verdict.Wait
+		f.TimeLeft -= verdict.Wait
 	}
 }
--- a/internal/entry/callerconn/callerconn.go
+++ b/internal/entry/callerconn/callerconn.go
@@ -1,6 +1,5 @@
-// Package callerconn makes callers' connections watchable. fasthttp tells a handler nothing when its
-// caller goes away before the answer is written; a Watch on the connection does, so that the work on the
-// engine can be cancelled at once.
+// Package callerconn wraps the connections of callers. fasthttp does not notify a handler when the caller closes its
+// connection before the answer is written. Conn.Watch does, so that the work on the engine can be canceled at once.
 package callerconn
 
 import (
@@ -10,17 +9,17 @@
 	"time"
 )
 
-// Listener wraps the accepted connections and bounds how many are open.
+// Listener wraps accepted connections in Conns and bounds the number of open ones.
 type Listener struct {
 	net.Listener
-	WriteTimeout time.Duration // a write that makes no progress for so long fails the connection
-	MaxOpen      int64         // connections over it are closed at once; 0: no bound
-	OnRefused    func()        // called for each connection closed by MaxOpen; may be nil
+	WriteTimeout time.Duration // timeout of each write on a connection; 0: none
+	MaxOpen      int64         // connections beyond this number are closed at once; 0: no bound
+	OnRefused    func()        // called for each connection closed because of MaxOpen; may be nil
 
 	open atomic.Int64
 }
 
-// Accept gives the next connection as a *Conn.
+// Accept returns the next connection as a *Conn.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -35,22 +34,22 @@
 			}
 			continue
 		}
-		return &Conn{Conn: c, stall: l.WriteTimeout, closed: func() { l.open.Add(-1) }}, nil
+		return &Conn{Conn: c, writeTimeout: l.WriteTimeout, onClose: func() { l.open.Add(-1) }}, nil
 	}
 }
 
 // Conn is a caller's connection.
 type Conn struct {
 	net.Conn
-	stall  time.Duration
-	closed func()
-	once   sync.Once
+	writeTimeout time.Duration
+	onClose      func() // called once, by the first Close
+	closeOnce    sync.Once
 
 	mu     sync.Mutex
-	peeked []byte // guarded by mu: read by a Watch, due to the next Read
+	peeked []byte // guarded by mu: bytes that a Watch read, to be returned by Read
 }
 
-// Read gives what a Watch read first.
+// Read reads from the connection. Bytes that a Watch read come first.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	if len(c.peeked) > 0 && len(p) > 0 {
@@ -63,28 +62,28 @@
 	return c.Conn.Read(p)
 }
 
-// Write fails when the caller takes nothing for the stall time: a caller that stopped reading must not
-// hold an answer's resources for good.
+// Write writes to the connection and fails after the write timeout, so that a caller that stopped reading does not hold
+// the resources of an answer forever.
 func (c *Conn) Write(p []byte) (int, error) {
-	if c.stall > 0 {
-		if err := c.Conn.SetWriteDeadline(time.Now().Add(c.stall)); err != nil {
+	if c.writeTimeout > 0 {
+		if err := c.Conn.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 			return 0, err
 		}
 	}
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection once.
+// Close closes the connection. Only the first call counts the connection as closed.
 func (c *Conn) Close() error {
-	c.once.Do(c.closed)
+	c.closeOnce.Do(c.onClose)
 	return c.Conn.Close()
 }
 
-// Watch calls gone, at most once, when the caller closes its end while its request is being answered.
-// stop ends the watch and must be called before the connection is read again; after it returned, gone is
-// not called. A caller that sends its next request early ends the watch without gone. A caller that
-// closes only its sending half counts as gone.
-func (c *Conn) Watch(gone func()) (stop func()) {
+// Watch starts a goroutine that calls onGone, at most once, when the caller closes the connection while its request is
+// being answered. stop ends the watch and must be called before the connection is read again; onGone is not called after
+// stop has returned. If the caller sends its next request early, the watch ends without a call of onGone. A caller that
+// closes only its sending half counts as having closed it.
+func (c *Conn) Watch(onGone func()) (stop func()) {
 	done := make(chan struct{})
 	var stopping atomic.Bool
 	_ = c.Conn.SetReadDeadline(time.Time{})
@@ -99,12 +98,12 @@
 			return
 		}
 		if err != nil && !stopping.Load() {
-			gone()
+			onGone()
 		}
 	}()
 	return func() {
 		stopping.Store(true)
-		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // wakes the watcher's Read
+		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // unblocks the Read of the watching goroutine
 		<-done
 		_ = c.Conn.SetReadDeadline(time.Time{})
 	}
--- a/internal/entry/callerconn/idle.go
+++ b/internal/entry/callerconn/idle.go
@@ -7,15 +7,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Idle knows the connections of a server on which no request is under way, so that a planned stop can close
-// them. A caller that kept one would send its next request to an instance that refuses it, and would lose an
-// attempt. The zero value knows none; it is safe for concurrent use.
+// IdleConns is the set of a server's connections without a request in flight, which a planned stop closes. A caller that
+// kept such a connection would send its next request to an instance that refuses it, and lose an attempt. The zero value
+// is an empty set. It is safe for concurrent use.
 type IdleConns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]struct{} // guarded by mu
 }
 
-// Note takes a connection's new state; it is a fasthttp.Server's ConnState.
+// OnStateChange adds a connection that becomes idle and removes any other. It is the ConnState of a fasthttp.Server.
 func (i *IdleConns) OnStateChange(c net.Conn, s fasthttp.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -29,7 +29,7 @@
 	i.conns[c] = struct{}{}
 }
 
-// Close closes all idle connections, and gives how many.
+// CloseAll closes all idle connections and returns their number.
 func (i *IdleConns) CloseAll() int {
 	i.mu.Lock()
 	idle := i.conns
--- a/internal/entry/command/claims.go
+++ b/internal/entry/command/claims.go
@@ -15,11 +15,11 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream"
 )
 
-// recordWait bounds how long an answer waits for its record. Writes take milliseconds while the store is up;
-// while it is down the answer goes out without.
-const recordWait = 150 * time.Millisecond
+// recordTimeout bounds how long an answer waits until its outcome is in the store. Writes take milliseconds while the
+// store is available. While it is unavailable, the answer is sent after this time without a stored outcome.
+const recordTimeout = 150 * time.Millisecond
 
-// StoredClaims are Claims that live in the object API.
+// StoredClaims implements Claims with a claim.Keeper, which stores claims in the object store.
 type StoredClaims struct {
 	keeper  *claim.Keeper
 	explain *explain.Recorder
@@ -27,60 +27,61 @@
 
 var _ Claims = (*StoredClaims)(nil)
 
-// NewStoredClaims gives Claims over k; each decision is recorded in rec.
+// NewStoredClaims returns StoredClaims that use k and record each decision in rec.
 func NewStoredClaims(k *claim.Keeper, rec *explain.Recorder) *StoredClaims {
 	return &StoredClaims{keeper: k, explain: rec}
 }
 
 // Run implements Claims.
-func (c *StoredClaims) Run(ctx context.Context, m intake.Meta, t intake.Call, d Dispatch) (upstream.Answer, bool, error) {
-	held, res := c.keeper.Claim(ctx, claim.Request{
-		Workspace: string(m.Workspace), Key: m.IdempotencyKey, Fingerprint: fingerprint(t), Deadline: m.Deadline,
+func (c *StoredClaims) Run(ctx context.Context, m intake.Meta, call intake.Call, dispatch Dispatch) (upstream.Answer, bool, error) {
+	grant, res := c.keeper.Claim(ctx, claim.Request{
+		Workspace: string(m.Workspace), Key: m.IdempotencyKey, Fingerprint: fingerprint(call), Deadline: m.Deadline,
 	})
-	c.explain.Record("claim", string(m.ID), res.Verdict.Reason(), "workspace", m.Workspace, "service", t.Service)
-	if held == nil {
-		return standing(res)
+	c.explain.Record("claim", string(m.ID), res.Verdict.Reason(), "workspace", m.Workspace, "service", call.Service)
+	if grant == nil {
+		return earlierOutcome(res)
 	}
-	a, err := d(ctx)
+	a, err := dispatch(ctx)
 	if err != nil {
-		c.ended(held, fault.From(err))
+		c.recordFailure(grant, fault.From(err))
 		return upstream.Answer{}, false, err
 	}
-	// The caller hears of its booking once the store has it: without that wait an instance that died right
-	// after the answer left the key unknown, and the caller's next question was answered so.
-	held.RecordWithin(decideclaim.Outcome{
+	// The answer waits until the store has the outcome. Otherwise, if the instance died right after the answer, a
+	// repeat with the key would be answered with "unknown" although the caller had been told the outcome.
+	grant.RecordWithin(decideclaim.Outcome{
 		Run: intake.RunOutcome(a), Status: a.Status, ContentType: a.ContentType, Body: a.Body,
-	}, recordWait)
+	}, recordTimeout)
 	return a, false, nil
 }
 
-// ended keeps what a failed dispatch means for repeats: what certainly did not run may be asked for again
-// with the same key, all else is final.
-func (c *StoredClaims) ended(held *claim.Grant, e *fault.Error) {
-	if e.Run == fault.RunNo {
-		held.Withdraw()
+// recordFailure ends the claim of a failed dispatch. If the call certainly did not run, the claim is withdrawn and the
+// key can be used again. Any other failure is recorded as the final outcome of the key.
+func (c *StoredClaims) recordFailure(grant *claim.Grant, failure *fault.Error) {
+	if failure.Run == fault.RunNo {
+		grant.Withdraw()
 		return
 	}
-	held.Record(decideclaim.Outcome{
-		Run: e.Run, Status: e.Kind.Rule().Status, Fault: e.Kind.String(), Body: []byte(e.Detail),
+	grant.Record(decideclaim.Outcome{
+		Run: failure.Run, Status: failure.Kind.Rule().Status, Fault: failure.Kind.String(), Body: []byte(failure.Detail),
 	})
 }
 
-// standing answers a request whose key was claimed before.
-func standing(res decideclaim.Result) (upstream.Answer, bool, error) {
+// earlierOutcome returns the answer or error for a request whose key was not granted. The bool reports whether it is the
+// recorded outcome of an earlier run.
+func earlierOutcome(res decideclaim.Result) (upstream.Answer, bool, error) {
 	if f := res.Fault(); f != nil {
 		return upstream.Answer{}, false, f
 	}
 	o := res.Outcome
 	if o.Fault != "" {
-		return upstream.Answer{}, true, fault.NewWithRun(kindOf(o.Fault), o.Run, "%s", o.Body)
+		return upstream.Answer{}, true, fault.NewWithRun(faultKind(o.Fault), o.Run, "%s", o.Body)
 	}
 	return upstream.Answer{Status: o.Status, ContentType: o.ContentType, Body: o.Body}, true, nil
 }
 
-// kindOf gives the kind with that wire name. One that this version doesn't know is a failure of the
-// upstream, which never says "not run".
-func kindOf(name string) fault.Kind {
+// faultKind returns the kind with the given wire name. A name that this version doesn't know becomes UpstreamFailed,
+// which never stands for "not run".
+func faultKind(name string) fault.Kind {
 	for _, k := range fault.Kinds() {
 		if k.String() == name {
 			return k
@@ -89,12 +90,12 @@
 	return fault.UpstreamFailed
 }
 
-// fingerprint tells requests apart that were given the same key. Each field goes in with its length, so
-// that no two requests look alike for where one field ends.
-func fingerprint(t intake.Call) string {
+// fingerprint returns a hash of the call, by which different calls with the same key are told apart. Each field is hashed
+// with its length, so that moving bytes from one field to the next changes the hash.
+func fingerprint(call intake.Call) string {
 	h := sha256.New()
 	for _, field := range [][]byte{
-		[]byte(t.Service), []byte(t.Method), []byte(t.PathQuery), []byte(t.ContentType), t.Body,
+		[]byte(call.Service), []byte(call.Method), []byte(call.PathQuery), []byte(call.ContentType), call.Body,
 	} {
 		var size [8]byte
 		binary.BigEndian.PutUint64(size[:], uint64(len(field)))
--- a/internal/entry/command/command.go
+++ b/internal/entry/command/command.go
@@ -1,9 +1,9 @@
-// Package command serves callers' requests that change something: calls of plain services that may not
-// be repeated, such as a booking confirmation.
+// Package command serves requests of callers that change something: calls of plain services that may not be repeated,
+// such as a booking confirmation.
 //
-// A call without a key is dispatched once. It may go to another instance of the service only while it is
-// certain that none started it; after the first byte was sent a failure is "run: unknown" and final. A
-// call with a key goes through Claims first.
+// A call without an idempotency key runs at most once. It is sent to another instance of the service only if it
+// certainly did not start on the ones before. If it may have started, as its first byte was sent, a failure is
+// "run: unknown" and final. A call with a key is claimed first, through Claims.
 package command
 
 import (
@@ -24,158 +24,162 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream"
 )
 
-// Dispatch runs a call once and gives the service's answer or a *fault.Error.
+// Dispatch runs a call at most once and returns the service's answer or a *fault.Error.
 type Dispatch func(ctx context.Context) (upstream.Answer, error)
 
-// Claims makes a keyed call run at most once over all instances.
+// Claims ensures that a keyed call runs at most once over all instances.
 type Claims interface {
-	// Run dispatches under a claim on the key, or gives the recorded outcome of an earlier run.
-	Run(ctx context.Context, m intake.Meta, t intake.Call, d Dispatch) (a upstream.Answer, replayed bool, err error)
+	// Run claims the key and dispatches the call, or returns the recorded outcome of an earlier run.
+	Run(ctx context.Context, m intake.Meta, call intake.Call, dispatch Dispatch) (a upstream.Answer, replayed bool, err error)
 }
 
-// Deps are what a Handler works with.
+// Deps are the dependencies of a Handler.
 type Deps struct {
 	Router  *route.Router
 	Client  *upstream.Client
-	Claims  Claims // nil: keyed calls are refused "not run"
+	Claims  Claims // nil: keyed calls are refused as not run
 	Metrics *metrics.Registry
 	Gate    *gate.Gate
 	Log     hclog.Logger
 	Bounds  intake.Bounds
 	NewID   func() string
-	Retrier *again.Retrier // counts calls into the budgets of retries
+	Retrier *again.Retrier // counts calls in the retry budgets
 }
 
-// Handler serves commands.
+// Handler serves commands: calls that change something.
 type Handler struct {
-	d    Deps
-	base context.Context // of all calls; ended by Abort
+	deps Deps
+	base context.Context // parent of the contexts of all calls; canceled by Abort
 	stop context.CancelFunc
 }
 
-// New gives a Handler.
+// New returns a Handler.
 func New(d Deps) *Handler {
 	d.Log = d.Log.Named("command")
 	base, stop := context.WithCancel(context.Background())
-	return &Handler{d: d, base: base, stop: stop}
+	return &Handler{deps: d, base: base, stop: stop}
 }
 
-// Abort ends every call in flight; a planned stop that reached its limit.
+// Abort cancels every call in flight, when a planned stop has reached its limit.
 func (h *Handler) Abort() { h.stop() }
 
-// Call serves one call that changes something.
+// Call serves one command.
 func (h *Handler) Call(ctx *fasthttp.RequestCtx) {
-	m, err := intake.Parse(&ctx.Request.Header, time.Now(), h.d.Bounds, h.d.NewID)
+	m, err := intake.Parse(&ctx.Request.Header, time.Now(), h.deps.Bounds, h.deps.NewID)
 	if err != nil {
 		h.refuse(ctx, m, err)
 		return
 	}
-	if err := h.d.Gate.Enter(); err != nil {
+	if err := h.deps.Gate.Enter(); err != nil {
 		h.refuse(ctx, m, err)
 		return
 	}
-	defer h.d.Gate.Leave()
-	timed, cancel := context.WithDeadline(h.base, m.Deadline)
+	defer h.deps.Gate.Leave()
+	callCtx, cancel := context.WithDeadline(h.base, m.Deadline)
 	defer cancel()
-	a, replayed, err := h.run(timed, m, intake.ReadCall(ctx))
+	a, replayed, err := h.run(callCtx, m, intake.ReadCall(ctx))
 	if err != nil {
 		h.refuse(ctx, m, err)
 		return
 	}
-	h.d.Metrics.Counter("answered", "mode", "command").Inc(1)
+	h.deps.Metrics.Counter("answered", "mode", "command").Inc(1)
 	intake.Respond(ctx, m, a)
 	if replayed {
 		intake.MarkReplayed(ctx)
 	}
 }
 
+// refuse answers with err, logs it and counts it.
 func (h *Handler) refuse(ctx *fasthttp.RequestCtx, m intake.Meta, err error) {
 	e := fault.From(err)
-	h.d.Metrics.Counter("refused", "kind", e.Kind.String()).Inc(1)
-	h.d.Log.Info("refused", "request", m.ID, "workspace", m.Workspace, "kind", e.Kind, "run", e.Run, "detail", e.Detail)
+	h.deps.Metrics.Counter("refused", "kind", e.Kind.String()).Inc(1)
+	h.deps.Log.Info("refused", "request", m.ID, "workspace", m.Workspace, "kind", e.Kind, "run", e.Run, "detail", e.Detail)
 	intake.Refuse(ctx, m.ID, e)
 }
 
-func (h *Handler) run(ctx context.Context, m intake.Meta, t intake.Call) (upstream.Answer, bool, error) {
-	dispatch := func(ctx context.Context) (upstream.Answer, error) { return h.dispatch(ctx, m, t) }
+// run dispatches the call, under a claim if it has an idempotency key. The bool reports whether the answer is the
+// recorded outcome of an earlier run.
+func (h *Handler) run(ctx context.Context, m intake.Meta, call intake.Call) (upstream.Answer, bool, error) {
+	dispatch := func(ctx context.Context) (upstream.Answer, error) { return h.dispatch(ctx, m, call) }
 	if m.IdempotencyKey == "" {
 		a, err := dispatch(ctx)
 		return a, false, err
 	}
-	if h.d.Claims == nil {
+	if h.deps.Claims == nil {
 		return upstream.Answer{}, false, fault.New(fault.StoreUnavailable, "claims are not set up")
 	}
-	return h.d.Claims.Run(ctx, m, t, dispatch)
+	return h.deps.Claims.Run(ctx, m, call, dispatch)
 }
 
-// maxAttempts bounds dispatches that certainly did not start.
+// maxAttempts is the maximum number of dispatches of one call, of which all but the last certainly did not start.
 const maxAttempts = 3
 
-// dispatch runs the call on one instance of the service.
-func (h *Handler) dispatch(ctx context.Context, m intake.Meta, t intake.Call) (upstream.Answer, error) {
+// dispatch runs the call on one instance of the service. It tries another instance only if the call certainly did not
+// start.
+func (h *Handler) dispatch(ctx context.Context, m intake.Meta, call intake.Call) (upstream.Answer, error) {
 	var tried []fleet.UpstreamID
-	var last *upstream.CallError
+	var lastErr *upstream.CallError
 	for attempt := 1; attempt <= maxAttempts; attempt++ {
 		if ctx.Err() != nil {
 			return upstream.Answer{}, fault.New(fault.DeadlineExceeded, "the time ran out before a dispatch")
 		}
-		g, err := h.d.Router.Acquire(ctx, route.Request{
-			ID: m.ID, Workspace: m.Workspace, Service: t.Service, Priority: m.Priority,
+		g, err := h.deps.Router.Acquire(ctx, route.Request{
+			ID: m.ID, Workspace: m.Workspace, Service: call.Service, Priority: m.Priority,
 			Deadline: m.Deadline, Attempt: attempt, Exclude: tried,
 		})
 		if err != nil {
 			return upstream.Answer{}, err
 		}
 		if attempt == 1 {
-			h.d.Retrier.RecordRequest(m.Workspace, g.Upstream.ID)
+			h.deps.Retrier.RecordRequest(m.Workspace, g.Upstream.ID)
 		}
-		a, failed := h.call(ctx, g, m, t, attempt)
-		if failed == nil {
+		a, callErr := h.call(ctx, g, m, call, attempt)
+		if callErr == nil {
 			return a, nil
 		}
-		if failed.MayHaveRun() {
-			return upstream.Answer{}, unknown(ctx, failed)
+		if callErr.MayHaveRun() {
+			return upstream.Answer{}, unknownOutcome(ctx, callErr)
 		}
-		last = failed
+		lastErr = callErr
 		tried = append(tried, g.Upstream.ID)
 	}
-	e := fault.New(fault.UpstreamBusy, "%d dispatches did not start, the last: %v", maxAttempts, last)
-	e.RetryAfter = last.RetryAfter
+	e := fault.New(fault.UpstreamBusy, "%d dispatches did not start, the last: %v", maxAttempts, lastErr)
+	e.RetryAfter = lastErr.RetryAfter
 	return upstream.Answer{}, e
 }
 
-// unknown is the final error of a call that may have run.
-func unknown(ctx context.Context, ce *upstream.CallError) error {
-	if ctx.Err() != nil || ce.Timeout {
-		return fault.NewWithRun(fault.DeadlineExceeded, fault.RunUnknown, "no answer in time: %v", ce)
+// unknownOutcome returns the final error of a call that may have run.
+func unknownOutcome(ctx context.Context, callErr *upstream.CallError) error {
+	if ctx.Err() != nil || callErr.Timeout {
+		return fault.NewWithRun(fault.DeadlineExceeded, fault.RunUnknown, "no answer in time: %v", callErr)
 	}
-	return fault.NewWithRun(fault.UpstreamFailed, fault.RunUnknown, "%v", ce)
+	return fault.NewWithRun(fault.UpstreamFailed, fault.RunUnknown, "%v", callErr)
 }
 
-// call sends the call once. Its connection is always a new one where a dead pooled connection could leave
-// the outcome unknown; see upstream.Client.CallFresh.
-func (h *Handler) call(ctx context.Context, g *route.Grant, m intake.Meta, t intake.Call, attempt int) (upstream.Answer, *upstream.CallError) {
+// call sends the call once, to the upstream of the grant, and ends the grant. It uses a new connection, since a pooled
+// one that is dead could leave the outcome unknown; see upstream.Client.CallFresh.
+func (h *Handler) call(ctx context.Context, g *route.Grant, m intake.Meta, call intake.Call, attempt int) (upstream.Answer, *upstream.CallError) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	remaining := time.Until(m.Deadline)
-	t.Fill(req, g.Upstream.Addr, m, attempt, remaining)
-	a, err := h.d.Client.CallNewConnection(ctx, g.Upstream.Addr, req, remaining)
+	call.Fill(req, g.Upstream.Addr, m, attempt, remaining)
+	a, err := h.deps.Client.CallNewConnection(ctx, g.Upstream.Addr, req, remaining)
 	if err == nil {
 		g.Done(route.OK)
 		return a, nil
 	}
-	var ce *upstream.CallError
-	if !errors.As(err, &ce) {
-		ce = &upstream.CallError{Sent: true, Cause: err}
+	var callErr *upstream.CallError
+	if !errors.As(err, &callErr) {
+		callErr = &upstream.CallError{Sent: true, Cause: err}
 	}
 	switch {
-	case !ce.MayHaveRun():
+	case !callErr.MayHaveRun():
 		g.Done(route.NotStarted)
-	case ce.Timeout:
-		h.d.Client.InvalidateConnections(g.Upstream.Addr)
+	case callErr.Timeout:
+		h.deps.Client.InvalidateConnections(g.Upstream.Addr)
 		g.Done(route.Silent)
 	default:
 		g.Done(route.Failed)
 	}
-	return upstream.Answer{}, ce
+	return upstream.Answer{}, callErr
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry is the callers' side of an instance: its listener, routes and limits.
+// Package entry is the HTTP server for callers: its listener, routes and limits.
 package entry
 
 import (
@@ -27,11 +27,11 @@
 )
 
 const (
-	writeStall  = 10 * time.Second // a caller that takes nothing for so long is gone
-	idleTimeout = 30 * time.Second // between two requests of a connection
+	writeTimeout = 10 * time.Second // a write that takes longer fails the connection
+	idleTimeout  = 30 * time.Second // longest time between two requests of a connection
 )
 
-// Paths of the callers' API.
+// Paths of the callers' API, besides that of completions.
 const (
 	pathService = "/services/{service}/{path:*}"
 	pathHealth  = "/healthz"
@@ -39,48 +39,49 @@
 	pathMetrics = "/metrics"
 )
 
-// Server serves callers.
+// Server is the HTTP server for callers.
 type Server struct {
-	http     *fasthttp.Server
-	limits   api.Limits
-	metrics  *metrics.Registry
-	log      hclog.Logger
-	listener net.Listener
-	idle     callerconn.IdleConns
-	served   chan error
+	http      *fasthttp.Server
+	limits    api.Limits
+	metrics   *metrics.Registry
+	log       hclog.Logger
+	listener  net.Listener
+	idleConns callerconn.IdleConns
+	serveErr  chan error // result of Serve
 }
 
-// Deps are what a Server works with.
+// Deps are the dependencies of a Server.
 type Deps struct {
 	Queries  *query.Handler
 	Commands *command.Handler
 	Gate     *gate.Gate
-	Ready    func() error // nil, or why the instance can't serve yet
+	Ready    func() error // returns nil, or the reason why the instance can't serve yet
 	Metrics  *metrics.Registry
 	Limits   api.Limits
 	Log      hclog.Logger
 	NewID    func() string
 }
 
-// New gives a Server that is not listening yet.
+// New returns a Server that is not listening yet.
 func New(d Deps) *Server {
-	s := &Server{limits: d.Limits, metrics: d.Metrics, log: d.Log.Named("entry"), served: make(chan error, 1)}
+	s := &Server{limits: d.Limits, metrics: d.Metrics, log: d.Log.Named("entry"), serveErr: make(chan error, 1)}
 	s.http = &fasthttp.Server{
 		Name:                  "damaskshelf",
-		Handler:               closing(d.Gate, routes(d).Handler),
-		ErrorHandler:          s.badRequest(d.NewID),
+		Handler:               closeWhenStopping(d.Gate, routes(d).Handler),
+		ErrorHandler:          s.errorHandler(d.NewID),
 		ReadTimeout:           time.Duration(d.Limits.HeaderTimeout),
 		IdleTimeout:           idleTimeout,
 		ReadBufferSize:        d.Limits.MaxHeaderBytes,
 		MaxRequestBodySize:    d.Limits.MaxBodyBytes,
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
-		ConnState:             s.idle.OnStateChange,
+		ConnState:             s.idleConns.OnStateChange,
 		Logger:                httplog.Logger{Log: s.log},
 	}
 	return s
 }
 
+// routes returns the router of the callers' API.
 func routes(d Deps) *router.Router {
 	r := router.New()
 	r.POST(wire.PathCompletions, d.Queries.Completions)
@@ -90,7 +91,7 @@
 		r.Handle(method, pathService, d.Commands.Call)
 	}
 	r.GET(pathHealth, func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("ok\n") })
-	r.GET(pathReady, ready(d))
+	r.GET(pathReady, readiness(d))
 	r.GET(pathMetrics, func(ctx *fasthttp.RequestCtx) { ctx.SetBody(d.Metrics.Text()) })
 	r.NotFound = func(ctx *fasthttp.RequestCtx) {
 		intake.Refuse(ctx, requestID(ctx, d.NewID), fault.New(fault.NotFound, "no path %s", ctx.Path()))
@@ -98,17 +99,18 @@
 	r.MethodNotAllowed = func(ctx *fasthttp.RequestCtx) {
 		intake.Refuse(ctx, requestID(ctx, d.NewID), fault.New(fault.BadRequest, "method %s is not allowed on %s", ctx.Method(), ctx.Path()))
 	}
-	// A defect that one request meets must not end the requests of all others.
+	// A panic in one request must not end the process and with it all other requests.
 	r.PanicHandler = func(ctx *fasthttp.RequestCtx, cause any) {
 		d.Log.Error("panic", "path", string(ctx.Path()), "cause", cause, "stack", string(debug.Stack()))
-		intake.Refuse(ctx, requestID(ctx, d.NewID), fault.NewWithRun(fault.Internal, fault.RunUnknown, "defect; see the log"))
+		intake.Refuse(ctx, requestID(ctx, d.NewID), fault.NewWithRun(fault.Internal, fault.RunUnknown, "internal error; see the log"))
 	}
 	return r
 }
 
-// closing tells callers of a stopping instance, the balancer first, to use another connection. Otherwise a
-// request that comes on a kept connection just when the listener shuts down is cut off without an answer.
-func closing(g *gate.Gate, next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// closeWhenStopping wraps next so that answers close their connection while the instance is stopping. Callers and the
+// balancer then use another connection. Without that, a request that arrives on a kept-alive connection at the moment
+// of the shutdown would be cut off without an answer.
+func closeWhenStopping(g *gate.Gate, next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		next(ctx)
 		if !g.Ready() {
@@ -117,7 +119,9 @@
 	}
 }
 
-func ready(d Deps) fasthttp.RequestHandler {
+// readiness returns the handler of readiness checks. It refuses them while the instance is stopping and until it can
+// serve.
+func readiness(d Deps) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if !d.Gate.Ready() {
 			intake.Refuse(ctx, "", fault.New(fault.Stopping, "this instance is stopping"))
@@ -131,7 +135,7 @@
 	}
 }
 
-// Listen binds addr.
+// Listen binds the listener to addr.
 func (s *Server) Listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -141,46 +145,47 @@
 	return nil
 }
 
-// Unlisten gives the address back before Serve was called.
+// CloseListener closes the listener of a Server on which Serve was not called.
 func (s *Server) CloseListener() error { return s.listener.Close() }
 
-// Addr is where callers connect.
+// Addr returns the address at which callers connect.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Serve accepts callers until Shutdown.
+// Serve accepts connections until Shutdown.
 func (s *Server) Serve() {
-	watched := &callerconn.Listener{
+	listener := &callerconn.Listener{
 		Listener:     s.listener,
-		WriteTimeout: writeStall,
+		WriteTimeout: writeTimeout,
 		MaxOpen:      int64(s.limits.MaxConnections),
 		OnRefused:    func() { s.metrics.Counter("connections_refused").Inc(1) },
 	}
-	s.served <- s.http.Serve(watched)
+	s.serveErr <- s.http.Serve(listener)
 }
 
-// CloseIdle closes the connections on which no caller waits, and gives how many.
-func (s *Server) CloseIdle() int { return s.idle.CloseAll() }
+// CloseIdle closes the connections without a request in flight and returns their number.
+func (s *Server) CloseIdle() int { return s.idleConns.CloseAll() }
 
 // Shutdown stops listening and waits until open connections are idle and closed, or ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if err := s.http.ShutdownWithContext(ctx); err != nil {
 		return fmt.Errorf("shut callers' listener down: %w", err)
 	}
-	return <-s.served
+	return <-s.serveErr
 }
 
-// badRequest answers what the library refuses before a handler runs: nothing of it went anywhere.
-func (s *Server) badRequest(newID func() string) func(*fasthttp.RequestCtx, error) {
+// errorHandler returns the handler for requests that the HTTP library rejects before a route handler runs. Nothing of
+// such a request is dispatched.
+func (s *Server) errorHandler(newID func() string) func(*fasthttp.RequestCtx, error) {
 	return func(ctx *fasthttp.RequestCtx, err error) {
-		var small *fasthttp.ErrSmallBuffer
-		var ne net.Error
+		var smallBuffer *fasthttp.ErrSmallBuffer
+		var netErr net.Error
 		f := fault.New(fault.BadRequest, "request: %v", err)
 		switch {
 		case errors.Is(err, fasthttp.ErrBodyTooLarge):
 			f = fault.New(fault.BodyTooLarge, "body: allowed: at most %d bytes", s.limits.MaxBodyBytes)
-		case errors.As(err, &small):
+		case errors.As(err, &smallBuffer):
 			f = fault.New(fault.BadRequest, "headers: allowed: at most %d bytes", s.limits.MaxHeaderBytes)
-		case errors.As(err, &ne) && ne.Timeout():
+		case errors.As(err, &netErr) && netErr.Timeout():
 			f = fault.New(fault.SlowCaller, "request: not whole after %s", time.Duration(s.limits.HeaderTimeout))
 		}
 		s.metrics.Counter("refused", "kind", f.Kind.String()).Inc(1)
@@ -188,7 +193,7 @@
 	}
 }
 
-// requestID is the caller's request id where it gave a good one, or a new one.
+// requestID returns the request id that the caller set, or a new one if it set none or any of its headers is invalid.
 func requestID(ctx *fasthttp.RequestCtx, newID func() string) fleet.RequestID {
 	m, err := intake.Parse(&ctx.Request.Header, time.Now(), intake.Bounds{}, newID)
 	if err != nil {
--- a/internal/entry/gate/gate.go
+++ b/internal/entry/gate/gate.go
@@ -1,5 +1,5 @@
-// Package gate is an instance's readiness and its count of requests in flight. A planned stop goes
-// through it: not ready first, refusing only after the balancer's lag, done when nothing is in flight.
+// Package gate holds the readiness of an instance and counts its requests in flight. A planned stop first makes the
+// instance unready, refuses new requests only after the balancer's lag, and is done when no request is in flight.
 package gate
 
 import (
@@ -13,21 +13,22 @@
 
 const (
 	serving  state = iota
-	unready        // readiness says no, but requests that the balancer still sends are served
-	refusing       // new requests are refused as Stopping
+	unready        // not ready, but requests that the balancer still sends are served
+	refusing       // new requests are refused with fault.Stopping
 )
 
-// Gate is safe for concurrent use. The zero value serves.
+// Gate admits requests and counts them. It is safe for concurrent use. The zero value is ready and admits requests.
 type Gate struct {
 	state    atomic.Int32
 	inFlight atomic.Int64
-	idle     atomic.Pointer[chan struct{}] // closed when in flight falls to zero while refusing
+	idle     atomic.Pointer[chan struct{}] // set by AwaitIdle; closed when no request is in flight
 }
 
-// Enter counts a request in, or refuses it. Leave must follow a nil error.
+// Enter counts a request as in flight, or returns an error if new requests are refused. After a nil error the caller
+// must call Leave.
 func (g *Gate) Enter() error {
-	// Counted before the state is read: a stop that sees a zero count after it began to refuse can't
-	// miss a request that read the state earlier.
+	// The request is counted before the state is read. Otherwise a stop could set the state and see a count of zero
+	// while a request that read the state earlier is about to be counted, and would cut it off.
 	g.inFlight.Add(1)
 	if g.state.Load() == refusing {
 		g.Leave()
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// Leave counts a request out.
+// Leave ends a request that Enter counted as in flight.
 func (g *Gate) Leave() {
 	if g.inFlight.Add(-1) > 0 {
 		return
@@ -46,20 +47,19 @@
 	}
 }
 
-// InFlight is the number of requests counted in.
+// InFlight returns the number of requests in flight.
 func (g *Gate) InFlight() int64 { return g.inFlight.Load() }
 
-// Ready tells whether the balancer should send requests.
+// Ready reports whether the balancer should send requests.
 func (g *Gate) Ready() bool { return g.state.Load() == serving }
 
-// Unready makes readiness say no; requests are still served.
+// MarkUnready makes the instance unready; requests are still served.
 func (g *Gate) MarkUnready() { g.state.CompareAndSwap(serving, unready) }
 
-// Refuse refuses new requests from now on.
+// RefuseNew makes Enter refuse new requests from now on.
 func (g *Gate) RefuseNew() { g.state.Store(refusing) }
 
-// Drained waits until nothing is in flight; call it after Refuse. It gives ctx's error when that ends
-// first.
+// AwaitIdle waits until no request is in flight; call it after RefuseNew. It returns ctx's error if ctx ends first.
 func (g *Gate) AwaitIdle(ctx context.Context) error {
 	ch := make(chan struct{})
 	g.idle.Store(&ch)
--- a/internal/entry/intake/answer.go
+++ b/internal/entry/intake/answer.go
@@ -13,7 +13,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// Failure is the body of every refusal and failure.
+// Failure is the JSON body of every error answer.
 type Failure struct {
 	Error        string `json:"error"` // the kind's wire name
 	Run          string `json:"run"`   // no, yes or unknown
@@ -22,7 +22,7 @@
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
 }
 
-// FailureOf gives the body for e.
+// NewFailure returns the body for e. Causes of internal errors are left out.
 func NewFailure(id fleet.RequestID, e *fault.Error) Failure {
 	detail := e.Detail
 	if e.Cause != nil && e.Kind != fault.Internal {
@@ -34,12 +34,12 @@
 	}
 }
 
-// Refuse writes the final answer for err at once, with Retry-After where coming back makes sense.
+// Refuse replaces the response by the error answer for err, with a Retry-After header if a retry makes sense.
 func Refuse(ctx *fasthttp.RequestCtx, id fleet.RequestID, err error) {
 	e := fault.From(err)
-	body, merr := json.Marshal(NewFailure(id, e))
-	if merr != nil {
-		ctx.Error(merr.Error(), fasthttp.StatusInternalServerError)
+	body, encodeErr := json.Marshal(NewFailure(id, e))
+	if encodeErr != nil {
+		ctx.Error(encodeErr.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
 	ctx.Response.Reset()
@@ -52,18 +52,18 @@
 	ctx.SetBody(body)
 }
 
-// Mark puts request id and run outcome on an answer.
+// SetOutcomeHeaders sets the response headers for the request id and the run outcome.
 func SetOutcomeHeaders(ctx *fasthttp.RequestCtx, id fleet.RequestID, run fault.Run) {
 	ctx.Response.Header.Set(wire.HeaderRequestID, string(id))
 	ctx.Response.Header.Set(wire.HeaderRun, run.String())
 }
 
-// retryAfter gives whole seconds, rounded up, as the header wants them.
+// retryAfter formats wait for the Retry-After header, in whole seconds, rounded up.
 func retryAfter(wait time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(wait.Seconds())))
 }
 
-// Replayed marks an answer as the recorded outcome of an earlier run.
+// MarkReplayed sets the response header that marks the answer as the recorded outcome of an earlier run.
 func MarkReplayed(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.Set(wire.HeaderReplayed, "true")
 }
--- a/internal/entry/intake/call.go
+++ b/internal/entry/intake/call.go
@@ -11,16 +11,16 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// Call is a plain-service call as its caller made it.
+// Call is a call of a plain service as received from the caller.
 type Call struct {
 	Service     string
 	Method      string
-	PathQuery   string // below the service, with the query
+	PathQuery   string // path below the service, with the query
 	ContentType string
-	Body        []byte // a copy of the caller's
+	Body        []byte // a copy; the request's buffer is reused
 }
 
-// CallOf reads the call out of a request on /services/{service}/{path:*}.
+// ReadCall returns the call in a request to /services/{service}/{path:*}.
 func ReadCall(ctx *fasthttp.RequestCtx) Call {
 	service, _ := ctx.UserValue("service").(string)
 	path, _ := ctx.UserValue("path").(string)
@@ -34,7 +34,8 @@
 	}
 }
 
-// Fill writes the call into req for the instance at addr.
+// Fill fills req with the call, for the service instance at addr. attempt and remaining go into headers, the latter in
+// milliseconds.
 func (c Call) Fill(req *fasthttp.Request, addr string, m Meta, attempt int, remaining time.Duration) {
 	req.SetRequestURI("http://" + addr + c.PathQuery)
 	h := &req.Header
@@ -52,7 +53,7 @@
 	req.SetBodyRaw(c.Body)
 }
 
-// Respond writes a service's answer to the caller.
+// Respond writes the answer of a service as the response to the caller.
 func Respond(ctx *fasthttp.RequestCtx, m Meta, a upstream.Answer) {
 	ctx.SetStatusCode(a.Status)
 	if a.ContentType != "" {
@@ -62,8 +63,8 @@
 	ctx.SetBody(a.Body)
 }
 
-// Ran tells whether a call ran whose answer is a. An error of the service's own leaves that open: it may
-// have come before, in or after the work.
+// RunOutcome returns whether the call with answer a ran. It is unknown for a server error, which the service may have
+// returned before, during or after the work.
 func RunOutcome(a upstream.Answer) fault.Run {
 	if a.Status >= fasthttp.StatusInternalServerError {
 		return fault.RunUnknown
--- a/internal/entry/intake/intake.go
+++ b/internal/entry/intake/intake.go
@@ -1,6 +1,6 @@
-// Package intake reads what every caller's request states about itself: id, workspace, time, priority and
-// whether it may be repeated. Contradicting or malformed headers are refused, naming header and value. A call of a plain
-// service it also turns into the request that goes there, and the answer into the caller's.
+// Package intake parses the headers common to all requests of callers: id, workspace, deadline, priority and whether the
+// request may be repeated. It rejects contradicting or malformed headers with an error that names header and value. It
+// also converts calls of plain services to upstream requests, and their answers and errors to responses.
 package intake
 
 import (
@@ -15,25 +15,25 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// DefaultWorkspace takes requests that name none.
+// DefaultWorkspace is the workspace of requests that name none.
 const DefaultWorkspace = "default"
 
 const (
-	maxPriority = 10
-	maxID       = 128
+	maxPriority = 10  // highest priority; the lowest is its negative
+	maxIDLength = 128 // characters of a request id, workspace or idempotency key
 )
 
-// Idempotence is what the caller said about repeating its request.
+// Idempotence is the caller's statement on whether its request may be repeated.
 type Idempotence uint8
 
-// What a caller may say.
+// The values of Idempotence.
 const (
 	Unspecified Idempotence = iota
 	Idempotent
 	NotIdempotent
 )
 
-// Meta is what a request states about itself.
+// Meta is the data in the common headers of a request.
 type Meta struct {
 	ID             fleet.RequestID
 	Workspace      fleet.WorkspaceID
@@ -43,22 +43,23 @@
 	IdempotencyKey string
 }
 
-// Bounds are the times a request may ask for.
+// Bounds are the default and the maximum of a request's timeout.
 type Bounds struct {
 	DefaultTimeout time.Duration
 	MaxTimeout     time.Duration
 }
 
-// Parse reads the headers of h. newID makes an id for a request that has none.
+// Parse parses the common headers of a request received at now. newID returns an id for a request that has none. With an
+// error, Parse also returns the Meta as far as it could be parsed.
 func Parse(h *fasthttp.RequestHeader, now time.Time, b Bounds, newID func() string) (Meta, error) {
 	p := parser{h: h}
 	m := Meta{
-		ID:             fleet.RequestID(p.name(wire.HeaderRequestID, "")),
-		Workspace:      fleet.WorkspaceID(p.name(wire.HeaderWorkspace, DefaultWorkspace)),
+		ID:             fleet.RequestID(p.identifier(wire.HeaderRequestID, "")),
+		Workspace:      fleet.WorkspaceID(p.identifier(wire.HeaderWorkspace, DefaultWorkspace)),
 		Deadline:       p.deadline(now, b),
 		Priority:       p.priority(),
 		Idempotence:    p.idempotence(),
-		IdempotencyKey: p.name(wire.HeaderIdempotencyKey, ""),
+		IdempotencyKey: p.identifier(wire.HeaderIdempotencyKey, ""),
 	}
 	if m.ID == "" {
 		m.ID = fleet.RequestID(newID())
@@ -72,23 +73,24 @@
 	return m, nil
 }
 
-// parser keeps the first error.
+// parser parses headers and keeps the first error.
 type parser struct {
 	h   *fasthttp.RequestHeader
 	err *fault.Error
 }
 
+// fail sets the error unless an earlier one is set.
 func (p *parser) fail(format string, args ...any) {
 	if p.err == nil {
 		p.err = fault.New(fault.BadRequest, format, args...)
 	}
 }
 
-// value gives a header that may stand once at most.
-func (p *parser) value(name string) string {
-	all := p.h.PeekAll(name)
+// single returns the value of a header, or "" if it is absent. A header that occurs more than once is an error.
+func (p *parser) single(header string) string {
+	all := p.h.PeekAll(header)
 	if len(all) > 1 {
-		p.fail("header %s stands %d times; allowed: once", name, len(all))
+		p.fail("header %s occurs %d times; allowed: once", header, len(all))
 	}
 	if len(all) == 0 {
 		return ""
@@ -96,30 +98,32 @@
 	return strings.TrimSpace(string(all[0]))
 }
 
-// name gives a header that is an identifier of printable characters without spaces.
-func (p *parser) name(header, or string) string {
-	v := p.value(header)
+// identifier returns the value of a header that is an identifier of printable ASCII characters without spaces, or
+// fallback if the header is absent or invalid.
+func (p *parser) identifier(header, fallback string) string {
+	v := p.single(header)
 	if v == "" {
-		return or
+		return fallback
 	}
-	if len(v) > maxID {
-		p.fail("header %s: %d characters; allowed: at most %d", header, len(v), maxID)
-		return or
+	if len(v) > maxIDLength {
+		p.fail("header %s: %d characters; allowed: at most %d", header, len(v), maxIDLength)
+		return fallback
 	}
 	for _, c := range v {
 		if c <= ' ' || c >= 0x7f {
 			p.fail("header %s: %q; allowed: printable ASCII without spaces", header, v)
-			return or
+			return fallback
 		}
 	}
 	return v
 }
 
+// deadline returns the request's deadline from its timeout or deadline header, limited by b.
 func (p *parser) deadline(now time.Time, b Bounds) time.Time {
-	timeout, instant := p.value(wire.HeaderTimeout), p.value(wire.HeaderDeadline)
+	timeout, deadline := p.single(wire.HeaderTimeout), p.single(wire.HeaderDeadline)
 	switch {
-	case timeout != "" && instant != "":
-		p.fail("headers %s: %s and %s: %s contradict each other; allowed: one of them", wire.HeaderTimeout, timeout, wire.HeaderDeadline, instant)
+	case timeout != "" && deadline != "":
+		p.fail("headers %s: %s and %s: %s contradict each other; allowed: one of them", wire.HeaderTimeout, timeout, wire.HeaderDeadline, deadline)
 		return now
 	case timeout != "":
 		d, err := time.ParseDuration(timeout)
@@ -128,13 +132,14 @@
 			return now
 		}
 		return now.Add(min(d, b.MaxTimeout))
-	case instant != "":
-		t, err := time.Parse(time.RFC3339Nano, instant)
+	case deadline != "":
+		t, err := time.Parse(time.RFC3339Nano, deadline)
 		if err != nil {
-			p.fail("header %s: %q; allowed: an RFC 3339 instant", wire.HeaderDeadline, instant)
+			p.fail("header %s: %q; allowed: an RFC 3339 instant", wire.HeaderDeadline, deadline)
 			return now
 		}
-		// The caller's instant is turned into a wait once; the rest goes by the monotonic clock of now.
+		// The deadline is converted to a time relative to now once. From then on the monotonic clock reading of now
+		// counts, and changes of the wall clock have no effect.
 		return now.Add(min(t.Sub(now), b.MaxTimeout))
 	default:
 		return now.Add(b.DefaultTimeout)
@@ -142,7 +147,7 @@
 }
 
 func (p *parser) priority() int {
-	v := p.value(wire.HeaderPriority)
+	v := p.single(wire.HeaderPriority)
 	if v == "" {
 		return 0
 	}
@@ -155,7 +160,7 @@
 }
 
 func (p *parser) idempotence() Idempotence {
-	switch v := p.value(wire.HeaderIdempotent); strings.ToLower(v) {
+	switch v := p.single(wire.HeaderIdempotent); strings.ToLower(v) {
 	case "":
 		return Unspecified
 	case "true":
--- a/internal/entry/outcome_test.go
+++ b/internal/entry/outcome_test.go
@@ -17,8 +17,8 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/faults"
 )
 
-// The HTTP library keeps a few goroutines for its own housekeeping; they end with the process or a while
-// after their server or client was closed.
+// TestMain ignores background goroutines of the HTTP library. They end with the process, or some time after their server
+// or client was closed.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
@@ -30,26 +30,26 @@
 }
 
 const (
-	model   = "guide"
-	service = "desk"
-	booked  = time.Second            // a booking's time
-	midway  = 100 * time.Millisecond // into a slow call
+	model          = "guide"
+	service        = "desk"
+	bookingTimeout = time.Second            // timeout of a booking
+	midCall        = 100 * time.Millisecond // when a fault during a call begins
 )
 
-// bed is two instances before three engines and three booking desks.
-type bed struct {
-	t    *testing.T
-	f    *local.Fleet
-	call *caller.Client
-	n    int
+// testFleet is a fleet of two instances, three engines and three instances of the booking service.
+type testFleet struct {
+	t        *testing.T
+	fleet    *local.Fleet
+	client   *caller.Client
+	requests int
 }
 
-func start(t *testing.T) *bed {
+func startFleet(t *testing.T) *testFleet {
 	t.Helper()
-	return startWith(t, func(*api.Settings) {})
+	return startFleetWith(t, func(*api.Settings) {})
 }
 
-func startWith(t *testing.T, tune func(*api.Settings)) *bed {
+func startFleetWith(t *testing.T, tune func(*api.Settings)) *testFleet {
 	t.Helper()
 	f, err := local.Start(local.Config{
 		Entries: 2,
@@ -66,67 +66,73 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, f: f, call: caller.New()}
+	b := &testFleet{t: t, fleet: f, client: caller.New()}
 	t.Cleanup(func() {
-		b.call.Close()
+		b.client.Close()
 		f.Close()
 	})
 	return b
 }
 
-// booking is a call that may not be repeated, through instance n; a key makes repeats safe.
-func (b *bed) booking(n int, key string, slow bool) caller.Request {
-	b.n++
+// booking returns a call through instance n that may not be repeated unless it has an idempotency key. A slow one takes
+// 400 ms.
+func (b *testFleet) booking(n int, key string, slow bool) caller.Request {
+	b.requests++
 	path := "/services/" + service + "/bookings"
 	if slow {
 		path = "/services/" + service + "/slow?ms=400"
 	}
 	return caller.Request{
-		Addr: b.f.Nodes[n].CallersAddr(), ID: fmt.Sprintf("booking-%d", b.n), Timeout: booked, Method: "POST",
+		Addr: b.fleet.Nodes[n].CallersAddr(), ID: fmt.Sprintf("booking-%d", b.requests), Timeout: bookingTimeout, Method: "POST",
 		Path: path, Body: `{"hut":"h1","day":"d1"}`, Key: key, Idempotent: "false",
 	}
 }
 
-// switchAll turns a fault of some stand-ins on or off; targets are names of service instances or engines,
-// or the object API.
-func (b *bed) switchAll(targets []string, f faults.Fault, on bool) {
+// setFault switches a fault of the targets on or off. Targets are names of service instances or engines, or the object
+// store.
+func (b *testFleet) setFault(targets []string, f faults.Fault, on bool) {
 	b.t.Helper()
 	for _, target := range targets {
-		if err := b.f.Cluster.Switch(target, f, on, 0); err != nil {
+		if err := b.fleet.Cluster.Switch(target, f, on, 0); err != nil {
 			b.t.Fatal(err)
 		}
 	}
 }
 
-func (b *bed) desks() []string   { return []string{service + "-0", service + "-1", service + "-2"} }
-func (b *bed) engines() []string { return []string{"engine-north-0", "engine-mid-0", "engine-south-0"} }
+func (b *testFleet) services() []string {
+	return []string{service + "-0", service + "-1", service + "-2"}
+}
+func (b *testFleet) engines() []string {
+	return []string{"engine-north-0", "engine-mid-0", "engine-south-0"}
+}
 
-// step says when the fault begins.
-type step uint8
+// faultTime is the time at which a fault begins.
+type faultTime uint8
 
 const (
-	before step = iota // the request
-	during             // the service's or engine's work
+	beforeRequest faultTime = iota // before the request is sent
+	duringWork                     // midCall after the request is sent, while the service or engine works on it
 )
 
-// do makes a call while a fault comes, and ends the fault.
-func (b *bed) do(q caller.Request, targets []string, f faults.Fault, s step) caller.Result {
+// doWithFault makes a call during which the fault f begins at s, and switches the fault off after the answer. Without
+// a fault it only makes the call.
+func (b *testFleet) doWithFault(q caller.Request, targets []string, f faults.Fault, s faultTime) caller.Result {
 	if f == "" {
-		return b.call.Do(q)
+		return b.client.Do(q)
 	}
-	if s == before {
-		b.switchAll(targets, f, true)
+	if s == beforeRequest {
+		b.setFault(targets, f, true)
 	} else {
-		timer := time.AfterFunc(midway, func() { b.switchAll(targets, f, true) })
+		timer := time.AfterFunc(midCall, func() { b.setFault(targets, f, true) })
 		defer timer.Stop()
 	}
-	r := b.call.Do(q)
-	b.switchAll(targets, f, false)
+	r := b.client.Do(q)
+	b.setFault(targets, f, false)
 	return r
 }
 
-// truthful checks what the caller was told against what ran.
-func truthful(t *testing.T, r caller.Result, runs int) {
+// checkRun compares the run outcome in the answer with the number of runs.
+func checkRun(t *testing.T, r caller.Result, runs int) {
 	t.Helper()
 	switch {
 	case r.Err != nil:
@@ -134,32 +140,32 @@
 	case runs > 1:
 		t.Errorf("ran %d times: %+v", runs, r)
 	case r.Run == "no" && runs != 0:
-		t.Errorf("said not run of what ran: %+v", r)
+		t.Errorf("answer says not run, but it ran: %+v", r)
 	case r.Run == "yes" && runs != 1:
-		t.Errorf("said run of what ran %d times: %+v", runs, r)
+		t.Errorf("answer says run, but it ran %d times: %+v", runs, r)
 	case r.Run == "":
-		t.Errorf("said nothing about whether it ran: %+v", r)
+		t.Errorf("answer has no run outcome: %+v", r)
 	}
 }
 
-// A guest books, and something fails at some moment. What the caller is told about the run decides whether
-// the guest books again: "no" of a booking that ran charges twice, "yes" of one that didn't leaves a family
-// without a hut. Every fault of the desks and the store, at each step, for one and all of them, with the
-// mark alone and with a key; a repeat with the key goes through the other instance.
+// A booking fails at some point. The run outcome in the answer decides whether the client books again: "no" for a
+// booking that ran leads to a double charge, "yes" for one that did not run loses the booking. The test covers every
+// fault of the service and the store, before and during the call, on one and on all service instances, without and with
+// an idempotency key. A repeat with the key goes through the other instance.
 func TestRunOutcomeOfBookings(t *testing.T) {
 	serviceFaults := []faults.Fault{
 		"", faults.Kill, faults.Silent, faults.Cut, faults.Hang, faults.LoseAnswer, faults.CrashBeforeRun,
 		faults.CrashAfterRun, faults.RefuseStart, faults.RefuseEverything, faults.Leaving,
 	}
 	storeFaults := []faults.Fault{faults.Kill, faults.Hang, faults.LoseAnswer, faults.RefuseEverything, faults.Silent, faults.Cut}
-	for _, s := range []step{before, during} {
+	for _, s := range []faultTime{beforeRequest, duringWork} {
 		for _, key := range []bool{false, true} {
 			t.Run(fmt.Sprintf("step %d keyed %v", s, key), func(t *testing.T) {
 				t.Parallel()
-				b := start(t)
+				b := startFleet(t)
 				for _, f := range serviceFaults {
-					b.checkBooking(f, s, key, b.desks()[:1])
-					b.checkBooking(f, s, key, b.desks())
+					b.checkBooking(f, s, key, b.services()[:1])
+					b.checkBooking(f, s, key, b.services())
 				}
 				for _, f := range storeFaults {
 					b.checkBooking(f, s, key, []string{cluster.TargetObjects})
@@ -169,36 +175,38 @@
 	}
 }
 
-func (b *bed) checkBooking(f faults.Fault, s step, keyed bool, targets []string) {
+// checkBooking makes a booking while f affects targets, and checks the run outcome and, if keyed, a repeat.
+func (b *testFleet) checkBooking(f faults.Fault, s faultTime, keyed bool, targets []string) {
 	name := fmt.Sprintf("%s of %d %s", f, len(targets), targets[0])
 	b.t.Run(name, func(t *testing.T) {
 		key := ""
 		if keyed {
-			key = fmt.Sprintf("key-%d", b.n)
+			key = fmt.Sprintf("key-%d", b.requests)
 		}
-		q := b.booking(0, key, s == during)
-		r := b.do(q, targets, f, s)
-		truthful(t, r, b.f.Cluster.Ledger.RunsByRequest()[q.ID])
+		q := b.booking(0, key, s == duringWork)
+		r := b.doWithFault(q, targets, f, s)
+		checkRun(t, r, b.fleet.Cluster.Ledger.RunsByRequest()[q.ID])
 		if keyed {
 			b.checkRepeat(t, key, q, r)
 		}
 	})
 }
 
-// checkRepeat sends the same booking with its key through the other instance until that has the outcome.
-func (b *bed) checkRepeat(t *testing.T, key string, q caller.Request, first caller.Result) {
+// checkRepeat sends the same booking with its key through the other instance until the answer is final, and compares it
+// with the first answer.
+func (b *testFleet) checkRepeat(t *testing.T, key string, q caller.Request, first caller.Result) {
 	t.Helper()
 	is := is.New(t)
 	var r caller.Result
 	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		again := q
-		again.Addr, again.ID = b.f.Nodes[1].CallersAddr(), q.ID+"-again"
-		r = b.call.Do(again)
+		repeat := q
+		repeat.Addr, repeat.ID = b.fleet.Nodes[1].CallersAddr(), q.ID+"-again"
+		r = b.client.Do(repeat)
 		if r.Kind != "in_progress" && r.Kind != "store_unavailable" && r.Run != "no" {
 			break
 		}
 	}
-	runs := b.f.Cluster.Ledger.RunsByKey()[key]
+	runs := b.fleet.Cluster.Ledger.RunsByKey()[key]
 	is.True(runs <= 1) // no key runs twice
 	switch first.Run {
 	case "yes":
@@ -212,18 +220,18 @@
 	}
 }
 
-// An analyst's question goes through faults of its engines at each step. The answer is whole and its own,
-// or an explicit error; "no" is said only if no engine began with it.
+// A prompt is answered while its engines have a fault, which begins before or during the call. The answer is complete
+// and belongs to the prompt, or it is an explicit error. The run outcome is "no" only if no engine began the prompt.
 func TestRunOutcomeOfPrompts(t *testing.T) {
 	engineFaults := []faults.Fault{
 		"", faults.Kill, faults.Silent, faults.Cut, faults.SlowFirstByte, faults.DuplicateParts,
 		faults.ReorderedParts, faults.LateParts, faults.ForeignParts, faults.NoEndMark, faults.LoseAnswer,
 		faults.RefuseStart, faults.RefuseEverything, faults.Leaving,
 	}
-	for _, s := range []step{before, during} {
+	for _, s := range []faultTime{beforeRequest, duringWork} {
 		t.Run(fmt.Sprintf("step %d", s), func(t *testing.T) {
 			t.Parallel()
-			b := start(t)
+			b := startFleet(t)
 			for _, f := range engineFaults {
 				for _, stream := range []bool{false, true} {
 					b.checkPrompt(f, s, stream, b.engines()[:1])
@@ -234,63 +242,64 @@
 	}
 }
 
-const promptTokens, answerTokens = 500, 40 // about 25 ms and 400 ms of an engine's time
+const promptTokens, answerTokens = 500, 40 // about 25 ms of prefill and 400 ms of decoding
 
-func (b *bed) checkPrompt(f faults.Fault, s step, stream bool, targets []string) {
+// checkPrompt sends a prompt while f affects targets, and checks its answer and run outcome.
+func (b *testFleet) checkPrompt(f faults.Fault, s faultTime, stream bool, targets []string) {
 	name := fmt.Sprintf("%s of %d stream %v", f, len(targets), stream)
 	b.t.Run(name, func(t *testing.T) {
 		is := is.New(t)
 		b.awaitEngines(t)
-		b.traffic()
-		b.n++
+		b.sendReads()
+		b.requests++
 		q := caller.Request{
-			Addr: b.f.Nodes[0].CallersAddr(), ID: fmt.Sprintf("prompt-%d", b.n), Timeout: 5 * time.Second,
+			Addr: b.fleet.Nodes[0].CallersAddr(), ID: fmt.Sprintf("prompt-%d", b.requests), Timeout: 5 * time.Second,
 			Model: model, Prompt: strings.Repeat("ice ", promptTokens), MaxTokens: answerTokens, Stream: stream,
 		}
-		r := b.do(q, targets, f, s)
+		r := b.doWithFault(q, targets, f, s)
 		began := 0
-		for _, e := range b.f.Cluster.Engines {
+		for _, e := range b.fleet.Cluster.Engines {
 			began += e.Counters().Runs[q.ID]
 		}
 		is.NoErr(r.Err)
-		whole := answer.Answer(q.ID, answerTokens)
+		complete := answer.Answer(q.ID, answerTokens)
 		switch {
 		case r.Whole:
-			is.Equal(r.Text, whole)
+			is.Equal(r.Text, complete)
 			is.Equal(r.Run, "yes")
 		default:
-			is.True(strings.HasPrefix(whole, r.Text)) // never a wrong token
-			is.True(r.Kind != "")                     // an explicit error
+			is.True(strings.HasPrefix(complete, r.Text)) // no wrong token
+			is.True(r.Kind != "")                        // an explicit error
 			is.True(r.Run != "no" || began == 0)
 		}
-		// One engine's fault is no fault of the answer's.
+		// A fault of a single engine does not fail the request.
 		is.True(r.Whole || len(targets) > 1)
 	})
 }
 
-// traffic makes calls beside the prompts: retries are paid out of a share of all requests.
-func (b *bed) traffic() {
+// sendReads sends reads beside the prompts, as the retry budgets grow with the number of requests.
+func (b *testFleet) sendReads() {
 	for range 60 {
-		b.call.Do(caller.Request{
-			Addr: b.f.Nodes[0].CallersAddr(), Timeout: time.Second, Method: "GET",
+		b.client.Do(caller.Request{
+			Addr: b.fleet.Nodes[0].CallersAddr(), Timeout: time.Second, Method: "GET",
 			Path: "/services/" + service + "/availability?hut=h1&day=d1",
 		})
 	}
 }
 
-// awaitEngines waits until every engine takes prompts again after the last fault.
-func (b *bed) awaitEngines(t *testing.T) {
+// awaitEngines waits until a prompt is answered again after the last fault.
+func (b *testFleet) awaitEngines(t *testing.T) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		r := b.call.Do(caller.Request{
-			Addr: b.f.Nodes[0].CallersAddr(), ID: fmt.Sprintf("probe-%d", time.Now().UnixNano()), Timeout: time.Second,
+		r := b.client.Do(caller.Request{
+			Addr: b.fleet.Nodes[0].CallersAddr(), ID: fmt.Sprintf("probe-%d", time.Now().UnixNano()), Timeout: time.Second,
 			Model: model, Prompt: "x", MaxTokens: 1,
 		})
 		if r.OK() {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("engines don't come back: %+v", r)
+			t.Fatalf("no engine answers after the fault ended: %+v", r)
 		}
 	}
 }
--- a/internal/entry/query/handler.go
+++ b/internal/entry/query/handler.go
@@ -29,13 +29,13 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// errStopped is the cause of contexts ended by the limit of a planned stop.
+// errStopped is the cause of contexts that are canceled when a planned stop reaches its limit.
 var errStopped = errors.New("planned stop reached its limit")
 
-// backgroundTime bounds what is done for a request after its answer.
-const backgroundTime = 5 * time.Second
+// backgroundTimeout bounds background work for a request, such as the cancellation of its dispatch.
+const backgroundTimeout = 5 * time.Second
 
-// Deps are what a Handler works with.
+// Deps are the dependencies of a Handler.
 type Deps struct {
 	Router    *route.Router
 	Client    *upstream.Client
@@ -44,24 +44,28 @@
 	Gate      *gate.Gate
 	Log       hclog.Logger
 	Bounds    intake.Bounds
-	MaxTokens int
-	StreamGap time.Duration
+	MaxTokens int           // highest max_tokens of a prompt
+	StreamGap time.Duration // longest silence of an engine's stream
 	NewID     func() string
 	Limits    Limits // nil: none
 	Retrier   *again.Retrier
 }
 
-// Limits are told how dispatches go, and bound those to cold upstreams; warm.Limits are.
+// Limits bounds dispatches to cold upstreams and receives observations of dispatches. warm.Limits implements it.
 type Limits interface {
-	// Bound is the longest time of one dispatch to the upstream, if there is one.
+	// MaxDispatch returns the longest time of one dispatch to the upstream, and whether its dispatches are bounded.
 	MaxDispatch(u *fleet.Upstream) (time.Duration, bool)
+	// OnFirstByte records the first part of a dispatch, which arrived after took. OnLastByte must follow.
 	OnFirstByte(u *fleet.Upstream, took, expected time.Duration)
+	// OnLastByte records the end of a dispatch for which OnFirstByte was called.
 	OnLastByte(u *fleet.Upstream)
+	// OnBoot records the boot id that the upstream sent.
 	OnBoot(u *fleet.Upstream, bootID string)
+	// RecordEvidence records an event that concerns the upstream's health.
 	RecordEvidence(u *fleet.Upstream, e health.Event)
 }
 
-// noLimits bound nothing.
+// noLimits implements Limits without bounds and discards observations.
 type noLimits struct{}
 
 func (noLimits) MaxDispatch(*fleet.Upstream) (time.Duration, bool)         { return 0, false }
@@ -70,7 +74,7 @@
 func (noLimits) OnBoot(*fleet.Upstream, string)                            {}
 func (noLimits) RecordEvidence(*fleet.Upstream, health.Event)              {}
 
-// Handler serves queries.
+// Handler serves queries: prompts and reads.
 type Handler struct {
 	router    *route.Router
 	client    *upstream.Client
@@ -85,12 +89,12 @@
 	limits    Limits
 	retrier   *again.Retrier
 
-	base context.Context // of all requests; ended by Abort
+	base context.Context // parent of the contexts of all requests; canceled by Abort
 	stop context.CancelCauseFunc
 	wg   sync.WaitGroup // background work
 }
 
-// New gives a Handler.
+// New returns a Handler.
 func New(d Deps) *Handler {
 	base, stop := context.WithCancelCause(context.Background())
 	if d.Limits == nil {
@@ -103,17 +107,18 @@
 	}
 }
 
-// Abort ends every request in flight with an explicit error; a planned stop that reached its limit.
+// Abort ends every request in flight with an explicit error, when a planned stop has reached its limit.
 func (h *Handler) Abort() { h.stop(errStopped) }
 
-// Wait waits for background work, which is bounded in time.
+// Wait waits for background work to end, each piece of which takes at most backgroundTimeout.
 func (h *Handler) Wait() { h.wg.Wait() }
 
+// background starts f in a goroutine with a context that ends after backgroundTimeout.
 func (h *Handler) background(f func(ctx context.Context)) {
 	h.wg.Add(1)
 	go func() {
 		defer h.wg.Done()
-		ctx, cancel := context.WithTimeout(context.Background(), backgroundTime)
+		ctx, cancel := context.WithTimeout(context.Background(), backgroundTimeout)
 		defer cancel()
 		f(ctx)
 	}()
@@ -121,7 +126,7 @@
 
 func (h *Handler) count(name string, labels ...string) { h.metrics.Counter(name, labels...).Inc(1) }
 
-// refuse answers err at once and counts it.
+// refuse answers with err, logs it and counts it.
 func (h *Handler) refuse(ctx *fasthttp.RequestCtx, m intake.Meta, err error) {
 	e := fault.From(err)
 	h.count("refused", "kind", e.Kind.String())
@@ -129,10 +134,10 @@
 	intake.Refuse(ctx, m.ID, e)
 }
 
-// Completions serves the usual completions API.
+// Completions serves prompts in the usual completions API, streamed or as one answer.
 func (h *Handler) Completions(ctx *fasthttp.RequestCtx) {
-	began := time.Now()
-	meta, err := intake.Parse(&ctx.Request.Header, began, h.bounds, h.newID)
+	receivedAt := time.Now()
+	meta, err := intake.Parse(&ctx.Request.Header, receivedAt, h.bounds, h.newID)
 	if err != nil {
 		h.refuse(ctx, meta, err)
 		return
@@ -146,25 +151,25 @@
 		h.refuse(ctx, meta, err)
 		return
 	}
-	s := h.open(ctx, p)
+	s := h.openSession(ctx, p)
 	first, err := s.next()
 	if err != nil {
 		s.end()
 		h.refuse(ctx, meta, err)
 		return
 	}
-	h.metrics.Histogram("first_token_ms", "length", lengthClass(p.tokens)).Update(time.Since(began).Milliseconds())
+	h.metrics.Histogram("first_token_ms", "length", lengthClass(p.promptTokens)).Update(time.Since(receivedAt).Milliseconds())
 	intake.SetOutcomeHeaders(ctx, meta.ID, fault.RunYes)
 	if p.stream {
 		ctx.SetContentType("text/event-stream")
 		ctx.Response.Header.Set(fasthttp.HeaderCacheControl, "no-store")
-		ctx.SetBodyStreamWriter(func(w *bufio.Writer) { s.stream(w, first) })
+		ctx.SetBodyStreamWriter(func(w *bufio.Writer) { s.writeEvents(w, first) })
 		return
 	}
-	s.whole(ctx, first)
+	s.writeWhole(ctx, first)
 }
 
-// lengthClass names a prompt's length class for metrics.
+// lengthClass returns the length class of a prompt, for metrics.
 func lengthClass(tokens int) string {
 	switch {
 	case tokens <= 4_000:
@@ -178,30 +183,30 @@
 	}
 }
 
-// session is one caller waiting for one answer.
+// session is the exchange with one caller that waits for one answer.
 type session struct {
 	*answer
-	unwatch func()
-	cancel  context.CancelFunc
+	unwatch func()             // ends the watch on the caller's connection
+	cancel  context.CancelFunc // frees the session's contexts
 }
 
-// open starts a session: its context ends at the deadline, when the caller closes its connection, or when
-// a planned stop reaches its limit.
-func (h *Handler) open(ctx *fasthttp.RequestCtx, p *prompt) *session {
-	timed, cancelTime := context.WithDeadline(h.base, p.meta.Deadline)
-	live, gone := context.WithCancelCause(timed)
+// openSession starts a session. Its context ends at the deadline, when the caller closes its connection, or when a planned
+// stop reaches its limit.
+func (h *Handler) openSession(ctx *fasthttp.RequestCtx, p *prompt) *session {
+	timedCtx, cancelTimer := context.WithDeadline(h.base, p.meta.Deadline)
+	sessionCtx, cancelSession := context.WithCancelCause(timedCtx)
 	unwatch := func() {}
 	if c, ok := ctx.Conn().(*callerconn.Conn); ok {
-		unwatch = c.Watch(func() { gone(errCallerGone) })
+		unwatch = c.Watch(func() { cancelSession(errCallerGone) })
 	}
 	return &session{
-		answer:  &answer{h: h, ctx: live, prompt: p, parts: stream.NewAssembly(string(p.meta.ID))},
+		answer:  &answer{h: h, ctx: sessionCtx, prompt: p, parts: stream.NewAssembly(string(p.meta.ID))},
 		unwatch: unwatch,
-		cancel:  func() { gone(nil); cancelTime() },
+		cancel:  func() { cancelSession(nil); cancelTimer() },
 	}
 }
 
-// end frees all that the session holds; it is called once on every path.
+// end releases the resources of the session and leaves the gate. It is called exactly once.
 func (s *session) end() {
 	s.abandon()
 	s.unwatch()
@@ -209,7 +214,7 @@
 	s.h.gate.Leave()
 }
 
-// choice, chunk and usage are the usual API's shapes.
+// choice, usage and chunk are types of the usual completions API. A chunk is an event of a stream, or the whole answer.
 type choice struct {
 	Index        int     `json:"index"`
 	Text         string  `json:"text"`
@@ -229,6 +234,7 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
+// chunk returns a chunk with the text. If finish is not empty, it is the last one and includes the usage.
 func (s *session) chunk(text, finish string) chunk {
 	c := chunk{
 		ID: string(s.prompt.meta.ID), Object: "text_completion", Model: s.prompt.body.Model,
@@ -236,17 +242,17 @@
 	}
 	if finish != "" {
 		c.Choices[0].FinishReason = &finish
-		c.Usage = &usage{PromptTokens: s.prompt.tokens, CompletionTokens: s.parts.NextToken()}
+		c.Usage = &usage{PromptTokens: s.prompt.promptTokens, CompletionTokens: s.parts.NextToken()}
 	}
 	return c
 }
 
-// stream writes the answer as server-sent events. A failure after the first part is an event of its own
-// and no end mark follows, so that a caller never takes a short answer for a whole one.
-func (s *session) stream(w *bufio.Writer, part wire.Part) {
+// writeEvents writes the answer, which begins with part, as server-sent events. A failure after the first part is sent as
+// an event without a following end mark, so that a caller never takes a truncated answer for a complete one.
+func (s *session) writeEvents(w *bufio.Writer, part wire.Part) {
 	defer s.end()
 	for {
-		if err := event(w, s.chunk(part.Text, part.FinishReason)); err != nil {
+		if err := writeEvent(w, s.chunk(part.Text, part.FinishReason)); err != nil {
 			s.h.log.Info("caller gone", "request", s.prompt.meta.ID, "error", err)
 			return
 		}
@@ -262,13 +268,14 @@
 			e := fault.From(err)
 			s.h.count("broken_off", "kind", e.Kind.String())
 			s.h.log.Warn("broken off", "request", s.prompt.meta.ID, "kind", e.Kind, "run", e.Run, "detail", e.Detail)
-			_ = event(w, intake.NewFailure(s.prompt.meta.ID, e))
+			_ = writeEvent(w, intake.NewFailure(s.prompt.meta.ID, e))
 			return
 		}
 	}
 }
 
-func event(w *bufio.Writer, v any) error {
+// writeEvent writes v as one server-sent event and flushes w.
+func writeEvent(w *bufio.Writer, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("encode event: %w", err)
@@ -279,8 +286,8 @@
 	return w.Flush()
 }
 
-// whole collects the answer and writes it at once.
-func (s *session) whole(ctx *fasthttp.RequestCtx, part wire.Part) {
+// writeWhole collects the answer, which begins with part, and writes it as one response.
+func (s *session) writeWhole(ctx *fasthttp.RequestCtx, part wire.Part) {
 	defer s.end()
 	var text strings.Builder
 	finish := ""
--- a/internal/entry/query/read.go
+++ b/internal/entry/query/read.go
@@ -15,7 +15,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream"
 )
 
-// Read serves GET and HEAD calls of plain services; they may be repeated.
+// Read serves GET and HEAD calls of plain services, which may be repeated.
 func (h *Handler) Read(ctx *fasthttp.RequestCtx) {
 	m, err := intake.Parse(&ctx.Request.Header, time.Now(), h.bounds, h.newID)
 	if err != nil {
@@ -27,9 +27,9 @@
 		return
 	}
 	defer h.gate.Leave()
-	timed, cancel := context.WithDeadline(h.base, m.Deadline)
+	readCtx, cancel := context.WithDeadline(h.base, m.Deadline)
 	defer cancel()
-	a, err := h.read(timed, m, intake.ReadCall(ctx))
+	a, err := h.read(readCtx, m, intake.ReadCall(ctx))
 	if err != nil {
 		h.refuse(ctx, m, err)
 		return
@@ -38,62 +38,66 @@
 	intake.Respond(ctx, m, a)
 }
 
-// maxReads bounds the dispatches of one read; its time is shared out among them.
-const maxReads = 4
+// readTimeShares is the number of dispatches among which the time of one read is divided. It matches MaxAttempts of
+// retry.DefaultParams, which bounds the dispatches.
+const readTimeShares = 4
 
-// reading is one read through as many dispatches as it takes.
-type reading struct {
-	h       *Handler
-	ctx     context.Context
-	meta    intake.Meta
-	target  intake.Call
-	run     fault.Run // what is known about the read as a whole
-	tried   []fleet.UpstreamID
-	attempt int
+// serviceRead is the state of one read over all its dispatches.
+type serviceRead struct {
+	h           *Handler
+	ctx         context.Context
+	meta        intake.Meta
+	serviceCall intake.Call
+	run         fault.Run // what is known of all dispatches so far
+	tried       []fleet.UpstreamID
+	attempt     int
 }
 
-func (h *Handler) read(ctx context.Context, m intake.Meta, t intake.Call) (upstream.Answer, error) {
-	r := &reading{h: h, ctx: ctx, meta: m, target: t, run: fault.RunNo}
+// read dispatches the call until it succeeds or must not be retried.
+func (h *Handler) read(ctx context.Context, m intake.Meta, call intake.Call) (upstream.Answer, error) {
+	r := &serviceRead{h: h, ctx: ctx, meta: m, serviceCall: call, run: fault.RunNo}
 	for {
-		a, again, err := r.once()
-		if !again {
+		a, retrying, err := r.dispatch()
+		if !retrying {
 			return a, err
 		}
 	}
 }
 
-// once makes one dispatch and tells whether another may follow.
-func (r *reading) once() (upstream.Answer, bool, error) {
+// dispatch makes one dispatch and waits for the backoff after a failure. The bool reports whether another dispatch may
+// follow; otherwise the answer or error is final.
+func (r *serviceRead) dispatch() (upstream.Answer, bool, error) {
 	r.attempt++
 	g, err := r.h.router.Acquire(r.ctx, route.Request{
-		ID: r.meta.ID, Workspace: r.meta.Workspace, Service: r.target.Service, Priority: r.meta.Priority,
+		ID: r.meta.ID, Workspace: r.meta.Workspace, Service: r.serviceCall.Service, Priority: r.meta.Priority,
 		Deadline: r.meta.Deadline, Attempt: r.attempt, Exclude: r.tried,
 	})
 	if err != nil {
-		return upstream.Answer{}, false, r.refused(err)
+		return upstream.Answer{}, false, r.refusal(err)
 	}
 	if r.attempt == 1 {
 		r.h.retrier.RecordRequest(r.meta.Workspace, g.Upstream.ID)
 	}
-	a, failed := r.call(g)
-	if failed == nil {
+	a, callErr := r.call(g)
+	if callErr == nil {
 		return a, false, nil
 	}
-	if failed.MayHaveRun() {
+	if callErr.MayHaveRun() {
 		r.run = fault.RunUnknown
 	}
 	r.tried = append(r.tried, g.Upstream.ID)
-	again, reason := r.h.retrier.AwaitRetry(r.ctx, retry.Failure{
-		Started: failed.MayHaveRun(), Idempotent: true, Attempts: r.attempt, TimeLeft: time.Until(r.meta.Deadline),
-		RetryAfter: failed.RetryAfter, OtherUpstream: true,
+	retrying, reason := r.h.retrier.AwaitRetry(r.ctx, retry.Failure{
+		Started: callErr.MayHaveRun(), Idempotent: true, Attempts: r.attempt, TimeLeft: time.Until(r.meta.Deadline),
+		RetryAfter: callErr.RetryAfter, OtherUpstream: true,
 	}, r.meta.Workspace, g.Upstream.ID)
 	r.h.explain.Record("retry", string(r.meta.ID), reason,
-		"upstream", g.Upstream.ID, "again", again, "attempt", r.attempt, "error", failed)
-	return upstream.Answer{}, again, r.final(failed)
+		"upstream", g.Upstream.ID, "again", retrying, "attempt", r.attempt, "error", callErr)
+	return upstream.Answer{}, retrying, r.finalError(callErr)
 }
 
-// refused keeps what is known of earlier dispatches: a read that may have run is never "not run".
-func (r *reading) refused(err error) error {
+// refusal returns the final error after the router refused a dispatch with err. A read that may have run in an earlier
+// dispatch is never reported as not run.
+func (r *serviceRead) refusal(err error) error {
 	e := fault.From(err)
 	if r.run == fault.RunNo {
 		return e
@@ -101,47 +105,49 @@
 	return fault.NewWithRun(fault.UpstreamFailed, r.run, "%s after %d dispatches: %s", e.Kind, r.attempt-1, e.Detail)
 }
 
-func (r *reading) final(failed *upstream.CallError) error {
+// finalError returns the error for a read whose last dispatch failed with callErr.
+func (r *serviceRead) finalError(callErr *upstream.CallError) error {
 	switch {
 	case r.ctx.Err() != nil:
 		return fault.NewWithRun(fault.DeadlineExceeded, r.run, "no answer in time")
 	case r.run == fault.RunNo:
-		e := fault.New(fault.UpstreamBusy, "%v", failed)
-		e.RetryAfter = failed.RetryAfter
+		e := fault.New(fault.UpstreamBusy, "%v", callErr)
+		e.RetryAfter = callErr.RetryAfter
 		return e
 	default:
-		return fault.NewWithRun(fault.UpstreamFailed, r.run, "%v", failed)
+		return fault.NewWithRun(fault.UpstreamFailed, r.run, "%v", callErr)
 	}
 }
 
-// call tries one instance of the service, and leaves time for the others.
-func (r *reading) call(g *route.Grant) (upstream.Answer, *upstream.CallError) {
+// call sends the call to the upstream of the grant and ends the grant. Its timeout is a share of the time left, so that
+// time remains for other instances of the service.
+func (r *serviceRead) call(g *route.Grant) (upstream.Answer, *upstream.CallError) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	remaining := time.Until(r.meta.Deadline)
-	r.target.Fill(req, g.Upstream.Addr, r.meta, r.attempt, remaining)
-	share := remaining / time.Duration(max(maxReads-r.attempt+1, 1))
+	r.serviceCall.Fill(req, g.Upstream.Addr, r.meta, r.attempt, remaining)
+	share := remaining / time.Duration(max(readTimeShares-r.attempt+1, 1))
 	a, err := r.h.client.Call(r.ctx, g.Upstream.Addr, req, share)
 	if err == nil {
 		g.Done(route.OK)
 		return a, nil
 	}
-	var ce *upstream.CallError
-	if !errors.As(err, &ce) {
-		ce = &upstream.CallError{Sent: true, Cause: err}
+	var callErr *upstream.CallError
+	if !errors.As(err, &callErr) {
+		callErr = &upstream.CallError{Sent: true, Cause: err}
 	}
-	g.Done(dispatchOutcome(r.ctx, ce))
-	return upstream.Answer{}, ce
+	g.Done(dispatchOutcome(r.ctx, callErr))
+	return upstream.Answer{}, callErr
 }
 
-// dispatchOutcome is how a failed dispatch counts for its upstream.
-func dispatchOutcome(ctx context.Context, ce *upstream.CallError) route.Outcome {
+// dispatchOutcome returns the outcome of a failed dispatch that is recorded for its upstream.
+func dispatchOutcome(ctx context.Context, callErr *upstream.CallError) route.Outcome {
 	switch {
-	case ctx.Err() != nil || ce.DeadlinePassed:
+	case ctx.Err() != nil || callErr.DeadlinePassed:
 		return route.Cancelled
-	case !ce.MayHaveRun():
+	case !callErr.MayHaveRun():
 		return route.NotStarted
-	case ce.Timeout:
+	case callErr.Timeout:
 		return route.Silent
 	default:
 		return route.Failed
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -15,73 +15,73 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/faults"
 )
 
-// long is a prompt whose answer streams for as many engine tokens, 10 ms each.
-func (b *bed) long(id string, tokens int) caller.Request {
+// longPrompt returns a prompt whose answer streams the given number of tokens, one every 10 ms.
+func (b *testFleet) longPrompt(id string, tokens int) caller.Request {
 	return caller.Request{
-		Addr: b.f.Nodes[0].CallersAddr(), ID: id, Timeout: 20 * time.Second, Model: model,
+		Addr: b.fleet.Nodes[0].CallersAddr(), ID: id, Timeout: 20 * time.Second, Model: model,
 		Prompt: strings.Repeat("ice ", promptTokens), MaxTokens: tokens, Stream: true,
 	}
 }
 
-// onEngines is the number of prompts that engines have.
-func (b *bed) onEngines() int {
+// engineInFlight returns the number of prompts in flight on all engines.
+func (b *testFleet) engineInFlight() int {
 	sum := 0
-	for _, e := range b.f.Cluster.Engines {
+	for _, e := range b.fleet.Cluster.Engines {
 		sum += e.Counters().InFlight
 	}
 	return sum
 }
 
-// inFlight waits until the engines have n prompts.
-func (b *bed) inFlight(n int) {
+// awaitInFlight waits until at least n prompts are in flight on engines.
+func (b *testFleet) awaitInFlight(n int) {
 	b.t.Helper()
-	eventually(b.t, "prompts are on engines", func() bool { return b.onEngines() >= n })
+	eventually(b.t, "prompts in flight on engines", func() bool { return b.engineInFlight() >= n })
 }
 
-// eventually waits for what takes milliseconds when all is well.
+// eventually waits until cond holds. It fails the test after 20 s; without a fault, cond holds within milliseconds.
 func eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !cond(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("never: " + what)
+			t.Fatal("not reached within the time limit: " + what)
 		}
 	}
 }
 
-// Operators stop an instance while long answers stream, a slow booking runs, and the balancer still sends.
-// A second signal asks again. Nothing is cut off, and what comes too late is told "not run".
-func TestPlannedStopCutsNothing(t *testing.T) {
+// An instance is stopped twice while long answers stream, a slow booking runs and new requests still arrive. Requests in
+// flight finish, and requests that arrive too late are refused as not run.
+func TestPlannedStopFinishesRequests(t *testing.T) {
 	is := is.New(t)
-	b := start(t)
+	b := startFleet(t)
 	const streams, tokens = 8, 120
 	results := make([]caller.Result, streams)
 	var wg sync.WaitGroup
 	for i := range streams {
-		q := b.long(fmt.Sprint("long-", i), tokens)
-		wg.Go(func() { results[i] = b.call.Do(q) })
+		q := b.longPrompt(fmt.Sprint("long-", i), tokens)
+		wg.Go(func() { results[i] = b.client.Do(q) })
 	}
-	b.inFlight(streams)
+	b.awaitInFlight(streams)
 	keyed := b.booking(0, "stop-key", true)
 	var booking caller.Result
-	wg.Go(func() { booking = b.call.Do(keyed) })
+	wg.Go(func() { booking = b.client.Do(keyed) })
 	stopped := make(chan error, 2)
 	for range 2 {
-		go func() { stopped <- b.f.Nodes[0].Stop() }()
+		go func() { stopped <- b.fleet.Nodes[0].Stop() }()
 	}
-	late := 0
-	for deadline := time.Now().Add(10 * time.Second); late == 0 && time.Now().Before(deadline); {
-		r := b.call.Do(b.booking(0, "", false))
+	refused := 0
+	for deadline := time.Now().Add(10 * time.Second); refused == 0 && time.Now().Before(deadline); {
+		r := b.client.Do(b.booking(0, "", false))
 		switch {
 		case r.Err != nil:
-			late++ // the listener is closed: nothing was read
+			refused++ // the listener is closed: the request was not read
 		case r.Status >= 300:
-			late++
+			refused++
 			is.Equal(r.Kind, "stopping")
 			is.Equal(r.Run, "no")
 			is.True(r.RetryAfter > 0)
 		}
 	}
-	is.True(late > 0) // new requests end before those in flight
+	is.True(refused > 0) // new requests are refused while others are in flight
 	wg.Wait()
 	is.NoErr(<-stopped)
 	is.NoErr(<-stopped)
@@ -91,54 +91,54 @@
 	}
 	is.Equal(booking.Run, "yes")
 	repeat := keyed
-	repeat.Addr, repeat.ID = b.f.Nodes[1].CallersAddr(), "stop-again"
-	r := b.call.Do(repeat)
-	is.True(r.Replayed) // its outcome was in the store before the instance ended
+	repeat.Addr, repeat.ID = b.fleet.Nodes[1].CallersAddr(), "stop-again"
+	r := b.client.Do(repeat)
+	is.True(r.Replayed) // the outcome was in the store before the instance stopped
 	is.Equal(r.Text, booking.Text)
 }
 
-// The stop's limit comes before the end of a stream. The stream ends with an explicit error instead of an
-// end mark, and the engine is told.
+// The stop timeout passes before the end of a stream. The stream ends with an explicit error instead of an end mark, and
+// the prompt is canceled on its engine.
 func TestStopLimitEndsStreamsExplicitly(t *testing.T) {
 	is := is.New(t)
-	b := startWith(t, func(s *api.Settings) {
+	b := startFleetWith(t, func(s *api.Settings) {
 		s.Intervals.StopTimeout = api.Duration(400 * time.Millisecond)
 	})
 	const tokens = 1500
 	var r caller.Result
 	var wg sync.WaitGroup
-	q := b.long("long", tokens)
-	wg.Go(func() { r = b.call.Do(q) })
-	b.inFlight(1)
-	is.True(b.f.Nodes[0].Stop() != nil) // it says that it cut something off
+	q := b.longPrompt("long", tokens)
+	wg.Go(func() { r = b.client.Do(q) })
+	b.awaitInFlight(1)
+	is.True(b.fleet.Nodes[0].Stop() != nil) // Stop reports that a request was cut off
 	wg.Wait()
 	is.True(!r.Whole)
 	is.Equal(r.Kind, "cancelled")
 	is.True(r.Run != "no")
 	is.True(strings.HasPrefix(answer.Answer("long", tokens), r.Text))
-	eventually(t, "no engine works on for nobody", func() bool { return b.onEngines() == 0 })
+	eventually(t, "no prompt in flight after its stream was cut off", func() bool { return b.engineInFlight() == 0 })
 }
 
-// An engine's answer doesn't come, or every engine refuses. The analyst's request has 700 ms: it is answered
-// by then, with an error that says what is known, and not left hanging on the engine's time; the client's
-// own limit, seconds later, would show as a transport error. No engine works on for it.
-func TestPromptsEndInTheirTime(t *testing.T) {
-	all := []faults.Fault{faults.Hang, faults.Kill, faults.RefuseStart, faults.RefuseEverything, faults.SlowFirstByte}
-	b := start(t)
-	for _, f := range all {
+// No engine answers, or every engine refuses. A request with a timeout of 700 ms gets an error with its run outcome by
+// then and does not wait for the engine. Without that, the client's own limit, seconds later, would show as a
+// transport error. No engine keeps working on the request.
+func TestPromptsEndByDeadline(t *testing.T) {
+	engineFaults := []faults.Fault{faults.Hang, faults.Kill, faults.RefuseStart, faults.RefuseEverything, faults.SlowFirstByte}
+	b := startFleet(t)
+	for _, f := range engineFaults {
 		t.Run(string(f), func(t *testing.T) {
 			is := is.New(t)
 			b.awaitEngines(t)
-			b.switchAll(b.engines(), f, true)
-			q := b.long(fmt.Sprint("late-", f), 2000)
+			b.setFault(b.engines(), f, true)
+			q := b.longPrompt(fmt.Sprint("late-", f), 2000)
 			q.Timeout = 700 * time.Millisecond
-			r := b.call.Do(q)
-			b.switchAll(b.engines(), f, false)
+			r := b.client.Do(q)
+			b.setFault(b.engines(), f, false)
 			is.NoErr(r.Err)
 			is.True(!r.Whole)
 			is.True(r.Kind != "")
 			is.True(r.Run == "no" || r.Run == "unknown" || r.Run == "yes")
-			eventually(t, "no engine works for it", func() bool { return b.onEngines() == 0 })
+			eventually(t, "no prompt in flight after its deadline", func() bool { return b.engineInFlight() == 0 })
 		})
 	}
 }
