--- a/api/config.go
+++ b/api/config.go
@@ -8,7 +8,7 @@
 type Config struct {
 	Intent     Intent   `json:"intent"`
 	DomainsOut []string `json:"failure_domains_out,omitempty"` // sorted
-	Plan       string   `json:"plan,omitempty"`                // plan whose confirmation made this version
+	PlanID     string   `json:"plan,omitempty"`                // plan whose confirmation made this version
 }
 
 // Intent is what operators want the fleet to serve.
@@ -19,20 +19,20 @@
 
 // Model is one model version to be served.
 type Model struct {
-	Name     string   `json:"name"`
-	Version  string   `json:"version"`
-	Adapters []string `json:"adapters,omitempty"`
-	Replicas int      `json:"replicas"`                  // engines that serve it
-	Floor    int      `json:"floor,omitempty"`           // replicas that must serve at every step of a plan
-	Domains  []string `json:"failure_domains,omitempty"` // allowed failure domains; empty: all
-	Memory   int64    `json:"memory_tokens,omitempty"`   // engine memory that its weights take, in tokens
-	Gigabyte int64    `json:"weight_gb,omitempty"`       // size of its weights
+	Name         string   `json:"name"`
+	Version      string   `json:"version"`
+	Adapters     []string `json:"adapters,omitempty"`
+	Replicas     int      `json:"replicas"`                  // engines that serve it
+	Floor        int      `json:"floor,omitempty"`           // replicas that must serve at every step of a plan
+	Domains      []string `json:"failure_domains,omitempty"` // allowed failure domains; empty: all
+	MemoryTokens int64    `json:"memory_tokens,omitempty"`   // engine memory that its weights take, in tokens
+	WeightGB     int64    `json:"weight_gb,omitempty"`       // size of its weights
 }
 
 // Workspace is one workspace's share of the fleet.
 type Workspace struct {
-	Name     string  `json:"name"`
-	Weight   float64 `json:"weight,omitempty"`   // share against the others; 0: 1
-	Limit    int     `json:"limit,omitempty"`    // requests at once over the whole fleet; 0: none
-	Priority int     `json:"priority,omitempty"` // -10 to 10
+	Name        string  `json:"name"`
+	Weight      float64 `json:"weight,omitempty"`   // share against the others; 0: 1
+	MaxInFlight int     `json:"limit,omitempty"`    // requests at once over the whole fleet; 0: none
+	Priority    int     `json:"priority,omitempty"` // -10 to 10
 }
--- a/api/intent.go
+++ b/api/intent.go
@@ -80,11 +80,11 @@
 	if m.Floor < 0 || m.Floor > m.Replicas {
 		return badField(path+".floor", m.Floor, fmt.Sprintf("0 to replicas, which is %d", m.Replicas))
 	}
-	if m.Memory < 0 || m.Memory > maxMemory {
-		return badField(path+".memory_tokens", m.Memory, fmt.Sprintf("0 to %d", int64(maxMemory)))
+	if m.MemoryTokens < 0 || m.MemoryTokens > maxMemory {
+		return badField(path+".memory_tokens", m.MemoryTokens, fmt.Sprintf("0 to %d", int64(maxMemory)))
 	}
-	if m.Gigabyte < 0 || m.Gigabyte > maxGigabyte {
-		return badField(path+".weight_gb", m.Gigabyte, fmt.Sprintf("0 to %d", maxGigabyte))
+	if m.WeightGB < 0 || m.WeightGB > maxGigabyte {
+		return badField(path+".weight_gb", m.WeightGB, fmt.Sprintf("0 to %d", maxGigabyte))
 	}
 	if n := len(m.Adapters); n > maxAdapters {
 		return badField(path+".adapters", fmt.Sprintf("%d entries", n), fmt.Sprintf("at most %d", maxAdapters))
@@ -118,8 +118,8 @@
 	if !(w.Weight >= 0 && w.Weight <= maxWeight) {
 		return badField(path+".weight", w.Weight, fmt.Sprintf("0 to %d", maxWeight))
 	}
-	if w.Limit < 0 || w.Limit > maxInFlight {
-		return badField(path+".limit", w.Limit, fmt.Sprintf("0 to %d", maxInFlight))
+	if w.MaxInFlight < 0 || w.MaxInFlight > maxInFlight {
+		return badField(path+".limit", w.MaxInFlight, fmt.Sprintf("0 to %d", maxInFlight))
 	}
 	if w.Priority < -maxPriority || w.Priority > maxPriority {
 		return badField(path+".priority", w.Priority, fmt.Sprintf("%d to %d", -maxPriority, maxPriority))
--- a/api/plan.go
+++ b/api/plan.go
@@ -53,23 +53,23 @@
 	Target  Target         `json:"target,omitempty"` // what every usable engine has loaded at the end, sorted by upstream
 	Floors  map[string]int `json:"floors,omitempty"` // by model: engines that serve at every step
 	Summary []string       `json:"summary"`          // what changes, in words
-	Hurt    []string       `json:"hurt,omitempty"`   // who is hurt and how, in words
+	Impact  []string       `json:"hurt,omitempty"`   // who is hurt and how, in words
 	Cost    Cost           `json:"cost"`
 	Forced  bool           `json:"forced,omitempty"` // breaks a floor, accepted by the operator
 }
 
 // Base holds the versions that a plan was made from.
 type Base struct {
-	Config uint64 `json:"config"`         // version of config/current; 0: there was none
-	Plan   string `json:"plan,omitempty"` // whose confirmation made that version
+	ConfigVersion uint64 `json:"config"`         // version of config/current; 0: there was none
+	PlanID        string `json:"plan,omitempty"` // whose confirmation made that version
 }
 
 // Cost is what carrying out a plan takes.
 type Cost struct {
-	Loads      int   `json:"loads"`
-	Unloads    int   `json:"unloads"`
-	Gigabytes  int64 `json:"weight_store_gb"`       // transferred from the weight store
-	MinSeconds int64 `json:"min_seconds,omitempty"` // least time that the weight store's rate allows
+	Loads         int   `json:"loads"`
+	Unloads       int   `json:"unloads"`
+	WeightStoreGB int64 `json:"weight_store_gb"`       // transferred from the weight store
+	MinSeconds    int64 `json:"min_seconds,omitempty"` // least time that the weight store's rate allows
 }
 
 // Kinds of steps; an engine's orders have the same kinds.
@@ -87,27 +87,27 @@
 	Model    string `json:"model"`
 	Version  string `json:"version"`
 	Adapter  string `json:"adapter,omitempty"`
-	Gigabyte int64  `json:"weight_gb,omitempty"`
+	WeightGB int64  `json:"weight_gb,omitempty"`
 }
 
 // Placement is what one engine has loaded.
 type Placement struct {
-	Upstream string   `json:"upstream"`
-	Loaded   []Loaded `json:"loaded,omitempty"` // sorted by model, then version
+	Upstream string        `json:"upstream"`
+	Loaded   []LoadedModel `json:"loaded,omitempty"` // sorted by model, then version
 }
 
 // Loaded is one model version with its adapters.
-type Loaded struct {
+type LoadedModel struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"` // sorted
 }
 
 // NewIntent tells whether the plan changes the intent; otherwise it changes a failure domain.
-func (p *Plan) NewIntent() bool { return p.Change.Drain == "" && p.Change.Restore == "" }
+func (p *Plan) ChangesIntent() bool { return p.Change.Drain == "" && p.Change.Restore == "" }
 
 // Stages is the number of the plan's last stage; 0 for a plan without steps.
-func (p *Plan) Stages() int {
+func (p *Plan) LastStage() int {
 	last := 0
 	for _, s := range p.Steps {
 		last = max(last, s.Stage)
@@ -116,7 +116,7 @@
 }
 
 // Confirmed answers a confirmation that took effect.
-type Confirmed struct {
-	Plan    string `json:"plan"`
-	Version uint64 `json:"config_version"` // that the confirmation made
+type Confirmation struct {
+	PlanID        string `json:"plan"`
+	ConfigVersion uint64 `json:"config_version"` // that the confirmation made
 }
--- a/api/routed.go
+++ b/api/routed.go
@@ -36,7 +36,7 @@
 type RoutedStore struct {
 	Address string `json:"address"`
 	// ConfigWithin is the time in which an accepted configuration must be in force everywhere; 0: not said.
-	ConfigWithin Duration `json:"config_within,omitempty"`
+	MaxConfigDelay Duration `json:"config_within,omitempty"`
 }
 
 // Retries bound the arrivals at a service beyond the first of each request, over all instances. Either may be
@@ -48,8 +48,8 @@
 
 // RoutedStop are the times of a planned stop.
 type RoutedStop struct {
-	Lag   Duration `json:"lag"`   // the balancer may still send for so long after not-ready
-	Grace Duration `json:"grace"` // the process is ended after it, however short or long
+	BalancerLag Duration `json:"lag"`   // the balancer may still send for so long after not-ready
+	Grace       Duration `json:"grace"` // the process is ended after it, however short or long
 }
 
 // RoutedLimits bound what one instance takes from callers.
@@ -85,7 +85,7 @@
 	}
 	orDuration(&r.Stop.Grace, defaultRoutedGrace)
 	// Half of a short grace is left for the requests in flight.
-	orDuration(&r.Stop.Lag, min(defaultRoutedLag, r.Stop.Grace/2))
+	orDuration(&r.Stop.BalancerLag, min(defaultRoutedLag, r.Stop.Grace/2))
 	orFloat(&r.Retries.Ratio, defaultRetryRatio)
 	orFloat(&r.Retries.Slack, 0)
 	if r.CPUShare == 0 {
@@ -125,9 +125,9 @@
 		}
 	}
 	return s.checkDurations([]durationRange{
-		{"routed.store.config_within", r.Store.ConfigWithin, 0, math.MaxInt64},
-		{"routed.stop.lag", r.Stop.Lag, 0, time.Minute},
-		{"routed.stop.grace", r.Stop.Grace, time.Duration(r.Stop.Lag), math.MaxInt64},
+		{"routed.store.config_within", r.Store.MaxConfigDelay, 0, math.MaxInt64},
+		{"routed.stop.lag", r.Stop.BalancerLag, 0, time.Minute},
+		{"routed.stop.grace", r.Stop.Grace, time.Duration(r.Stop.BalancerLag), math.MaxInt64},
 		{"routed.limits.read_timeout", r.Limits.ReadTimeout, 10 * time.Millisecond, 5 * time.Minute},
 		{"routed.limits.idle_timeout", r.Limits.IdleTimeout, 10 * time.Millisecond, time.Hour},
 	})
--- a/api/settings.go
+++ b/api/settings.go
@@ -42,15 +42,15 @@
 
 // Limits bound what one instance takes from callers.
 type Limits struct {
-	MaxBodyBytes       int      `json:"max_body_bytes,omitempty"`
-	MaxHeaderBytes     int      `json:"max_header_bytes,omitempty"`
-	MaxConnections     int      `json:"max_connections,omitempty"`
-	HeaderTimeout      Duration `json:"header_timeout,omitempty"`  // to read a whole request
-	DefaultTimeout     Duration `json:"default_timeout,omitempty"` // of a request that names none
-	MaxTimeout         Duration `json:"max_timeout,omitempty"`
-	QueueLength        int      `json:"queue_length,omitempty"`
-	WorkspaceInFlight  int      `json:"workspace_in_flight,omitempty"` // default per workspace on this instance; 0: none
-	MaxCompletionToken int      `json:"max_completion_tokens,omitempty"`
+	MaxBodyBytes        int      `json:"max_body_bytes,omitempty"`
+	MaxHeaderBytes      int      `json:"max_header_bytes,omitempty"`
+	MaxConnections      int      `json:"max_connections,omitempty"`
+	HeaderTimeout       Duration `json:"header_timeout,omitempty"`  // to read a whole request
+	DefaultTimeout      Duration `json:"default_timeout,omitempty"` // of a request that names none
+	MaxTimeout          Duration `json:"max_timeout,omitempty"`
+	QueueLength         int      `json:"queue_length,omitempty"`
+	WorkspaceInFlight   int      `json:"workspace_in_flight,omitempty"` // default per workspace on this instance; 0: none
+	MaxCompletionTokens int      `json:"max_completion_tokens,omitempty"`
 }
 
 // Intervals are the times of the instance's own work.
@@ -147,18 +147,18 @@
 	if err := DecodeStrict(data, &s); err != nil {
 		return Settings{}, err
 	}
-	s.Complete()
+	s.ApplyDefaults()
 	return s, s.Validate()
 }
 
 // Complete fills in the defaults of what was left out.
-func (s *Settings) Complete() {
+func (s *Settings) ApplyDefaults() {
 	l, i := &s.Limits, &s.Intervals
 	orInt(&l.MaxBodyBytes, defaultBody)
 	orInt(&l.MaxHeaderBytes, defaultHeader)
 	orInt(&l.MaxConnections, defaultConnections)
 	orInt(&l.QueueLength, defaultQueue)
-	orInt(&l.MaxCompletionToken, defaultMaxTokens)
+	orInt(&l.MaxCompletionTokens, defaultMaxTokens)
 	orDuration(&l.HeaderTimeout, defaultHeaderTimeout)
 	orDuration(&l.DefaultTimeout, defaultTimeout)
 	orDuration(&l.MaxTimeout, defaultMaxTimeout)
@@ -269,7 +269,7 @@
 		{"limits.max_connections", l.MaxConnections, 1, 1 << 20},
 		{"limits.queue_length", l.QueueLength, 1, 1 << 20},
 		{"limits.workspace_in_flight", l.WorkspaceInFlight, 0, 1 << 20},
-		{"limits.max_completion_tokens", l.MaxCompletionToken, 1, 1 << 20},
+		{"limits.max_completion_tokens", l.MaxCompletionTokens, 1, 1 << 20},
 	}
 	for _, v := range ints {
 		if v.value < v.min || v.value > v.max {
--- a/api/target.go
+++ b/api/target.go
@@ -13,8 +13,8 @@
 
 // targetGroup is the engines that have the same loaded.
 type targetGroup struct {
-	Loaded    []Loaded `json:"loaded,omitempty"`
-	Upstreams []string `json:"upstreams"`
+	Loaded    []LoadedModel `json:"loaded,omitempty"`
+	Upstreams []string      `json:"upstreams"`
 }
 
 // MarshalJSON writes groups, in the order of their first engines.
--- a/cmd/damaskctl/confirm.go
+++ b/cmd/damaskctl/confirm.go
@@ -47,17 +47,17 @@
 	if !v.usage(e, f, 1) {
 		return exitUsage
 	}
-	var c api.Confirmed
+	var c api.Confirmation
 	if err := v.call(fasthttp.MethodPost, planPath(operate.PathConfirm, f.Arg(0)), nil, &c); err != nil {
 		return exit(e, err)
 	}
 	v.print(e, c, func(w io.Writer) {
-		fmt.Fprintf(w, "plan %s is accepted: configuration version %d\n", c.Plan, c.Version)
+		fmt.Fprintf(w, "plan %s is accepted: configuration version %d\n", c.PlanID, c.ConfigVersion)
 	})
 	if v.wait <= 0 {
 		return exitDone
 	}
-	return v.spread(e, c.Version)
+	return v.spread(e, c.ConfigVersion)
 }
 
 // spread shows in how many instances a version is in force until all have it.
@@ -74,12 +74,12 @@
 			fmt.Fprintln(e.err, "this instance can't tell where the version is in force")
 			return exitFailed
 		}
-		line := fmt.Sprintf("in force on %d of %d instances", s.InForce.Have, s.InForce.Of)
+		line := fmt.Sprintf("in force on %d of %d instances", s.InForce.Applied, s.InForce.Instances)
 		if line != shown && !v.json() {
 			fmt.Fprintln(e.out, line)
 			shown = line
 		}
-		if s.InForce.Have >= s.InForce.Of && s.InForce.Of > 0 {
+		if s.InForce.Applied >= s.InForce.Instances && s.InForce.Instances > 0 {
 			return exitDone
 		}
 		if time.Now().After(deadline) {
--- a/cmd/damaskctl/plan.go
+++ b/cmd/damaskctl/plan.go
@@ -64,18 +64,18 @@
 }
 
 func printPlan(w io.Writer, p api.Plan) {
-	fmt.Fprintf(w, "plan %s (%s), made from configuration version %d\n", p.ID, p.State, p.Base.Config)
+	fmt.Fprintf(w, "plan %s (%s), made from configuration version %d\n", p.ID, p.State, p.Base.ConfigVersion)
 	for _, line := range p.Summary {
 		fmt.Fprintf(w, "  %s\n", line)
 	}
-	for _, line := range p.Hurt {
+	for _, line := range p.Impact {
 		fmt.Fprintf(w, "  hurt: %s\n", line)
 	}
 	for _, s := range p.Steps {
 		fmt.Fprintf(w, "  stage %d: %s %s\n", s.Stage, s.Upstream, describeStep(s))
 	}
 	if c := p.Cost; c.Loads+c.Unloads > 0 {
-		fmt.Fprintf(w, "  cost: %d loads, %d unloads, %d GB from the weight store", c.Loads, c.Unloads, c.Gigabytes)
+		fmt.Fprintf(w, "  cost: %d loads, %d unloads, %d GB from the weight store", c.Loads, c.Unloads, c.WeightStoreGB)
 		if c.MinSeconds > 0 {
 			fmt.Fprintf(w, ", at least %d s", c.MinSeconds)
 		}
@@ -94,8 +94,8 @@
 	if s.Adapter != "" {
 		what += " adapter " + s.Adapter
 	}
-	if s.Gigabyte > 0 {
-		return fmt.Sprintf("%s %s (%d GB)", s.Kind, what, s.Gigabyte)
+	if s.WeightGB > 0 {
+		return fmt.Sprintf("%s %s (%d GB)", s.Kind, what, s.WeightGB)
 	}
 	return s.Kind + " " + what
 }
--- a/cmd/damaskctl/session_test.go
+++ b/cmd/damaskctl/session_test.go
@@ -52,7 +52,7 @@
 			Models: []string{"guidebot"}, Service: "bookdesk", TimeScale: 50, Seed: 1,
 			WeightRate: 1000, WeightBurst: 1000, Engine: engine.Config{Fencing: true},
 		},
-		Intent:  api.Intent{Models: []api.Model{{Name: "guidebot", Version: cluster.ModelVersion, Replicas: 6, Floor: 4, Gigabyte: 40}}},
+		Intent:  api.Intent{Models: []api.Model{{Name: "guidebot", Version: cluster.ModelVersion, Replicas: 6, Floor: 4, WeightGB: 40}}},
 		Execute: execute.Config{Tick: 20 * time.Millisecond, Lease: lease.Config{OrderDelay: 50 * time.Millisecond}},
 	})
 	if err != nil {
--- a/cmd/damaskctl/status.go
+++ b/cmd/damaskctl/status.go
@@ -55,18 +55,18 @@
 func printStatus(w io.Writer, s api.Status) {
 	fmt.Fprintf(w, "instance       %s\n", s.Instance)
 	fmt.Fprintf(w, "configuration  version %d", s.ConfigVersion)
-	if s.Plan != "" {
-		fmt.Fprintf(w, ", made by plan %s", s.Plan)
+	if s.PlanID != "" {
+		fmt.Fprintf(w, ", made by plan %s", s.PlanID)
 	}
 	if s.PlanState != "" {
 		fmt.Fprintf(w, " (%s)", s.PlanState)
 	}
 	fmt.Fprintln(w)
 	if s.InForce != nil {
-		fmt.Fprintf(w, "in force       version %d on %d of %d instances\n", s.InForce.Version, s.InForce.Have, s.InForce.Of)
+		fmt.Fprintf(w, "in force       version %d on %d of %d instances\n", s.InForce.Version, s.InForce.Applied, s.InForce.Instances)
 	}
 	if p := s.Progress; p != nil {
-		fmt.Fprintf(w, "progress       %d of %d steps, stage %d of %d\n", p.Done, p.Steps, p.Stage, p.Of)
+		fmt.Fprintf(w, "progress       %d of %d steps, stage %d of %d\n", p.StepsDone, p.Steps, p.Stage, p.Stages)
 	}
 	fmt.Fprintf(w, "upstreams      %d live, %d leaving, %d out\n", s.Upstreams.Live, s.Upstreams.Leaving, s.Upstreams.Out)
 	if len(s.DomainsOut) > 0 {
--- a/cmd/damaskctl/store.go
+++ b/cmd/damaskctl/store.go
@@ -151,9 +151,9 @@
 			fmt.Fprintf(e.err, "failure domain %q is not known; known: %v\n", domain, known)
 			return exitUsage
 		}
-		act, what := s.TakeBack, "taken back: its upstreams may be cold, and get work again"
+		act, what := s.RestoreDomain, "taken back: its upstreams may be cold, and get work again"
 		if out {
-			act, what = s.TakeOut, "taken out: its upstreams get no new work within seconds"
+			act, what = s.DrainDomain, "taken out: its upstreams get no new work within seconds"
 		}
 		if err := act(ctx, id); err != nil {
 			return exit(e, &unreachable{cause: err})
--- a/cmd/damaskctl/store_test.go
+++ b/cmd/damaskctl/store_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	s.PutConfig(7, []standin.Route{{Name: "r", Host: "shop.example", Prefix: "/a/", Kind: "idempotent", Service: "desk", Attempts: 2}},
+	s.PutConfig(7, []standin.Route{{Name: "r", Host: "shop.example", PathPrefix: "/a/", Kind: "idempotent", Service: "desk", MaxAttempts: 2}},
 		[]standin.Service{{Name: "desk"}}, map[string]string{"key": "space"})
 	s.PutWorker("w1", "desk", "10.0.0.1:80", "ready")
 	s.PutWorker("w2", "desk", "10.0.0.2:80", "draining")
--- a/cmd/damaskshelfd/main.go
+++ b/cmd/damaskshelfd/main.go
@@ -88,7 +88,7 @@
 	if s.Routed == nil {
 		return node.New(s, node.Options{Log: log})
 	}
-	return routed.New(s, platform.Adapter(s.Routed.Store.Address), routed.Options{Log: log, DroppedLines: sink.Dropped})
+	return routed.New(s, platform.NewAdapter(s.Routed.Store.Address), routed.Options{Log: log, DroppedLines: sink.Dropped})
 }
 
 func serve(s api.Settings, path string, log hclog.Logger, sink *logsink.Sink, hangups, signals <-chan os.Signal) int {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -51,12 +51,12 @@
 	for i := range s.models {
 		c.Intent.Models = append(c.Intent.Models, api.Model{
 			Name: fmt.Sprint("model-", i), Version: "2026-11", Replicas: 400, Floor: 300,
-			Memory: 40_000, Gigabyte: 140,
+			MemoryTokens: 40_000, WeightGB: 140,
 		})
 	}
 	for i := range s.workspaces {
 		c.Intent.Workspaces = append(c.Intent.Workspaces, api.Workspace{
-			Name: fmt.Sprintf("workspace-%05d", i*7919%100_000), Weight: float64(1+i%9) / 2, Limit: 10 + i%190, Priority: i%5 - 2,
+			Name: fmt.Sprintf("workspace-%05d", i*7919%100_000), Weight: float64(1+i%9) / 2, MaxInFlight: 10 + i%190, Priority: i%5 - 2,
 		})
 	}
 	return c
--- a/internal/decide/order/difference.go
+++ b/internal/decide/order/difference.go
@@ -101,7 +101,7 @@
 }
 
 // missingSteps returns the steps that load what the state lacks of a wanted model: the version, or else adapters.
-func missingSteps(want api.Loaded, state wire.EngineState) []api.Step {
+func missingSteps(want api.LoadedModel, state wire.EngineState) []api.Step {
 	s := api.Step{Kind: api.StepLoad, Model: want.Model, Version: want.Version}
 	if !satisfied(state, s) {
 		return []api.Step{s}
@@ -120,7 +120,7 @@
 // loaded version, extraSteps returns the unloads of the extra adapters.
 func extraSteps(want api.Placement, l wire.LoadedModel) []api.Step {
 	s := api.Step{Kind: api.StepUnload, Model: l.Model, Version: l.Version}
-	i := slices.IndexFunc(want.Loaded, func(w api.Loaded) bool { return w.Model == l.Model })
+	i := slices.IndexFunc(want.Loaded, func(w api.LoadedModel) bool { return w.Model == l.Model })
 	if i < 0 {
 		return []api.Step{s}
 	}
--- a/internal/decide/order/order_test.go
+++ b/internal/decide/order/order_test.go
@@ -23,7 +23,7 @@
 			{Stage: 1, Upstream: "e", Kind: api.StepLoad, Model: "m", Version: "2"},
 			{Stage: 2, Upstream: "e", Kind: api.StepLoad, Model: "n", Version: "1"},
 		},
-		Target: api.Placement{Upstream: "e", Loaded: []api.Loaded{{Model: "m", Version: "2"}, {Model: "n", Version: "1"}}},
+		Target: api.Placement{Upstream: "e", Loaded: []api.LoadedModel{{Model: "m", Version: "2"}, {Model: "n", Version: "1"}}},
 		Lease:  order.Lease{Valid: true, Fence: 7, Settled: true},
 		Floors: map[string]int{"m": 1}, Models: map[string]order.ModelService{"m": {Serving: 2, Stable: 1}},
 		Now: decide.Instant(time.Minute),
--- a/internal/decide/plan/cases_test.go
+++ b/internal/decide/plan/cases_test.go
@@ -11,7 +11,7 @@
 )
 
 // engines returns n engines in three failure domains, all with the same memory and loaded models.
-func engines(n int, memory int64, loaded ...api.Loaded) []plan.Engine {
+func engines(n int, memory int64, loaded ...api.LoadedModel) []plan.Engine {
 	var all []plan.Engine
 	for i := range n {
 		all = append(all, plan.Engine{
@@ -24,7 +24,7 @@
 
 // model returns the intent for model m.
 func model(version string, replicas, floor int) api.Model {
-	return api.Model{Name: "m", Version: version, Replicas: replicas, Floor: floor, Memory: 10, Gigabyte: 40}
+	return api.Model{Name: "m", Version: version, Replicas: replicas, Floor: floor, MemoryTokens: 10, WeightGB: 40}
 }
 
 // Checks that a version is replaced in place with one load per engine, one engine at a time if the floor needs the
@@ -33,11 +33,11 @@
 	is := is.New(t)
 	in := plan.Input{
 		Before: api.Intent{Models: []api.Model{model("1", 3, 2)}}, After: api.Intent{Models: []api.Model{model("2", 3, 2)}},
-		Engines: engines(3, 10, api.Loaded{Model: "m", Version: "1"}), WeightRate: 3600,
+		Engines: engines(3, 10, api.LoadedModel{Model: "m", Version: "1"}), WeightRate: 3600,
 	}
 	r := plan.Make(in)
 	is.Equal(r.Reason, plan.Planned)
-	is.Equal(r.Cost, api.Cost{Loads: 3, Gigabytes: 120, MinSeconds: 120})
+	is.Equal(r.Cost, api.Cost{Loads: 3, WeightStoreGB: 120, MinSeconds: 120})
 	is.Equal(len(groupByStage(r.Steps)), 3)
 }
 
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	in := plan.Input{
 		Before: api.Intent{Models: []api.Model{model("1", 3, 3)}}, After: api.Intent{Models: []api.Model{model("2", 3, 3)}},
-		Engines: engines(4, 10, api.Loaded{Model: "m", Version: "1"}),
+		Engines: engines(4, 10, api.LoadedModel{Model: "m", Version: "1"}),
 	}
 	in.Engines[3].Loaded = nil
 	r := plan.Make(in)
@@ -69,7 +69,7 @@
 	is := is.New(t)
 	in := plan.Input{
 		Before: api.Intent{Models: []api.Model{model("1", 12, 1)}}, After: api.Intent{Models: []api.Model{model("2", 12, 1)}},
-		Engines: engines(12, 10, api.Loaded{Model: "m", Version: "1"}),
+		Engines: engines(12, 10, api.LoadedModel{Model: "m", Version: "1"}),
 	}
 	r := plan.Make(in)
 	is.Equal(r.Reason, plan.Planned)
@@ -86,7 +86,7 @@
 	is.Equal(countTargetDomains(in, r), 3)
 	in.After.Models[0].Replicas = 2
 	for _, i := range []int{0, 3} { // both in d0
-		in.Engines[i].Loaded = []api.Loaded{{Model: "m", Version: "1"}}
+		in.Engines[i].Loaded = []api.LoadedModel{{Model: "m", Version: "1"}}
 	}
 	r = plan.Make(in)
 	is.Equal(countTargetDomains(in, r), 2)
@@ -109,7 +109,7 @@
 	is := is.New(t)
 	m := model("1", 1, 1)
 	m.Adapters = []string{"b", "a"}
-	in := plan.Input{After: api.Intent{Models: []api.Model{m}}, Engines: engines(1, 10, api.Loaded{Model: "m", Version: "1", Adapters: []string{"a", "old"}})}
+	in := plan.Input{After: api.Intent{Models: []api.Model{m}}, Engines: engines(1, 10, api.LoadedModel{Model: "m", Version: "1", Adapters: []string{"a", "old"}})}
 	r := plan.Make(in)
 	is.Equal(r.Steps, []api.Step{
 		{Stage: 1, Upstream: "e0", Kind: api.StepLoad, Model: "m", Version: "1", Adapter: "b"},
--- a/internal/decide/plan/plan.go
+++ b/internal/decide/plan/plan.go
@@ -35,7 +35,7 @@
 	ID              string
 	Domain          string
 	Memory          int64 // tokens; 0: not known, assumed to be enough
-	Loaded          []api.Loaded
+	Loaded          []api.LoadedModel
 	AvailableBefore bool // takes new work before the change
 	AvailableAfter  bool // takes new work after the change; otherwise it gets no steps
 }
@@ -104,13 +104,13 @@
 	for _, s := range steps {
 		if s.Kind == api.StepLoad {
 			c.Loads++
-			c.Gigabytes += s.Gigabyte
+			c.WeightStoreGB += s.WeightGB
 		} else {
 			c.Unloads++
 		}
 	}
 	if rate > 0 {
-		c.MinSeconds = (c.Gigabytes*secondsPerHour + rate - 1) / rate
+		c.MinSeconds = (c.WeightStoreGB*secondsPerHour + rate - 1) / rate
 	}
 	return c
 }
@@ -150,13 +150,13 @@
 	}
 	slices.SortFunc(p.engines, func(a, b Engine) int { return strings.Compare(a.ID, b.ID) })
 	slices.SortFunc(p.models, func(a, b api.Model) int {
-		if a.Memory != b.Memory {
-			return int(min(max(b.Memory-a.Memory, -1), 1))
+		if a.MemoryTokens != b.MemoryTokens {
+			return int(min(max(b.MemoryTokens-a.MemoryTokens, -1), 1))
 		}
 		return strings.Compare(a.Name, b.Name)
 	})
 	for _, m := range append(slices.Clone(in.Before.Models), in.After.Models...) {
-		p.sizes[modelVersion{m.Name, m.Version}] = size{memory: m.Memory, gigabytes: m.Gigabyte}
+		p.sizes[modelVersion{m.Name, m.Version}] = size{memory: m.MemoryTokens, gigabytes: m.WeightGB}
 	}
 	for i := range p.models {
 		m := &p.models[i]
@@ -186,8 +186,8 @@
 }
 
 // hasModel reports whether a version of model is loaded.
-func hasModel(loaded []api.Loaded, model string) bool {
-	return slices.ContainsFunc(loaded, func(l api.Loaded) bool { return l.Model == model })
+func hasModel(loaded []api.LoadedModel, model string) bool {
+	return slices.ContainsFunc(loaded, func(l api.LoadedModel) bool { return l.Model == model })
 }
 
 // currentPlacement returns what the engines have loaded before the change.
@@ -238,7 +238,7 @@
 		row := api.Placement{Upstream: p.engines[i].ID}
 		for _, model := range slices.Sorted(maps.Keys(target[i])) {
 			v := modelVersion{model, target[i][model]}
-			row.Loaded = append(row.Loaded, api.Loaded{Model: v.model, Version: v.version, Adapters: p.wantedAdapters(v)})
+			row.Loaded = append(row.Loaded, api.LoadedModel{Model: v.model, Version: v.version, Adapters: p.wantedAdapters(v)})
 		}
 		all = append(all, row)
 	}
--- a/internal/decide/plan/plan_test.go
+++ b/internal/decide/plan/plan_test.go
@@ -31,7 +31,7 @@
 	for i := range rapid.IntRange(1, 4).Draw(t, "models") {
 		m := api.Model{
 			Name: fmt.Sprintf("m%d", i), Version: "1",
-			Memory: rapid.Int64Range(1, 6).Draw(t, "memory"), Gigabyte: rapid.Int64Range(0, 30).Draw(t, "gb"),
+			MemoryTokens: rapid.Int64Range(1, 6).Draw(t, "memory"), WeightGB: rapid.Int64Range(0, 30).Draw(t, "gb"),
 		}
 		before.Models = append(before.Models, m)
 		m.Version = rapid.SampledFrom([]string{"1", "1", "2"}).Draw(t, "version")
@@ -50,9 +50,9 @@
 		}
 		used := int64(0)
 		for _, m := range before.Models {
-			if used+m.Memory <= e.Memory && rapid.Bool().Draw(t, "loaded") {
-				used += m.Memory
-				e.Loaded = append(e.Loaded, api.Loaded{Model: m.Name, Version: m.Version})
+			if used+m.MemoryTokens <= e.Memory && rapid.Bool().Draw(t, "loaded") {
+				used += m.MemoryTokens
+				e.Loaded = append(e.Loaded, api.LoadedModel{Model: m.Name, Version: m.Version})
 			}
 		}
 		e.AvailableAfter = rapid.IntRange(0, 5).Draw(t, "usable") > 0
@@ -115,7 +115,7 @@
 func countServedBefore(in plan.Input, model string) int {
 	n := 0
 	for _, e := range in.Engines {
-		if e.AvailableBefore && slices.ContainsFunc(e.Loaded, func(l api.Loaded) bool { return l.Model == model }) {
+		if e.AvailableBefore && slices.ContainsFunc(e.Loaded, func(l api.LoadedModel) bool { return l.Model == model }) {
 			n++
 		}
 	}
@@ -153,7 +153,7 @@
 func checkMemory(t *rapid.T, in plan.Input, f fleetState) {
 	size := map[string]int64{}
 	for _, m := range append(slices.Clone(in.Before.Models), in.After.Models...) {
-		size[m.Name+"@"+m.Version] = m.Memory
+		size[m.Name+"@"+m.Version] = m.MemoryTokens
 	}
 	for _, e := range in.Engines {
 		used := int64(0)
--- a/internal/decide/plan/stage.go
+++ b/internal/decide/plan/stage.go
@@ -293,7 +293,7 @@
 func (s *scheduler) addStep(i int, kind string, v modelVersion, gigabytes int64) {
 	s.result.steps = append(s.result.steps, api.Step{
 		Stage: s.stage, Upstream: s.engines[i].ID, Kind: kind,
-		Model: v.model, Version: v.version, Gigabyte: gigabytes,
+		Model: v.model, Version: v.version, WeightGB: gigabytes,
 	})
 }
 
--- a/internal/execute/cost_test.go
+++ b/internal/execute/cost_test.go
@@ -105,7 +105,7 @@
 	for i := range instances {
 		members = append(members, &fleet.Instance{ID: fleet.InstanceID(fmt.Sprintf("entry-%03d", i))})
 	}
-	f.view = fleet.NewView(1, api.Config{Plan: "p"}, 1, members, ups)
+	f.view = fleet.NewView(1, api.Config{PlanID: "p"}, 1, members, ups)
 	ids := 0
 	for _, m := range members {
 		f.members = append(f.members, execute.New(execute.Deps{
@@ -128,11 +128,11 @@
 		replicas[e.state.Loaded[0].Model]++
 		in.Engines = append(in.Engines, plan.Engine{
 			ID: string(u.ID), Domain: string(u.Domain), Memory: 100, AvailableBefore: true, AvailableAfter: true,
-			Loaded: []api.Loaded{{Model: e.state.Loaded[0].Model, Version: e.state.Loaded[0].Version}},
+			Loaded: []api.LoadedModel{{Model: e.state.Loaded[0].Model, Version: e.state.Loaded[0].Version}},
 		})
 	}
 	for i := range min(15, len(f.engines)) {
-		m := api.Model{Name: model(i), Version: "1", Replicas: replicas[model(i)], Memory: 60}
+		m := api.Model{Name: model(i), Version: "1", Replicas: replicas[model(i)], MemoryTokens: 60}
 		in.Before.Models = append(in.Before.Models, m)
 		if i < changed {
 			m.Version = "2"
@@ -146,7 +146,7 @@
 func (f *sizedFleet) propose(t testing.TB, changed int) api.Plan {
 	in := f.input(changed)
 	r := plan.Make(in)
-	p := api.Plan{ID: "p", After: api.Config{Intent: in.After, Plan: "p"}, Steps: r.Steps, Target: r.Target, Floors: r.Floors}
+	p := api.Plan{ID: "p", After: api.Config{Intent: in.After, PlanID: "p"}, Steps: r.Steps, Target: r.Target, Floors: r.Floors}
 	data, err := json.Marshal(p)
 	if err != nil {
 		t.Fatal(err)
@@ -192,7 +192,7 @@
 		p, size, took := f.carryOut(t, c.changed)
 		k := &f.calls
 		t.Logf("instances=%d engines=%d steps=%d stages=%d plan_bytes=%d virtual_time=%s store_writes=%d store_reads=%d store_bytes=%d states=%d orders=%d",
-			c.instances, c.engines, len(p.Steps), p.Stages(), size, took, k.puts, k.gets+k.lists, k.bytes, k.states, k.orders)
+			c.instances, c.engines, len(p.Steps), p.LastStage(), size, took, k.puts, k.gets+k.lists, k.bytes, k.states, k.orders)
 		is.Equal(k.orders, len(p.Steps)) // each step is one order
 		is.True(k.puts <= c.maxWrites)
 		is.True(k.gets+k.lists <= c.maxReads)
--- a/internal/execute/execute.go
+++ b/internal/execute/execute.go
@@ -128,8 +128,8 @@
 			pause = x.Config.Tick
 		}
 		// A plan that is confirmed during a long pause is noticed within a tick.
-		seen := x.View().Config.Plan
-		for waited := time.Duration(0); waited < pause && ctx.Err() == nil && x.View().Config.Plan == seen; waited += x.Config.Tick {
+		seen := x.View().Config.PlanID
+		for waited := time.Duration(0); waited < pause && ctx.Err() == nil && x.View().Config.PlanID == seen; waited += x.Config.Tick {
 			wait.For(ctx, min(x.Config.Tick, pause))
 		}
 	}
@@ -155,7 +155,7 @@
 		return false // an instance without shards doesn't even read the plan
 	}
 	if err := x.follow(ctx, view); err != nil {
-		x.Log.Warn("plan not read", "plan", view.Config.Plan, "error", err)
+		x.Log.Warn("plan not read", "plan", view.Config.PlanID, "error", err)
 		return true
 	}
 	if x.job == nil || x.stopped {
@@ -182,7 +182,7 @@
 
 // follow takes up the plan of the configuration in force.
 func (x *Executor) follow(ctx context.Context, view *fleet.View) error {
-	id := view.Config.Plan
+	id := view.Config.PlanID
 	if x.job != nil && x.job.plan.ID == id {
 		return nil
 	}
--- a/internal/execute/execute_test.go
+++ b/internal/execute/execute_test.go
@@ -36,7 +36,7 @@
 		replicas := rapid.IntRange(0, engines).Draw(t, "replicas")
 		in.Models = append(in.Models, api.Model{
 			Name: name, Version: fmt.Sprint(rapid.IntRange(1, 3).Draw(t, "version")), Replicas: replicas,
-			Floor: rapid.IntRange(0, replicas).Draw(t, "floor"), Memory: 10, Gigabyte: gigabytes,
+			Floor: rapid.IntRange(0, replicas).Draw(t, "floor"), MemoryTokens: 10, WeightGB: gigabytes,
 		})
 	}
 	return in
@@ -103,7 +103,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if progress.Done != progress.Steps {
+	if progress.StepsDone != progress.Steps {
 		w.t.Fatalf("the plan is done and its progress says %+v", progress)
 	}
 }
@@ -136,7 +136,7 @@
 			down: rapid.SampledFrom([]int{0, 3}).Draw(t, "down"), stale: 4, pause: 12, reboot: rapid.SampledFrom([]int{0, 15}).Draw(t, "reboot"),
 			release: 10,
 		})
-		intent := api.Intent{Models: []api.Model{{Name: "m", Version: "1", Memory: 10, Gigabyte: gigabytes}}}
+		intent := api.Intent{Models: []api.Model{{Name: "m", Version: "1", MemoryTokens: 10, WeightGB: gigabytes}}}
 		var last api.Plan
 		for n := range rapid.IntRange(1, 3).Draw(t, "plans") {
 			next := drawIntent(t, len(w.engines))
@@ -157,7 +157,7 @@
 func TestFloorsHoldWhileAPlanIsWorkedOff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, chaos{lost: 4, lateness: leaseConfig.OrderDelay, stale: 4, pause: 20, down: rapid.SampledFrom([]int{0, 4}).Draw(t, "down")})
-		before := api.Intent{Models: []api.Model{{Name: "m", Version: "1", Memory: 10, Gigabyte: gigabytes}}}
+		before := api.Intent{Models: []api.Model{{Name: "m", Version: "1", MemoryTokens: 10, WeightGB: gigabytes}}}
 		p := w.confirm("p", before, drawIntent(t, len(w.engines)))
 		for _, party := range w.parties {
 			party.learn(p)
@@ -186,8 +186,8 @@
 // simple makes a world without drawn faults in which one executor works.
 func simple(t *rapid.T, version string) (*world, api.Plan) {
 	w := newWorld(t, chaos{})
-	before := api.Intent{Models: []api.Model{{Name: "m", Version: "1", Memory: 10, Gigabyte: gigabytes}}}
-	after := api.Intent{Models: []api.Model{{Name: "m", Version: version, Replicas: len(w.engines), Floor: 1, Memory: 10, Gigabyte: gigabytes}}}
+	before := api.Intent{Models: []api.Model{{Name: "m", Version: "1", MemoryTokens: 10, WeightGB: gigabytes}}}
+	after := api.Intent{Models: []api.Model{{Name: "m", Version: version, Replicas: len(w.engines), Floor: 1, MemoryTokens: 10, WeightGB: gigabytes}}}
 	p := w.confirm("p", before, after)
 	for _, party := range w.parties {
 		party.learn(p)
@@ -215,7 +215,7 @@
 		if n := w.orders(); n != orders {
 			t.Fatalf("%d orders follow the stop", n-orders)
 		}
-		last := w.confirm("q", p.After.Intent, api.Intent{Models: []api.Model{{Name: "m", Version: "3", Replicas: 2, Memory: 10, Gigabyte: gigabytes}}})
+		last := w.confirm("q", p.After.Intent, api.Intent{Models: []api.Model{{Name: "m", Version: "3", Replicas: 2, MemoryTokens: 10, WeightGB: gigabytes}}})
 		for _, party := range w.parties {
 			party.learn(last)
 		}
--- a/internal/execute/job.go
+++ b/internal/execute/job.go
@@ -21,7 +21,7 @@
 
 func newJob(p api.Plan) *job {
 	j := &job{
-		plan: p, stages: p.Stages(), steps: map[string][]api.Step{},
+		plan: p, stages: p.LastStage(), steps: map[string][]api.Step{},
 		target: map[string]*api.Placement{}, shards: map[int]map[int]bool{},
 	}
 	for _, s := range p.Steps {
@@ -124,7 +124,7 @@
 func (j *job) role(engine, model, version string, stage int) role {
 	if stage > j.stages {
 		t := j.target[engine]
-		wanted := t != nil && slices.ContainsFunc(t.Loaded, func(l api.Loaded) bool { return l.Model == model && l.Version == version })
+		wanted := t != nil && slices.ContainsFunc(t.Loaded, func(l api.LoadedModel) bool { return l.Model == model && l.Version == version })
 		if wanted {
 			return stays
 		}
@@ -152,7 +152,7 @@
 func (j *job) gigabytes(model, version string) int64 {
 	for _, m := range j.plan.After.Intent.Models {
 		if m.Name == model && m.Version == version {
-			return m.Gigabyte
+			return m.WeightGB
 		}
 	}
 	return 0
@@ -177,11 +177,11 @@
 // progress sums up how far the plan is, by what the shards have recorded.
 func (j *job) progress(r records) *api.Progress {
 	stage := j.stage(r)
-	p := &api.Progress{Steps: len(j.plan.Steps), Stage: min(stage, j.stages), Of: j.stages}
+	p := &api.Progress{Steps: len(j.plan.Steps), Stage: min(stage, j.stages), Stages: j.stages}
 	for _, s := range j.plan.Steps {
 		rec := r.shards[ShardOf(s.Upstream)]
 		if rec.Plan == j.plan.ID && rec.Stage >= s.Stage {
-			p.Done++
+			p.StepsDone++
 		}
 	}
 	return p
--- a/internal/execute/takeover_test.go
+++ b/internal/execute/takeover_test.go
@@ -34,7 +34,7 @@
 		is.NoErr(err)
 		progress, err := execute.Progress(p, l)
 		is.NoErr(err)
-		is.Equal(progress.Done, len(p.Steps)) // the survivor takes the plan up at the stage where it is
+		is.Equal(progress.StepsDone, len(p.Steps)) // the survivor takes the plan up at the stage where it is
 		is.Equal(f.calls.orders, len(p.Steps))
 	}
 }
--- a/internal/execute/world_test.go
+++ b/internal/execute/world_test.go
@@ -154,13 +154,13 @@
 	for _, e := range w.engines {
 		pe := plan.Engine{ID: e.id, Domain: e.domain, Memory: 100, AvailableBefore: true, AvailableAfter: true}
 		for m, v := range e.loaded {
-			pe.Loaded = append(pe.Loaded, api.Loaded{Model: m, Version: v})
+			pe.Loaded = append(pe.Loaded, api.LoadedModel{Model: m, Version: v})
 		}
 		in.Engines = append(in.Engines, pe)
 	}
 	r := plan.Make(in)
 	p := api.Plan{
-		ID: id, State: api.PlanProposed, After: api.Config{Intent: intent, Plan: id},
+		ID: id, State: api.PlanProposed, After: api.Config{Intent: intent, PlanID: id},
 		Steps: r.Steps, Target: r.Target, Floors: r.Floors, Forced: r.Reason == plan.ForcedBelowFloor,
 	}
 	data, err := json.Marshal(p)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -231,7 +231,7 @@
 	}
 	f.alien.Store(0)
 	if f.deps.Keeper.SetConfig(c.Version, cfg) {
-		f.deps.Log.Info("configuration in force", "version", c.Version, "plan", cfg.Plan,
+		f.deps.Log.Info("configuration in force", "version", c.Version, "plan", cfg.PlanID,
 			"failure_domains_out", len(cfg.DomainsOut))
 	}
 }
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -98,7 +98,7 @@
 		Listen:   api.Listen{Callers: anyPort, Operators: anyPort, Peers: anyPort},
 		Platform: api.Platform{Objects: a.Objects, Instances: a.Instances, Weights: a.Weights},
 	}
-	s.Complete()
+	s.ApplyDefaults()
 	s.Intervals.InstanceList = api.Duration(50 * time.Millisecond)
 	s.Intervals.LoadReport = api.Duration(50 * time.Millisecond)
 	s.Intervals.Heartbeat = api.Duration(50 * time.Millisecond)
@@ -137,11 +137,11 @@
 	if err := post(base, change, &plan); err != nil {
 		return 0, fmt.Errorf("propose: %w", err)
 	}
-	var done api.Confirmed
+	var done api.Confirmation
 	if err := post(base+"/"+plan.ID+"/confirm", nil, &done); err != nil {
 		return 0, fmt.Errorf("confirm plan %s: %w", plan.ID, err)
 	}
-	return done.Version, nil
+	return done.ConfigVersion, nil
 }
 
 // WaitInForce waits until every instance has that configuration version in force.
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -99,7 +99,7 @@
 	rec *explain.Recorder, m *metrics.Registry, g *gate.Gate, log hclog.Logger, id idSource) *query.Handler {
 	return query.New(query.Deps{
 		Router: r, Client: c, Explain: rec, Metrics: m, Gate: g, Log: log, Bounds: bounds(s),
-		MaxTokens: s.Limits.MaxCompletionToken, StreamGap: time.Duration(s.Intervals.StreamGap), NewID: id,
+		MaxTokens: s.Limits.MaxCompletionTokens, StreamGap: time.Duration(s.Intervals.StreamGap), NewID: id,
 		Retrier: rt, Limits: l,
 	})
 }
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -49,7 +49,7 @@
 }
 
 func versioned(version string) api.Intent {
-	return api.Intent{Models: []api.Model{{Name: model, Version: version, Replicas: 6, Floor: 4, Gigabyte: 40}}}
+	return api.Intent{Models: []api.Model{{Name: model, Version: version, Replicas: 6, Floor: 4, WeightGB: 40}}}
 }
 
 // atVersion counts the engines that answer and serve a version.
--- a/internal/operate/command/command.go
+++ b/internal/operate/command/command.go
@@ -66,7 +66,7 @@
 	if err := s.keep(ctx, plan, 0); err != nil {
 		return nil, err
 	}
-	s.Log.Info("plan proposed", "plan", plan.ID, "base_config", plan.Base.Config, "steps", len(plan.Steps),
+	s.Log.Info("plan proposed", "plan", plan.ID, "base_config", plan.Base.ConfigVersion, "steps", len(plan.Steps),
 		"forced", plan.Forced)
 	return plan, nil
 }
--- a/internal/operate/command/confirm.go
+++ b/internal/operate/command/confirm.go
@@ -31,13 +31,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if current.Plan == id {
-		return api.Confirmed{Plan: id, Version: currentVersion}, nil
+	if current.PlanID == id {
+		return api.Confirmation{PlanID: id, ConfigVersion: currentVersion}, nil
 	}
 	if err := s.holds(ctx, plan, current, currentVersion); err != nil {
 		return nil, err
 	}
-	made, err := s.write(ctx, ConfigKey, plan.Base.Config, plan.After)
+	made, err := s.write(ctx, ConfigKey, plan.Base.ConfigVersion, plan.After)
 	if err != nil {
 		made, err = s.outcome(ctx, plan, err)
 	}
@@ -45,8 +45,8 @@
 		return nil, err
 	}
 	s.Log.Info("plan confirmed", "plan", id, "config_version", made)
-	s.forget(ctx, current.Plan)
-	return api.Confirmed{Plan: id, Version: made}, nil
+	s.forget(ctx, current.PlanID)
+	return api.Confirmation{PlanID: id, ConfigVersion: made}, nil
 }
 
 // outcome finds out what became of a write of the configuration that was refused, or whose answer was
@@ -54,16 +54,16 @@
 // which writes came before it.
 func (s *Service) outcome(ctx context.Context, plan api.Plan, err error) (uint64, error) {
 	current, version, readErr := s.config(ctx)
-	if readErr != nil || current.Plan == "" {
+	if readErr != nil || current.PlanID == "" {
 		return 0, err
 	}
-	next, _, readErr := s.load(ctx, current.Plan)
+	next, _, readErr := s.load(ctx, current.PlanID)
 	switch {
 	case readErr != nil:
 		return 0, err
-	case next.Base.Plan == plan.ID:
-		return next.Base.Config, nil // ours took effect, and this one after it
-	case next.Base.Config == plan.Base.Config || fault.Is(err, fault.PlanConflict):
+	case next.Base.PlanID == plan.ID:
+		return next.Base.ConfigVersion, nil // ours took effect, and this one after it
+	case next.Base.ConfigVersion == plan.Base.ConfigVersion || fault.Is(err, fault.PlanConflict):
 		return 0, conflict(plan, current, version) // one write on that version, and it was not ours
 	default:
 		return 0, err
@@ -78,16 +78,16 @@
 		return
 	}
 	last, _, err := s.load(ctx, superseded)
-	if err != nil || last.Base.Plan == "" {
+	if err != nil || last.Base.PlanID == "" {
 		return
 	}
-	key := PlanKey(last.Base.Plan)
+	key := PlanKey(last.Base.PlanID)
 	o, err := s.Store.Get(ctx, key)
 	if err == nil {
 		err = s.Store.Delete(ctx, key, o.Version)
 	}
 	if err != nil && !errors.Is(err, objects.ErrNotFound) {
-		s.Log.Warn("old plan not deleted", "plan", last.Base.Plan, "error", err)
+		s.Log.Warn("old plan not deleted", "plan", last.Base.PlanID, "error", err)
 	}
 }
 
@@ -97,7 +97,7 @@
 	if p.State == api.PlanStopped {
 		return fault.New(fault.PlanConflict, "plan %s was stopped; make a new one from here", p.ID)
 	}
-	if version != p.Base.Config {
+	if version != p.Base.ConfigVersion {
 		return conflict(p, current, version)
 	}
 	if p.Change.Force {
@@ -144,5 +144,5 @@
 func conflict(plan api.Plan, current api.Config, version uint64) error {
 	return fault.New(fault.PlanConflict,
 		"plan %s was made from configuration version %d, version %d is in force now, made by plan %q with failure domains out %v; make a new plan",
-		plan.ID, plan.Base.Config, version, current.Plan, current.DomainsOut)
+		plan.ID, plan.Base.ConfigVersion, version, current.PlanID, current.DomainsOut)
 }
--- a/internal/operate/command/propose.go
+++ b/internal/operate/command/propose.go
@@ -24,10 +24,10 @@
 		return api.Plan{}, fault.New(fault.BadRequest, "%v", err)
 	}
 	p := api.Plan{
-		ID: s.NewID(), State: api.PlanProposed, Change: change, Base: api.Base{Config: version, Plan: current.Plan},
+		ID: s.NewID(), State: api.PlanProposed, Change: change, Base: api.Base{ConfigVersion: version, PlanID: current.PlanID},
 		After: apply(change, current),
 	}
-	p.After.Plan = p.ID
+	p.After.PlanID = p.ID
 	p.Change.Intent = nil
 	return p, s.fill(ctx, &p, current, view)
 }
@@ -35,19 +35,19 @@
 // fill adds steps, words and cost to a plan, or gives the reason why it is rejected.
 func (s *Service) fill(ctx context.Context, p *api.Plan, current api.Config, view *fleet.View) error {
 	probes := s.survey(ctx, view, current.Intent)
-	if p.NewIntent() {
+	if p.ChangesIntent() {
 		p.Summary = compare(current.Intent, p.After.Intent)
 	} else if err := s.assess(p, probes); err != nil {
 		return err
 	}
-	if p.NewIntent() || len(p.After.Intent.Models) > 0 {
+	if p.ChangesIntent() || len(p.After.Intent.Models) > 0 {
 		if err := s.place(p, current, probes); err != nil {
 			return err
 		}
 	}
 	for _, probe := range probes {
 		if probe.silent {
-			p.Hurt = append(p.Hurt, fmt.Sprintf("engine %s did not answer; it is taken as last seen", probe.upstream.ID))
+			p.Impact = append(p.Impact, fmt.Sprintf("engine %s did not answer; it is taken as last seen", probe.upstream.ID))
 		}
 	}
 	return nil
@@ -65,7 +65,7 @@
 		return fault.New(fault.PlanRejected, "%s; force it to accept that", r.Rejected)
 	}
 	p.Summary = r.Summary
-	p.Hurt = r.Impact
+	p.Impact = r.Impact
 	p.Forced = r.Reason == drain.ForcedNothingLeft
 	return nil
 }
@@ -82,7 +82,7 @@
 	}
 	p.Steps, p.Target, p.Floors, p.Cost = r.Steps, r.Target, r.Floors, r.Cost
 	p.Summary = append(p.Summary, r.Summary...)
-	p.Hurt = append(p.Hurt, r.Impact...)
+	p.Impact = append(p.Impact, r.Impact...)
 	p.Forced = p.Forced || r.Reason == plan.ForcedBelowFloor
 	return nil
 }
--- a/internal/operate/command/survey.go
+++ b/internal/operate/command/survey.go
@@ -25,7 +25,7 @@
 // probe is what one upstream said. Engines that did not answer are taken as the view last saw them.
 type probe struct {
 	upstream *fleet.Upstream
-	loaded   []api.Loaded
+	loaded   []api.LoadedModel
 	silent   bool
 	busy     float64 // below zero: not known
 }
@@ -60,7 +60,7 @@
 		return
 	}
 	for _, l := range state.Loaded {
-		p.loaded = append(p.loaded, api.Loaded{Model: l.Model, Version: l.Version, Adapters: l.Adapters})
+		p.loaded = append(p.loaded, api.LoadedModel{Model: l.Model, Version: l.Version, Adapters: l.Adapters})
 	}
 	if load, err := s.Upstreams.Load(ctx, p.upstream.Addr); err == nil {
 		p.busy = busy(load)
@@ -81,10 +81,10 @@
 }
 
 // lastSeen takes the models that the view shows, in the versions of the intent in force.
-func lastSeen(u *fleet.Upstream, current api.Intent) []api.Loaded {
-	var all []api.Loaded
+func lastSeen(u *fleet.Upstream, current api.Intent) []api.LoadedModel {
+	var all []api.LoadedModel
 	for _, name := range u.Models {
-		l := api.Loaded{Model: name}
+		l := api.LoadedModel{Model: name}
 		if i := slices.IndexFunc(current.Models, func(m api.Model) bool { return m.Name == name }); i >= 0 {
 			l.Version = current.Models[i].Version
 		}
--- a/internal/operate/cost_test.go
+++ b/internal/operate/cost_test.go
@@ -41,9 +41,9 @@
 	const changes = 10
 	for i := range changes {
 		p := s.propose(intent(6 - i%2))
-		var c api.Confirmed
+		var c api.Confirmation
 		is.Equal(s.call("POST", confirmPath(p), nil, &c), 200)
-		s.view.Store(newView(p.After, c.Version))
+		s.view.Store(newView(p.After, c.ConfigVersion))
 	}
 	t.Logf("changes=%d store_reads=%d store_writes=%d", changes, store.reads, store.writes)
 	is.True(store.reads <= 5*changes)
--- a/internal/operate/lost_test.go
+++ b/internal/operate/lost_test.go
@@ -21,9 +21,9 @@
 	s := newSide(t, store)
 	p := s.propose(intent(2))
 	store.armed.Store(true)
-	var c api.Confirmed
+	var c api.Confirmation
 	is.Equal(s.call("POST", confirmPath(p), nil, &c), 200)
-	is.Equal(c.Plan, p.ID)
+	is.Equal(c.PlanID, p.ID)
 }
 
 type loseOnce struct {
@@ -57,7 +57,7 @@
 			if afterwards {
 				rival = s.propose(api.Change{Drain: "a"})
 			}
-			var c api.Confirmed
+			var c api.Confirmation
 			is.Equal(s.call("POST", confirmPath(rival), nil, &c), 200)
 		}
 		if afterwards {
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -140,12 +140,12 @@
 	_, err := s.store.Get(context.Background(), objects.Key{Kind: "config", Name: "current"})
 	is.True(errors.Is(err, objects.ErrNotFound)) // nothing changed yet
 
-	var c api.Confirmed
+	var c api.Confirmation
 	is.Equal(s.call("POST", confirmPath(p), nil, &c), 200)
 	o, err := s.store.Get(context.Background(), objects.Key{Kind: "config", Name: "current"})
 	is.NoErr(err)
-	is.Equal(o.Version, c.Version)
-	var again api.Confirmed
+	is.Equal(o.Version, c.ConfigVersion)
+	var again api.Confirmation
 	is.Equal(s.call("POST", confirmPath(p), nil, &again), 200) // an operator's repeat does no harm
 	is.Equal(again, c)
 }
@@ -156,7 +156,7 @@
 	is := is.New(t)
 	s := newSide(t, memory.New())
 	first, second := s.propose(api.Change{Drain: "a"}), s.propose(api.Change{Drain: "b"})
-	var c api.Confirmed
+	var c api.Confirmation
 	is.Equal(s.call("POST", confirmPath(second), nil, &c), 200)
 	var e operate.ErrorBody
 	is.Equal(s.call("POST", confirmPath(first), nil, &e), 409)
@@ -171,9 +171,9 @@
 	s := newSide(t, memory.New())
 	for i := range 6 {
 		p := s.propose(intent(6 - i%2))
-		var c api.Confirmed
+		var c api.Confirmation
 		is.Equal(s.call("POST", confirmPath(p), nil, &c), 200)
-		s.view.Store(newView(p.After, c.Version))
+		s.view.Store(newView(p.After, c.ConfigVersion))
 	}
 	l, err := s.store.List(context.Background(), "plans")
 	is.NoErr(err)
@@ -199,17 +199,17 @@
 	s := newSide(t, memory.New())
 	change := intent(4)
 	change.Intent.Models[0].Version = "2"
-	change.Intent.Models[0].Gigabyte = 40
+	change.Intent.Models[0].WeightGB = 40
 	s.fleet.loaded["engine-5"] = "silent"
 	p := s.propose(change)
-	is.Equal(p.Cost, api.Cost{Loads: 4, Unloads: 2, Gigabytes: 160, MinSeconds: 160})
+	is.Equal(p.Cost, api.Cost{Loads: 4, Unloads: 2, WeightStoreGB: 160, MinSeconds: 160})
 	is.Equal(p.Summary, []string{
 		"model m: new, version 2, 4 replicas",
 		"load m@2 on engine-0, engine-1, engine-2, engine-3",
 		"unload m@1 on engine-4",
 		"unload m@ on engine-5", // its version is not known: it did not answer
 	})
-	is.True(strings.Contains(strings.Join(p.Hurt, "\n"), "engine engine-5 did not answer"))
+	is.True(strings.Contains(strings.Join(p.Impact, "\n"), "engine engine-5 did not answer"))
 }
 
 // Draining what carries the fleet is rejected in words; forced, it goes through and says so.
@@ -218,7 +218,7 @@
 	s := newSide(t, memory.New())
 	s.fleet.busy = 90
 	p := s.propose(api.Change{Drain: "a"})
-	is.True(strings.Contains(strings.Join(p.Hurt, "\n"), "about 26% of it would be refused"))
+	is.True(strings.Contains(strings.Join(p.Impact, "\n"), "about 26% of it would be refused"))
 
 	s.view.Store(newView(api.Config{DomainsOut: []string{"a", "b"}}, 3))
 	data, err := json.Marshal(api.Config{DomainsOut: []string{"a", "b"}})
@@ -230,7 +230,7 @@
 	is.Equal(e.Error, "plan_rejected")
 	p = s.propose(api.Change{Drain: "c", Force: true})
 	is.True(p.Forced)
-	is.True(strings.Contains(strings.Join(p.Hurt, "\n"), "no upstream is left"))
+	is.True(strings.Contains(strings.Join(p.Impact, "\n"), "no upstream is left"))
 }
 
 func TestStoppedPlanCannotBeConfirmed(t *testing.T) {
@@ -287,12 +287,12 @@
 	is.Equal(s.call("POST", operate.PathPlans, intent(1), &e), 503)
 	is.Equal(e.Error, "store_unavailable")
 	is.Equal(e.Run, "no")
-	s.view.Store(newView(api.Config{Plan: "p9", Intent: *intent(4).Intent}, 7))
+	s.view.Store(newView(api.Config{PlanID: "p9", Intent: *intent(4).Intent}, 7))
 	var status api.Status
 	is.Equal(s.call("GET", operate.PathStatus, nil, &status), 200)
 	is.Equal(status.ConfigVersion, uint64(7))
-	is.Equal(status.Models, []api.Serving{{Name: "m", Serving: 6, Wanted: 4, Floor: 1}})
-	is.Equal(*status.InForce, api.InForce{Version: 7, Have: 7, Of: 9})
+	is.Equal(status.Models, []api.ServingStatus{{Name: "m", Serving: 6, Wanted: 4, Floor: 1}})
+	is.Equal(*status.InForce, api.InForce{Version: 7, Applied: 7, Instances: 9})
 	is.True(strings.Contains(status.Notes[0], "p9"))
 }
 
--- a/internal/operate/query/query.go
+++ b/internal/operate/query/query.go
@@ -59,7 +59,7 @@
 // state gives a plan's state as seen from here: the configuration in force names the plan that made it,
 // and nothing else records a confirmation.
 func (s *Service) state(p api.Plan) api.PlanState {
-	if p.State == api.PlanProposed && s.View().Config.Plan == p.ID {
+	if p.State == api.PlanProposed && s.View().Config.PlanID == p.ID {
 		return api.PlanConfirmed
 	}
 	return p.State
--- a/internal/operate/query/status.go
+++ b/internal/operate/query/status.go
@@ -29,12 +29,12 @@
 	}
 	status := api.Status{
 		Instance: string(s.Instance), ConfigVersion: view.ConfigVersion, ListVersion: view.ListVersion,
-		Plan: view.Config.Plan, DomainsOut: view.Config.DomainsOut,
+		PlanID: view.Config.PlanID, DomainsOut: view.Config.DomainsOut,
 		Models: models(view), Upstreams: count(view), Services: services(view),
 	}
 	if s.InForce != nil {
 		have, of := s.InForce(version)
-		status.InForce = &api.InForce{Version: version, Have: have, Of: of}
+		status.InForce = &api.InForce{Version: version, Applied: have, Instances: of}
 	}
 	s.addPlan(&status)
 	return status, nil
@@ -42,14 +42,14 @@
 
 // addPlan adds what only the store knows.
 func (s *Service) addPlan(status *api.Status) {
-	if status.Plan == "" {
+	if status.PlanID == "" {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	plan, err := s.plan(ctx, status.Plan)
+	plan, err := s.plan(ctx, status.PlanID)
 	if err != nil {
-		status.Notes = append(status.Notes, fmt.Sprintf("state of plan %s is not known: the object API could not be read", status.Plan))
+		status.Notes = append(status.Notes, fmt.Sprintf("state of plan %s is not known: the object API could not be read", status.PlanID))
 		return
 	}
 	status.PlanState = s.state(plan)
@@ -61,15 +61,15 @@
 		status.Progress, err = execute.Progress(plan, l)
 	}
 	if err != nil {
-		status.Notes = append(status.Notes, fmt.Sprintf("how far plan %s is worked off is not known: %v", status.Plan, err))
+		status.Notes = append(status.Notes, fmt.Sprintf("how far plan %s is worked off is not known: %v", status.PlanID, err))
 	}
 }
 
 // models counts the engines that serve each model of the intent and take new work.
-func models(view *fleet.View) []api.Serving {
-	var all []api.Serving
+func models(view *fleet.View) []api.ServingStatus {
+	var all []api.ServingStatus
 	for _, m := range view.Config.Intent.Models {
-		row := api.Serving{Name: m.Name, Wanted: m.Replicas, Floor: m.MinServing()}
+		row := api.ServingStatus{Name: m.Name, Wanted: m.Replicas, Floor: m.MinServing()}
 		row.Serving = taking(view.Engines(m.Name))
 		all = append(all, row)
 	}
@@ -77,19 +77,19 @@
 	return all
 }
 
-func services(view *fleet.View) []api.Serving {
-	var all []api.Serving
+func services(view *fleet.View) []api.ServingStatus {
+	var all []api.ServingStatus
 	for _, u := range view.Upstreams {
-		if u.Kind != fleet.Service || slices.ContainsFunc(all, func(r api.Serving) bool { return r.Name == u.Service }) {
+		if u.Kind != fleet.Service || slices.ContainsFunc(all, func(r api.ServingStatus) bool { return r.Name == u.Service }) {
 			continue
 		}
-		all = append(all, api.Serving{Name: u.Service, Serving: taking(view.Services(u.Service))})
+		all = append(all, api.ServingStatus{Name: u.Service, Serving: taking(view.Services(u.Service))})
 	}
 	slices.SortFunc(all, byName)
 	return all
 }
 
-func byName(a, b api.Serving) int { return strings.Compare(a.Name, b.Name) }
+func byName(a, b api.ServingStatus) int { return strings.Compare(a.Name, b.Name) }
 
 func taking(upstreams []*fleet.Upstream) int {
 	n := 0
@@ -101,8 +101,8 @@
 	return n
 }
 
-func count(view *fleet.View) api.Upstreams {
-	var c api.Upstreams
+func count(view *fleet.View) api.UpstreamCounts {
+	var c api.UpstreamCounts
 	for _, u := range view.Upstreams {
 		switch {
 		case u.Leaving:
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -252,12 +252,12 @@
 	for i := range 15 {
 		c.Intent.Models = append(c.Intent.Models, api.Model{
 			Name: fmt.Sprintf("model-%d", i), Version: "2026-11", Replicas: 400, Floor: 300,
-			Domains: []string{"poa-a", "poa-b", "poa-c"}, Memory: 40_000, Gigabyte: 140,
+			Domains: []string{"poa-a", "poa-b", "poa-c"}, MemoryTokens: 40_000, WeightGB: 140,
 		})
 	}
 	for i := range workspaces {
 		c.Intent.Workspaces = append(c.Intent.Workspaces, api.Workspace{
-			Name: fmt.Sprintf("workspace-%05d", i*7919%100_000), Weight: float64(1+i%9) / 2, Limit: 10 + i%190, Priority: i%5 - 2,
+			Name: fmt.Sprintf("workspace-%05d", i*7919%100_000), Weight: float64(1+i%9) / 2, MaxInFlight: 10 + i%190, Priority: i%5 - 2,
 		})
 	}
 	raw, err := json.Marshal(c)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -240,8 +240,8 @@
 
 // share is how many of the workspace's requests this instance may have at once.
 func (r *Router) share(s *scene, id fleet.WorkspaceID) int {
-	if w, ok := s.spaces[id]; ok && w.Limit > 0 {
-		return limit.Share(w.Limit, s.entries)
+	if w, ok := s.spaces[id]; ok && w.MaxInFlight > 0 {
+		return limit.Share(w.MaxInFlight, s.entries)
 	}
 	return r.limits.WorkspaceInFlight
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -54,12 +54,12 @@
 	}
 	cfg := api.Config{Intent: api.Intent{
 		Models:     []api.Model{{Name: "m"}},
-		Workspaces: []api.Workspace{{Name: "small", Limit: 2}},
+		Workspaces: []api.Workspace{{Name: "small", MaxInFlight: 2}},
 	}}
 	b.view = fleet.NewView(1, cfg, 1, []*fleet.Instance{{ID: "i"}}, engines)
 	b.now.Store(b.view)
 	settings := api.Settings{Instance: "i", Profile: profile}
-	settings.Complete()
+	settings.ApplyDefaults()
 	b.Router = New(Deps{
 		View: b.now.Load, Explain: b.rec, Metrics: metrics.New(),
 		Memory: b.memory, Settings: settings, Gate: gate,
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -116,7 +116,7 @@
 
 func newFollower(s api.Settings, a Adapter, log hclog.Logger) *watch.Follower {
 	return watch.New(watch.Deps{
-		Store: a.Store, Kinds: a.Kinds, Decoder: a.Decoder, Log: log, ConfigWithin: time.Duration(s.Routed.Store.ConfigWithin),
+		Store: a.Store, Kinds: a.Kinds, Decoder: a.Decoder, Log: log, ConfigWithin: time.Duration(s.Routed.Store.MaxConfigDelay),
 	})
 }
 
@@ -213,7 +213,7 @@
 	p.Log.Info("stopping", "in_flight", p.Gate.InFlight())
 	p.Gate.MarkUnready()
 	n.run(func(context.Context) { n.leave(limit) })
-	wait.For(limit, time.Duration(stop.Lag))
+	wait.For(limit, time.Duration(stop.BalancerLag))
 	p.Gate.RefuseNew()
 	p.Log.Info("refusing new requests", "in_flight", p.Gate.InFlight(), "idle_closed", p.Gateway.CloseIdle())
 	err := p.Gate.AwaitIdle(limit)
--- a/test/e2e/domains_test.go
+++ b/test/e2e/domains_test.go
@@ -42,9 +42,9 @@
 func (f *fleet) change(change api.Change, e *entry) uint64 {
 	f.t.Helper()
 	r := f.must(confirm(f.propose(change, e), e))
-	var done api.Confirmed
+	var done api.Confirmation
 	is.New(f.t).NoErr(json.Unmarshal(r.Body, &done))
-	return done.Version
+	return done.ConfigVersion
 }
 
 // drain takes a failure domain out through an entry instance.
@@ -182,16 +182,16 @@
 	if two.Status == fasthttp.StatusOK {
 		accepted = two
 	}
-	var done api.Confirmed
+	var done api.Confirmation
 	is.NoErr(json.Unmarshal(accepted.Body, &done))
-	f.awaitInForce(done.Version)
+	f.awaitInForce(done.ConfigVersion)
 
-	last := f.propose(api.Change{Restore: f.out(done.Plan, first, second)}, entries[2])
+	last := f.propose(api.Change{Restore: f.out(done.PlanID, first, second)}, entries[2])
 	f.fault(cluster.TargetObjects, faults.StaleReads, true)
 	is.NoErr(json.Unmarshal(f.must(confirm(last, entries[2])).Body, &done))
 	time.Sleep(before)
 	f.fault(cluster.TargetObjects, faults.StaleReads, false)
-	f.awaitInForce(done.Version)
+	f.awaitInForce(done.ConfigVersion)
 	close(stop)
 	for range entries {
 		is.Equal(<-reverted, "")
--- a/test/soak/promises_test.go
+++ b/test/soak/promises_test.go
@@ -46,11 +46,11 @@
 
 // reply answers as a worker: mostly whole, now and then in one of the ways that workers fail.
 func (b *book) reply(c *standin.WorkerConn, a standin.Arrival) bool {
-	id := a.ID()
+	id := a.AttemptID()
 	stream := strings.HasPrefix(a.Path, "/stream/") || strings.HasPrefix(a.Path, "/once/")
 	luck := rand.IntN(100)
 	if luck < 4 {
-		return standin.Refusing(c, a)
+		return standin.NotExecuted(c, a)
 	}
 	b.mu.Lock()
 	b.ran[id]++
@@ -63,15 +63,15 @@
 	}
 	switch {
 	case luck < 6:
-		return standin.Short(c, a)
+		return standin.Truncated(c, a)
 	case luck < 8:
 		return standin.CloseUnanswered(c, a)
 	case luck < 10:
 		return standin.Garbage(c, a)
 	case luck < 12:
-		return standin.Extra(id)(c, a)
+		return standin.SecondAnswer(id)(c, a)
 	default:
-		return standin.Whole(id)(c, a)
+		return standin.OK(id)(c, a)
 	}
 }
 
@@ -114,11 +114,11 @@
 func (w *world) one(conn net.Conn, in *bufio.Reader, kind, id string, r *rand.Rand) bool {
 	began := time.Now()
 	_ = conn.SetDeadline(began.Add(deadline + slack + 4*time.Second))
-	c := standin.Call{Method: http.MethodPost, Path: "/" + kind + "/x", Host: host, ID: id, Wait: deadline, Body: "hi"}
+	c := standin.Call{Method: http.MethodPost, Path: "/" + kind + "/x", Host: host, AttemptID: id, Timeout: deadline, Body: "hi"}
 	if kind == "stream" || kind == "once" {
-		c.Prompt, c.Output = 1000, 200
+		c.PromptTokens, c.MaxOutputTokens = 1000, 200
 		if r.IntN(10) == 0 {
-			c.Prompt = 500_000 // over one engine's memory
+			c.PromptTokens = 500_000 // over one engine's memory
 		}
 	}
 	err := c.Write(conn)
@@ -142,10 +142,10 @@
 	if took > deadline+slack {
 		w.book.problem("%s: answered after %s", id, took)
 	}
-	if got := standin.AnswerID(resp.Header); got != "" && got != id {
+	if got := standin.AttemptID(resp.Header); got != "" && got != id {
 		w.book.problem("%s: got the answer of %s", id, got)
 	}
-	sealed := standin.Sealed(resp.Header)
+	sealed := standin.HasSeal(resp.Header)
 	switch {
 	case resp.StatusCode >= 400 && resp.StatusCode < 500 && resp.StatusCode != http.StatusTooManyRequests && resp.StatusCode != http.StatusRequestTimeout:
 		w.book.problem("%s: a proper request is refused with %d", id, resp.StatusCode)
@@ -207,7 +207,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(deadline + slack))
-	if err := (standin.Call{Method: http.MethodGet, Path: path, Host: host, ID: id, Wait: deadline}).Write(conn); err != nil {
+	if err := (standin.Call{Method: http.MethodGet, Path: path, Host: host, AttemptID: id, Timeout: deadline}).Write(conn); err != nil {
 		return 0
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -264,7 +264,7 @@
 	const rate = 2.0
 	limited := w.workers[2:4] // one of each service
 	for _, worker := range limited {
-		worker.Say(standin.Limit(rate))
+		worker.SetHeaderLines(standin.LimitLine(rate))
 	}
 	time.Sleep(3 * time.Second)
 	from := time.Now()
@@ -272,14 +272,14 @@
 	for _, worker := range limited {
 		got := 0
 		for _, a := range worker.Arrivals() {
-			if a.At.After(from) {
+			if a.ReceivedAt.After(from) {
 				got++
 			}
 		}
 		if float64(got) > 1.5*rate*4+5 {
 			w.t.Errorf("%s: %d requests in four seconds reached a worker that takes %g a second", worker.ID, got, rate)
 		}
-		worker.Say()
+		worker.SetHeaderLines()
 	}
 }
 
@@ -288,7 +288,7 @@
 func (w *world) leavingGetsNothing() {
 	toStore, onAnswers := w.workers[0], w.workers[3] // one of each service
 	w.register(0, "draining")
-	onAnswers.Say(standin.Leaving)
+	onAnswers.SetHeaderLines(standin.LeavingLine)
 	said := time.Now()
 	time.Sleep(2 * time.Second)
 	before := len(toStore.Arrivals())
@@ -299,8 +299,8 @@
 	first := w.firstAfter(onAnswers, said)
 	time.Sleep(time.Until(first.Add(3 * time.Second)))
 	for _, a := range onAnswers.Arrivals() {
-		if a.At.After(first.Add(2 * time.Second)) {
-			w.t.Errorf("%s: %s reached a worker %s after it had answered that it leaves", onAnswers.ID, a.ID(), a.At.Sub(first))
+		if a.ReceivedAt.After(first.Add(2 * time.Second)) {
+			w.t.Errorf("%s: %s reached a worker %s after it had answered that it leaves", onAnswers.ID, a.AttemptID(), a.ReceivedAt.Sub(first))
 		}
 	}
 }
@@ -310,8 +310,8 @@
 	w.t.Helper()
 	for end := time.Now().Add(settle); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, a := range worker.Arrivals() {
-			if a.At.After(after) {
-				return a.At
+			if a.ReceivedAt.After(after) {
+				return a.ReceivedAt
 			}
 		}
 	}
@@ -323,7 +323,7 @@
 func (w *world) nothingStaysReserved() {
 	time.Sleep(4 * time.Second)
 	for _, worker := range w.workers {
-		if n := worker.Reserved(); n > 0 {
+		if n := worker.ReservedTokens(); n > 0 {
 			w.t.Errorf("%s: %d tokens are reserved four seconds after the last request", worker.ID, n)
 		}
 	}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -150,17 +150,17 @@
 func (w *world) putConfig() {
 	route := func(name, kind, service string) standin.Route {
 		return standin.Route{
-			Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, Service: service, Attempts: 2, Public: true,
-			Timeout: 3 * time.Second, Aim: time.Second,
+			Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: kind, Service: service, MaxAttempts: 2, Public: true,
+			Timeout: 3 * time.Second, TargetLatency: time.Second,
 		}
 	}
 	unsafe := route("unsafe", "non_idempotent", "plain")
-	unsafe.Attempts = 1
+	unsafe.MaxAttempts = 1
 	stream, once := route("stream", "streaming", "engines"), route("once", "streaming", "engines")
-	stream.Resumable, stream.Gap, once.Gap = true, gap, gap
+	stream.Resumable, stream.TargetGap, once.TargetGap = true, gap, gap
 	w.store.PutConfig(w.version, []standin.Route{
 		route("safe", "idempotent", "plain"), unsafe, stream, once, route(fmt.Sprintf("v%d", w.version), "idempotent", "plain"),
-	}, []standin.Service{{Name: "plain"}, {Name: "engines", Memory: 400_000}}, nil)
+	}, []standin.Service{{Name: "plain"}, {Name: "engines", KVCacheTokens: 400_000}}, nil)
 }
 
 // faults injects faults in series that overlap, for a time.
@@ -188,12 +188,12 @@
 	case 6:
 		w.disturb(w.daemons[w.rand.IntN(len(w.daemons))])
 	case 7:
-		w.store.SetFault(standin.StoreFault(w.rand.IntN(int(standin.StoreDeaf) + 1)))
+		w.store.SetFault(standin.StoreFault(w.rand.IntN(int(standin.StoreSilentWatches) + 1)))
 	case 8:
 		w.version++
 		w.putConfig()
 		if w.rand.IntN(2) == 0 {
-			w.store.Forget()
+			w.store.DropHistory()
 		}
 	case 9:
 		w.workers[w.rand.IntN(len(w.workers))].CloseConns()
@@ -205,11 +205,11 @@
 	worker := w.workers[w.words.IntN(len(w.workers))]
 	switch w.words.IntN(8) {
 	case 0, 1:
-		worker.Say(standin.Limit(0.5 + 20*w.words.Float64()))
+		worker.SetHeaderLines(standin.LimitLine(0.5 + 20*w.words.Float64()))
 	case 2:
-		worker.Say(standin.Pause(2 * w.words.Float64()))
+		worker.SetHeaderLines(standin.RetryAfterLine(2 * w.words.Float64()))
 	case 3, 4:
-		worker.Say()
+		worker.SetHeaderLines()
 	}
 }
 
@@ -237,9 +237,9 @@
 
 // heal ends every fault. Connections that went silent stay dead.
 func (w *world) heal() {
-	w.store.SetFault(standin.StoreSound)
+	w.store.SetFault(standin.StoreHealthy)
 	for _, worker := range w.workers {
-		worker.Say()
+		worker.SetHeaderLines()
 	}
 	for _, all := range [][]*proxy{w.links, w.peers, w.ways} {
 		for _, p := range all {
