--- a/api/intent_test.go
+++ b/api/intent_test.go
@@ -12,7 +12,7 @@
 	"github.com/damaskshelf/damaskshelf/api"
 )
 
-func TestIntentErrorsNamePathValueAndWhatIsAllowed(t *testing.T) {
+func TestIntentErrorsNamePathValueAndAllowed(t *testing.T) {
 	cases := []struct{ in, path, value, allowed string }{
 		{`{"models":[{"name":"m","version":"1","replicas":1},{"name":"m","version":"2","replicas":1}]}`,
 			"models[1].name", `"m"`, "entry 0"},
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestUnknownFailureDomainIsRefused(t *testing.T) {
+func TestUnknownFailureDomainIsRejected(t *testing.T) {
 	is := is.New(t)
 	in := api.Intent{Models: []api.Model{{Name: "m", Version: "1", Domains: []string{"a", "x"}}}}
 	is.NoErr(in.ValidateDomains([]string{"a", "x"}))
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestServedModelAlwaysKeepsOneReplica(t *testing.T) {
+func TestServedModelKeepsAtLeastOneReplica(t *testing.T) {
 	is := is.New(t)
 	is.Equal((&api.Model{Replicas: 3}).MinServing(), 1)
 	is.Equal((&api.Model{Replicas: 3, Floor: 2}).MinServing(), 2)
--- a/api/routed.go
+++ b/api/routed.go
@@ -8,51 +8,51 @@
 	"time"
 )
 
-// Routed are the settings of an instance that forwards routed requests and takes its routes, upstreams and
-// peers from a metadata store. With them, the parts that serve our own completions interface are not
-// started, and their addresses are not needed.
+// Routed holds the settings of an instance that forwards routed requests and reads its routes, upstreams and
+// peers from a metadata store. Such an instance does not start the parts that serve the completions
+// interface and does not need their addresses.
 type Routed struct {
 	Listen    RoutedListen `json:"listen"`
-	ReadyPath string       `json:"ready_path"` // of the balancer's question
+	ReadyPath string       `json:"ready_path"` // path of the balancer's readiness check
 	Store     RoutedStore  `json:"store"`
-	CPUShare  float64      `json:"cpu_share"` // of a core that this machine has
-	LinkMbps  float64      `json:"link_mbps"` // of this machine's own link; 0: not said
+	CPUShare  float64      `json:"cpu_share"` // CPU cores that this instance may use, a fraction allowed; 0 means 1
+	LinkMbps  float64      `json:"link_mbps"` // bandwidth of this machine's own link in Mbit/s; 0: unknown
 	Retries   Retries      `json:"retries"`
 	Stop      RoutedStop   `json:"stop"`
 	Limits    RoutedLimits `json:"limits,omitempty"`
 }
 
-// RoutedListen holds the listeners, each IP and port.
+// RoutedListen holds the listeners' addresses, each an IP and port.
 type RoutedListen struct {
 	Callers string `json:"callers"`
 	Ready   string `json:"ready"`
 	Peers   string `json:"peers"`
 	Metrics string `json:"metrics"`
-	// Advertised is where other instances connect, where that isn't Peers; empty: Peers.
+	// Advertised is the address to which other instances connect. If empty, it is Peers.
 	Advertised string `json:"advertised,omitempty"`
 }
 
-// RoutedStore is the metadata store.
+// RoutedStore holds the settings of the metadata store.
 type RoutedStore struct {
 	Address string `json:"address"`
-	// ConfigWithin is the time in which an accepted configuration must be in force everywhere; 0: not said.
+	// MaxConfigDelay is the time within which all instances must apply an accepted configuration; 0: not specified.
 	MaxConfigDelay Duration `json:"config_within,omitempty"`
 }
 
-// Retries bound the arrivals at a service beyond the first of each request, over all instances. Either may be
-// any number from 0, and a fraction.
+// Retries bounds the retries to a service over all instances: the arrivals there beyond the first of each
+// request. Both values may be fractions and must be 0 or more.
 type Retries struct {
-	Ratio *float64 `json:"ratio"` // of the requests in a window; nil: a default
-	Slack *float64 `json:"slack"` // beside the ratio; nil: none
+	Ratio *float64 `json:"ratio"` // retries per request in a window; nil: defaultRetryRatio
+	Slack *float64 `json:"slack"` // retries in a window in addition to the ratio; nil: 0
 }
 
-// RoutedStop are the times of a planned stop.
+// RoutedStop holds the durations of a planned stop.
 type RoutedStop struct {
-	BalancerLag Duration `json:"lag"`   // the balancer may still send for so long after not-ready
-	Grace       Duration `json:"grace"` // the process is ended after it, however short or long
+	BalancerLag Duration `json:"lag"`   // the balancer may send requests for this long after the instance becomes not ready
+	Grace       Duration `json:"grace"` // the platform ends the process after this time, which may be of any length
 }
 
-// RoutedLimits bound what one instance takes from callers.
+// RoutedLimits bounds the requests and connections that one instance accepts from callers.
 type RoutedLimits struct {
 	MaxBodyBytes   int      `json:"max_body_bytes,omitempty"`
 	MaxHeaderBytes int      `json:"max_header_bytes,omitempty"`
@@ -61,38 +61,41 @@
 	IdleTimeout    Duration `json:"idle_timeout,omitempty"`
 }
 
+// Defaults of the routed settings that may be omitted.
 const (
-	defaultRoutedHeader = 64 << 10
-	defaultRoutedBody   = 16 << 20
-	// Two misses of a question a second take an instance out of the balancer.
-	defaultRoutedLag   = Duration(2500 * time.Millisecond)
-	defaultRoutedGrace = Duration(8 * time.Second)
-	// defaultRetryRatio is for platforms that state no bound.
+	defaultRoutedMaxHeaderBytes = 64 << 10
+	defaultRoutedMaxBodyBytes   = 16 << 20
+	// The balancer checks readiness once a second and removes an instance after two failed checks.
+	defaultRoutedBalancerLag = Duration(2500 * time.Millisecond)
+	defaultRoutedStopGrace   = Duration(8 * time.Second)
+	// defaultRetryRatio applies on platforms that specify no bound.
 	defaultRetryRatio = 0.2
-	// A caller reuses connections for up to four fifths of the idle time that the configuration states;
-	// closing them sooner than that would cut requests off that cross the close.
-	defaultRoutedIdle = Duration(120 * time.Second)
+	// Callers reuse connections for up to four fifths of the idle time in the configuration. Closing one
+	// sooner would break off a request that is sent at that moment.
+	defaultRoutedIdleTimeout = Duration(120 * time.Second)
 )
 
-func (r *Routed) complete() {
-	orInt(&r.Limits.MaxBodyBytes, defaultRoutedBody)
-	orInt(&r.Limits.MaxHeaderBytes, defaultRoutedHeader)
-	orInt(&r.Limits.MaxConnections, defaultConnections)
-	orDuration(&r.Limits.ReadTimeout, defaultHeaderTimeout)
-	orDuration(&r.Limits.IdleTimeout, defaultRoutedIdle)
+// applyDefaults sets omitted settings to their defaults.
+func (r *Routed) applyDefaults() {
+	setDefaultInt(&r.Limits.MaxBodyBytes, defaultRoutedMaxBodyBytes)
+	setDefaultInt(&r.Limits.MaxHeaderBytes, defaultRoutedMaxHeaderBytes)
+	setDefaultInt(&r.Limits.MaxConnections, defaultMaxConnections)
+	setDefaultDuration(&r.Limits.ReadTimeout, defaultHeaderTimeout)
+	setDefaultDuration(&r.Limits.IdleTimeout, defaultRoutedIdleTimeout)
 	if r.Listen.Advertised == "" {
 		r.Listen.Advertised = r.Listen.Peers
 	}
-	orDuration(&r.Stop.Grace, defaultRoutedGrace)
-	// Half of a short grace is left for the requests in flight.
-	orDuration(&r.Stop.BalancerLag, min(defaultRoutedLag, r.Stop.Grace/2))
-	orFloat(&r.Retries.Ratio, defaultRetryRatio)
-	orFloat(&r.Retries.Slack, 0)
+	setDefaultDuration(&r.Stop.Grace, defaultRoutedStopGrace)
+	// With a short grace, half of it remains for the requests in flight.
+	setDefaultDuration(&r.Stop.BalancerLag, min(defaultRoutedBalancerLag, r.Stop.Grace/2))
+	setDefaultFloat(&r.Retries.Ratio, defaultRetryRatio)
+	setDefaultFloat(&r.Retries.Slack, 0)
 	if r.CPUShare == 0 {
 		r.CPUShare = 1
 	}
 }
 
+// validate returns a *FieldError for the first invalid value; s holds r.
 func (r *Routed) validate(s *Settings) error {
 	addresses := []struct{ path, value string }{
 		{"routed.listen.callers", r.Listen.Callers},
@@ -104,11 +107,11 @@
 	}
 	for _, a := range addresses {
 		if _, err := netip.ParseAddrPort(a.value); err != nil {
-			return badField(a.path, fmt.Sprintf("%q", a.value), "an IP and port, as in 10.0.0.1:8080")
+			return newFieldError(a.path, fmt.Sprintf("%q", a.value), "an IP and port, as in 10.0.0.1:8080")
 		}
 	}
 	if !strings.HasPrefix(r.ReadyPath, "/") {
-		return badField("routed.ready_path", fmt.Sprintf("%q", r.ReadyPath), "a path that begins with a slash")
+		return newFieldError("routed.ready_path", fmt.Sprintf("%q", r.ReadyPath), "a path that begins with a slash")
 	}
 	numbers := []struct {
 		path  string
@@ -121,10 +124,10 @@
 	}
 	for _, n := range numbers {
 		if n.value < 0 {
-			return badField(n.path, n.value, "0 or more")
+			return newFieldError(n.path, n.value, "0 or more")
 		}
 	}
-	return s.checkDurations([]durationRange{
+	return s.validateDurations([]durationRange{
 		{"routed.store.config_within", r.Store.MaxConfigDelay, 0, math.MaxInt64},
 		{"routed.stop.lag", r.Stop.BalancerLag, 0, time.Minute},
 		{"routed.stop.grace", r.Stop.Grace, time.Duration(r.Stop.BalancerLag), math.MaxInt64},
--- a/api/settings.go
+++ b/api/settings.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Settings are one instance's own: addresses, place, and limits. They are read once, at start.
+// Settings holds the settings of one instance: its addresses, failure domain and limits. They are read at
+// start; an instance that forwards routed requests can reload some of them while it runs.
 type Settings struct {
 	Instance      string    `json:"instance"`
 	Region        string    `json:"region"`
@@ -23,55 +24,55 @@
 	Limits        Limits    `json:"limits,omitempty"`
 	Intervals     Intervals `json:"intervals,omitempty"`
 	LogLevel      string    `json:"log_level,omitempty"`
-	Routed        *Routed   `json:"routed,omitempty"` // nil: the instance serves our own completions interface
+	Routed        *Routed   `json:"routed,omitempty"` // nil: the instance serves the completions interface
 }
 
-// Listen holds an instance's listeners, each IP and port. Port 0 takes any free port.
+// Listen holds the addresses of an instance's listeners, each an IP and port. Port 0 selects a free port.
 type Listen struct {
 	Callers   string `json:"callers"`
-	Operators string `json:"operators"` // without operator_token only on loopback
+	Operators string `json:"operators"` // without operator_token it must be a loopback address
 	Peers     string `json:"peers"`
 }
 
-// Platform holds the addresses of the platform's services, each IP and port.
+// Platform holds the addresses of the platform's services, each an IP and port.
 type Platform struct {
 	Objects   string `json:"objects"`
 	Instances string `json:"instances"`
 	Weights   string `json:"weights"`
 }
 
-// Limits bound what one instance takes from callers.
+// Limits bounds the requests and connections that one instance accepts from callers.
 type Limits struct {
 	MaxBodyBytes        int      `json:"max_body_bytes,omitempty"`
 	MaxHeaderBytes      int      `json:"max_header_bytes,omitempty"`
 	MaxConnections      int      `json:"max_connections,omitempty"`
-	HeaderTimeout       Duration `json:"header_timeout,omitempty"`  // to read a whole request
-	DefaultTimeout      Duration `json:"default_timeout,omitempty"` // of a request that names none
+	HeaderTimeout       Duration `json:"header_timeout,omitempty"`  // for reading a whole request
+	DefaultTimeout      Duration `json:"default_timeout,omitempty"` // of a request that specifies none
 	MaxTimeout          Duration `json:"max_timeout,omitempty"`
 	QueueLength         int      `json:"queue_length,omitempty"`
-	WorkspaceInFlight   int      `json:"workspace_in_flight,omitempty"` // default per workspace on this instance; 0: none
+	WorkspaceInFlight   int      `json:"workspace_in_flight,omitempty"` // default of a workspace on this instance; 0: none
 	MaxCompletionTokens int      `json:"max_completion_tokens,omitempty"`
 }
 
-// Intervals are the times of the instance's own work.
+// Intervals holds the intervals of an instance's periodic work and its timeouts.
 type Intervals struct {
 	InstanceList Duration `json:"instance_list,omitempty"` // between reads of the instance list
 	LoadReport   Duration `json:"load_report,omitempty"`   // between reads of an upstream's load
 	Heartbeat    Duration `json:"heartbeat,omitempty"`     // between heartbeats to a peer
-	BalancerLag  Duration `json:"balancer_lag,omitempty"`  // how long the balancer still sends after not-ready
-	StopTimeout  Duration `json:"stop_timeout,omitempty"`  // longest planned stop
-	StreamGap    Duration `json:"stream_gap,omitempty"`    // silence on a running stream that makes it suspect
+	BalancerLag  Duration `json:"balancer_lag,omitempty"`  // the balancer may send requests for this long after not-ready
+	StopTimeout  Duration `json:"stop_timeout,omitempty"`  // longest duration of a planned stop
+	StreamGap    Duration `json:"stream_gap,omitempty"`    // time without data after which a stream counts as suspect
 }
 
-// Duration is a time.Duration written as in "1500ms" or "2s".
+// Duration is a time.Duration that JSON represents as a string such as "1500ms" or "2s".
 type Duration time.Duration
 
-// MarshalJSON writes the duration as a string.
+// MarshalJSON encodes the duration as a string.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads a string such as "1500ms".
+// UnmarshalJSON decodes a string such as "1500ms".
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var s string
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// parseDuration also takes seconds and ms with an exponent, as a template renders very small and very large numbers.
+// parseDuration parses a duration as time.ParseDuration does. It also accepts seconds and milliseconds with an
+// exponent, because templates render very small and very large numbers in that form.
 func parseDuration(s string) (time.Duration, error) {
 	v, err := time.ParseDuration(s)
 	if err == nil {
@@ -97,38 +99,38 @@
 		unit = time.Second
 		number, ok = strings.CutSuffix(s, "s")
 	}
-	n, bad := strconv.ParseFloat(number, 64)
-	if !ok || bad != nil || math.IsNaN(n) {
+	n, parseErr := strconv.ParseFloat(number, 64)
+	if !ok || parseErr != nil || math.IsNaN(n) {
 		return 0, err
 	}
 	return time.Duration(min(n*float64(unit), math.MaxInt64/2)), nil
 }
 
-// Profiles of the one routing policy.
+// Profiles of the routing policy.
 const (
 	ProfileShortFirst = "short_first"
 	ProfileLongFirst  = "long_first"
 )
 
-// Defaults of the settings that may be left out.
+// Defaults of the settings that may be omitted. Sizes are in bytes.
 const (
-	defaultBody          = 16 << 20
-	defaultHeader        = 16 << 10
-	defaultConnections   = 4096
-	defaultHeaderTimeout = Duration(10 * time.Second)
-	defaultTimeout       = Duration(60 * time.Second)
-	defaultMaxTimeout    = Duration(10 * time.Minute)
-	defaultQueue         = 512
-	defaultMaxTokens     = 16384
-	defaultList          = Duration(500 * time.Millisecond)
-	defaultLoad          = Duration(200 * time.Millisecond)
-	defaultHeartbeat     = Duration(500 * time.Millisecond)
-	defaultBalancerLag   = Duration(2 * time.Second)
-	defaultStop          = Duration(2 * time.Minute)
-	defaultStreamGap     = Duration(2 * time.Second)
+	defaultMaxBodyBytes         = 16 << 20
+	defaultMaxHeaderBytes       = 16 << 10
+	defaultMaxConnections       = 4096
+	defaultHeaderTimeout        = Duration(10 * time.Second)
+	defaultTimeout              = Duration(60 * time.Second)
+	defaultMaxTimeout           = Duration(10 * time.Minute)
+	defaultQueueLength          = 512
+	defaultMaxCompletionTokens  = 16384
+	defaultInstanceListInterval = Duration(500 * time.Millisecond)
+	defaultLoadReportInterval   = Duration(200 * time.Millisecond)
+	defaultHeartbeatInterval    = Duration(500 * time.Millisecond)
+	defaultBalancerLag          = Duration(2 * time.Second)
+	defaultStopTimeout          = Duration(2 * time.Minute)
+	defaultStreamGap            = Duration(2 * time.Second)
 )
 
-// LoadSettings reads, completes and checks a settings file.
+// LoadSettings reads a settings file, applies the defaults and validates the result.
 func LoadSettings(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -141,7 +143,7 @@
 	return s, nil
 }
 
-// ParseSettings decodes strictly, fills defaults in and validates.
+// ParseSettings decodes settings strictly, applies the defaults and validates the result.
 func ParseSettings(data []byte) (Settings, error) {
 	var s Settings
 	if err := DecodeStrict(data, &s); err != nil {
@@ -151,23 +153,23 @@
 	return s, s.Validate()
 }
 
-// Complete fills in the defaults of what was left out.
+// ApplyDefaults sets omitted settings to their defaults.
 func (s *Settings) ApplyDefaults() {
 	l, i := &s.Limits, &s.Intervals
-	orInt(&l.MaxBodyBytes, defaultBody)
-	orInt(&l.MaxHeaderBytes, defaultHeader)
-	orInt(&l.MaxConnections, defaultConnections)
-	orInt(&l.QueueLength, defaultQueue)
-	orInt(&l.MaxCompletionTokens, defaultMaxTokens)
-	orDuration(&l.HeaderTimeout, defaultHeaderTimeout)
-	orDuration(&l.DefaultTimeout, defaultTimeout)
-	orDuration(&l.MaxTimeout, defaultMaxTimeout)
-	orDuration(&i.InstanceList, defaultList)
-	orDuration(&i.LoadReport, defaultLoad)
-	orDuration(&i.Heartbeat, defaultHeartbeat)
-	orDuration(&i.BalancerLag, defaultBalancerLag)
-	orDuration(&i.StopTimeout, defaultStop)
-	orDuration(&i.StreamGap, defaultStreamGap)
+	setDefaultInt(&l.MaxBodyBytes, defaultMaxBodyBytes)
+	setDefaultInt(&l.MaxHeaderBytes, defaultMaxHeaderBytes)
+	setDefaultInt(&l.MaxConnections, defaultMaxConnections)
+	setDefaultInt(&l.QueueLength, defaultQueueLength)
+	setDefaultInt(&l.MaxCompletionTokens, defaultMaxCompletionTokens)
+	setDefaultDuration(&l.HeaderTimeout, defaultHeaderTimeout)
+	setDefaultDuration(&l.DefaultTimeout, defaultTimeout)
+	setDefaultDuration(&l.MaxTimeout, defaultMaxTimeout)
+	setDefaultDuration(&i.InstanceList, defaultInstanceListInterval)
+	setDefaultDuration(&i.LoadReport, defaultLoadReportInterval)
+	setDefaultDuration(&i.Heartbeat, defaultHeartbeatInterval)
+	setDefaultDuration(&i.BalancerLag, defaultBalancerLag)
+	setDefaultDuration(&i.StopTimeout, defaultStopTimeout)
+	setDefaultDuration(&i.StreamGap, defaultStreamGap)
 	if s.Profile == "" {
 		s.Profile = ProfileShortFirst
 	}
@@ -175,37 +177,37 @@
 		s.LogLevel = "info"
 	}
 	if s.Routed != nil {
-		s.Routed.complete()
+		s.Routed.applyDefaults()
 	}
 }
 
-func orInt(v *int, or int) {
+func setDefaultInt(v *int, def int) {
 	if *v == 0 {
-		*v = or
+		*v = def
 	}
 }
 
-func orFloat(v **float64, or float64) {
+func setDefaultFloat(v **float64, def float64) {
 	if *v == nil {
-		*v = &or
+		*v = &def
 	}
 }
 
-func orDuration(v *Duration, or Duration) {
+func setDefaultDuration(v *Duration, def Duration) {
 	if *v == 0 {
-		*v = or
+		*v = def
 	}
 }
 
-// Validate gives the first bad value as a *FieldError.
+// Validate returns a *FieldError for the first invalid value, or nil if all are valid.
 func (s *Settings) Validate() error {
 	if s.Routed != nil {
-		if err := s.validatePlace(); err != nil {
+		if err := s.validateIdentity(); err != nil {
 			return err
 		}
 		return s.Routed.validate(s)
 	}
-	for _, check := range []func() error{s.validatePlace, s.validateAddresses, s.validateLimits, s.validateIntervals} {
+	for _, check := range []func() error{s.validateIdentity, s.validateAddresses, s.validateLimits, s.validateIntervals} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -213,25 +215,28 @@
 	return nil
 }
 
-func (s *Settings) validatePlace() error {
+// validateIdentity checks the names of the instance, region and failure domain, the profile and the log level.
+func (s *Settings) validateIdentity() error {
 	names := []struct{ path, value string }{
 		{"instance", s.Instance}, {"region", s.Region}, {"failure_domain", s.FailureDomain},
 	}
 	for _, n := range names {
 		if !validName(n.value) {
-			return badField(n.path, fmt.Sprintf("%q", n.value), nameRule)
+			return newFieldError(n.path, fmt.Sprintf("%q", n.value), allowedName)
 		}
 	}
 	if s.Profile != ProfileShortFirst && s.Profile != ProfileLongFirst {
-		return badField("profile", fmt.Sprintf("%q", s.Profile), ProfileShortFirst+" or "+ProfileLongFirst)
+		return newFieldError("profile", fmt.Sprintf("%q", s.Profile), ProfileShortFirst+" or "+ProfileLongFirst)
 	}
 	switch s.LogLevel {
 	case "debug", "info", "warn", "error":
 		return nil
 	}
-	return badField("log_level", fmt.Sprintf("%q", s.LogLevel), "debug, info, warn or error")
+	return newFieldError("log_level", fmt.Sprintf("%q", s.LogLevel), "debug, info, warn or error")
 }
 
+// validateAddresses checks the addresses of listeners and platform services. A non-loopback operator listener
+// requires a token.
 func (s *Settings) validateAddresses() error {
 	addresses := []struct {
 		path, value string
@@ -247,12 +252,12 @@
 	for _, a := range addresses {
 		p, err := netip.ParseAddrPort(a.value)
 		if err != nil || (!a.listener && p.Port() == 0) {
-			return badField(a.path, fmt.Sprintf("%q", a.value), "an IP and port, as in 10.0.0.1:8080")
+			return newFieldError(a.path, fmt.Sprintf("%q", a.value), "an IP and port, as in 10.0.0.1:8080")
 		}
 	}
 	operators, _ := netip.ParseAddrPort(s.Listen.Operators)
 	if s.OperatorToken == "" && !operators.Addr().IsLoopback() {
-		return badField("listen.operators", s.Listen.Operators, "a loopback address, unless operator_token is set")
+		return newFieldError("listen.operators", s.Listen.Operators, "a loopback address, unless operator_token is set")
 	}
 	return nil
 }
@@ -273,10 +278,10 @@
 	}
 	for _, v := range ints {
 		if v.value < v.min || v.value > v.max {
-			return badField(v.path, v.value, fmt.Sprintf("%d to %d", v.min, v.max))
+			return newFieldError(v.path, v.value, fmt.Sprintf("%d to %d", v.min, v.max))
 		}
 	}
-	return s.checkDurations([]durationRange{
+	return s.validateDurations([]durationRange{
 		{"limits.header_timeout", l.HeaderTimeout, 10 * time.Millisecond, 5 * time.Minute},
 		{"limits.default_timeout", l.DefaultTimeout, 10 * time.Millisecond, 24 * time.Hour},
 		{"limits.max_timeout", l.MaxTimeout, time.Duration(l.DefaultTimeout), 24 * time.Hour},
@@ -285,38 +290,41 @@
 
 func (s *Settings) validateIntervals() error {
 	i := s.Intervals
-	return s.checkDurations([]durationRange{
+	return s.validateDurations([]durationRange{
 		{"intervals.instance_list", i.InstanceList, 5 * time.Millisecond, time.Minute},
 		{"intervals.load_report", i.LoadReport, 5 * time.Millisecond, time.Minute},
-		{"intervals.heartbeat", i.Heartbeat, 5 * time.Millisecond, maxHeartbeat},
+		{"intervals.heartbeat", i.Heartbeat, 5 * time.Millisecond, maxHeartbeatInterval},
 		{"intervals.balancer_lag", i.BalancerLag, time.Millisecond, 5 * time.Minute},
 		{"intervals.stop_timeout", i.StopTimeout, time.Millisecond, time.Hour},
 		{"intervals.stream_gap", i.StreamGap, 5 * time.Millisecond, 5 * time.Minute},
 	})
 }
 
-// maxHeartbeat is the longest time between heartbeats by which the bounds on new work to an upstream or
-// failure domain that is taken out are kept (docs/design/membership.md).
-const maxHeartbeat = 500 * time.Millisecond
+// maxHeartbeatInterval is the longest interval between heartbeats with which an upstream or failure domain that
+// is taken out of service stops receiving new work within the promised time (docs/design/membership.md).
+const maxHeartbeatInterval = 500 * time.Millisecond
 
+// durationRange is a setting's value and the range in which it must be, bounds included.
 type durationRange struct {
 	path     string
 	value    Duration
 	min, max time.Duration
 }
 
-func (s *Settings) checkDurations(ranges []durationRange) error {
+// validateDurations returns a *FieldError for the first value out of its range.
+func (s *Settings) validateDurations(ranges []durationRange) error {
 	for _, r := range ranges {
 		if d := time.Duration(r.value); d < r.min || d > r.max {
-			return badField(r.path, d, fmt.Sprintf("%s to %s", r.min, r.max))
+			return newFieldError(r.path, d, fmt.Sprintf("%s to %s", r.min, r.max))
 		}
 	}
 	return nil
 }
 
-const nameRule = "1 to 63 letters, digits, '-', '_' or '.'"
+// allowedName describes the names that validName accepts.
+const allowedName = "1 to 63 letters, digits, '-', '_' or '.'"
 
-// validName tells whether s may name an instance, place, model or workspace.
+// validName reports whether s is a valid name of an instance, region, failure domain, model or workspace.
 func validName(s string) bool {
 	if s == "" || len(s) > 63 {
 		return false
--- a/api/settings_test.go
+++ b/api/settings_test.go
@@ -12,14 +12,18 @@
 	"github.com/damaskshelf/damaskshelf/api"
 )
 
-const good = `{"instance":"e1","region":"r","failure_domain":"d",
+// validSettings is a valid settings file; EXTRA marks the place for more fields.
+const validSettings = `{"instance":"e1","region":"r","failure_domain":"d",
 "listen":{"callers":"127.0.0.1:1","operators":"127.0.0.1:2","peers":"127.0.0.1:3"},
 "platform":{"objects":"127.0.0.1:4","instances":"127.0.0.1:5","weights":"127.0.0.1:6"}EXTRA}`
 
-func with(extra string) []byte { return []byte(strings.Replace(good, "EXTRA", extra, 1)) }
+// settingsWith returns validSettings with extra inserted.
+func settingsWith(extra string) []byte {
+	return []byte(strings.Replace(validSettings, "EXTRA", extra, 1))
+}
 
-// Every bad value is refused with the path of its field and what is allowed.
-func TestBadSettingsNameFieldAndRule(t *testing.T) {
+// Each invalid value is rejected with an error that names the field's path and the allowed values.
+func TestSettingsErrorsNameFieldAndAllowed(t *testing.T) {
 	cases := []struct{ name, extra, path, allowed string }{
 		{"unknown field", `,"colour":"red"`, "colour", "documented"},
 		{"wrong type", `,"limits":{"queue_length":"many"}`, "limits.queue_length", "int"},
@@ -32,7 +36,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := api.ParseSettings(with(c.extra))
+			_, err := api.ParseSettings(settingsWith(c.extra))
 			var field *api.FieldError
 			is.True(errors.As(err, &field))
 			is.Equal(field.Path, c.path)
@@ -41,27 +45,28 @@
 	}
 }
 
-func TestBadDurationsAndTrailingTextAreRefused(t *testing.T) {
+func TestInvalidDurationsAndTrailingTextAreRejected(t *testing.T) {
 	is := is.New(t)
-	_, err := api.ParseSettings(with(`,"intervals":{"heartbeat":5}`))
+	_, err := api.ParseSettings(settingsWith(`,"intervals":{"heartbeat":5}`))
 	is.True(err != nil && strings.Contains(err.Error(), "1500ms"))
-	_, err = api.ParseSettings(append(with(""), "{}"...))
+	_, err = api.ParseSettings(append(settingsWith(""), "{}"...))
 	is.True(err != nil && strings.Contains(err.Error(), "after the JSON value"))
 	_, err = api.ParseSettings([]byte(`{"instance": "e1"`))
 	is.True(err != nil && strings.Contains(err.Error(), "ends early"))
 }
 
-// Without a token whoever reaches the operators' listener could drain a failure domain: it must be loopback.
-func TestOperatorsWithoutTokenOnlyOnLoopback(t *testing.T) {
+// Without a token, any client that reaches the operators' listener could drain a failure domain. Settings without
+// one are rejected unless the listener is on a loopback address.
+func TestOperatorListenerWithoutTokenRequiresLoopback(t *testing.T) {
 	is := is.New(t)
-	open := strings.Replace(string(with("")), `"operators":"127.0.0.1:2"`, `"operators":"10.0.0.1:2"`, 1)
-	_, err := api.ParseSettings([]byte(open))
+	nonLoopback := strings.Replace(string(settingsWith("")), `"operators":"127.0.0.1:2"`, `"operators":"10.0.0.1:2"`, 1)
+	_, err := api.ParseSettings([]byte(nonLoopback))
 	is.True(err != nil && strings.Contains(err.Error(), "operator_token"))
-	_, err = api.ParseSettings([]byte(strings.Replace(open, `"region"`, `"operator_token":"secret-of-operators","region"`, 1)))
+	_, err = api.ParseSettings([]byte(strings.Replace(nonLoopback, `"region"`, `"operator_token":"secret-of-operators","region"`, 1)))
 	is.NoErr(err)
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExampleSettingsAreValid(t *testing.T) {
 	is := is.New(t)
 	paths, err := filepath.Glob("../examples/*-entry-*.json")
 	is.NoErr(err)
--- a/api/status.go
+++ b/api/status.go
@@ -1,29 +1,29 @@
 package api
 
-// Status is what one instance knows of the fleet.
+// Status is the state of the fleet as one instance knows it.
 type Status struct {
 	Instance      string          `json:"instance"`
-	ConfigVersion uint64          `json:"config_version"` // in force on this instance; 0: none yet
-	ListVersion   uint64          `json:"list_version"`
-	PlanID        string          `json:"plan,omitempty"` // whose confirmation made the configuration
+	ConfigVersion uint64          `json:"config_version"` // version in force on this instance; 0: none yet
+	ListVersion   uint64          `json:"list_version"`   // version of the instance list
+	PlanID        string          `json:"plan,omitempty"` // plan whose confirmation wrote the configuration
 	PlanState     PlanState       `json:"plan_state,omitempty"`
 	Progress      *Progress       `json:"progress,omitempty"`
-	DomainsOut    []string        `json:"failure_domains_out,omitempty"`
-	InForce       *InForce        `json:"in_force,omitempty"` // of ConfigVersion over the fleet
-	Models        []ServingStatus `json:"models,omitempty"`   // sorted by name
+	DomainsOut    []string        `json:"failure_domains_out,omitempty"` // out of service, sorted
+	InForce       *InForce        `json:"in_force,omitempty"`            // instances that have applied a configuration version
+	Models        []ServingStatus `json:"models,omitempty"`              // sorted by name
 	Upstreams     UpstreamCounts  `json:"upstreams"`
 	Services      []ServingStatus `json:"services,omitempty"` // sorted by name
-	Notes         []string        `json:"notes,omitempty"`    // what the answer could not find out
+	Notes         []string        `json:"notes,omitempty"`    // what could not be determined, one sentence an entry
 }
 
-// InForce tells how many instances have a configuration version in force.
+// InForce counts the instances that have applied a configuration version.
 type InForce struct {
 	Version   uint64 `json:"version"`
-	Applied   int    `json:"have"`
-	Instances int    `json:"of"`
+	Applied   int    `json:"have"` // that have applied Version
+	Instances int    `json:"of"`   // in all
 }
 
-// Serving is how many upstreams serve a model or plain service and take new work.
+// ServingStatus counts the upstreams that serve a model or a plain service and accept new work.
 type ServingStatus struct {
 	Name    string `json:"name"`
 	Serving int    `json:"serving"`
@@ -31,17 +31,17 @@
 	Floor   int    `json:"floor,omitempty"`
 }
 
-// Upstreams counts the upstreams that the instance list shows.
+// UpstreamCounts counts the upstreams in the instance list.
 type UpstreamCounts struct {
 	Live    int `json:"live"`
 	Leaving int `json:"leaving"`
 	Out     int `json:"out"`
 }
 
-// Progress is how far a confirmed plan has been worked off.
+// Progress measures how far a confirmed plan has been carried out.
 type Progress struct {
 	Steps     int `json:"steps"`
 	StepsDone int `json:"done"`
-	Stage     int `json:"stage"` // being worked off, from 1
+	Stage     int `json:"stage"` // in progress, from 1
 	Stages    int `json:"stages"`
 }
--- a/api/target.go
+++ b/api/target.go
@@ -6,30 +6,30 @@
 	"strings"
 )
 
-// Target is what engines have loaded at the end of a plan, sorted by upstream. Most engines of a large
-// fleet have the same as many others, and a plan has to fit the store's megabyte: in JSON, engines that
-// have the same stand in one group.
+// Target lists the models that engines have loaded at the end of a plan, sorted by upstream. Its JSON form
+// groups engines that have the same models loaded: a plan must fit into the one megabyte that the store
+// accepts, and in a large fleet most engines have the same models loaded as many others.
 type Target []Placement
 
-// targetGroup is the engines that have the same loaded.
+// targetGroup lists the engines that have the same models loaded.
 type targetGroup struct {
 	Loaded    []LoadedModel `json:"loaded,omitempty"`
 	Upstreams []string      `json:"upstreams"`
 }
 
-// MarshalJSON writes groups, in the order of their first engines.
+// MarshalJSON encodes the target as groups, in the order of their first engines.
 func (t Target) MarshalJSON() ([]byte, error) {
 	var groups []targetGroup
-	at := map[string]int{}
+	groupOf := map[string]int{}
 	for _, p := range t {
 		key, err := json.Marshal(p.Loaded)
 		if err != nil {
 			return nil, err
 		}
-		i, known := at[string(key)]
-		if !known {
+		i, found := groupOf[string(key)]
+		if !found {
 			i = len(groups)
-			at[string(key)] = i
+			groupOf[string(key)] = i
 			groups = append(groups, targetGroup{Loaded: p.Loaded})
 		}
 		groups[i].Upstreams = append(groups[i].Upstreams, p.Upstream)
@@ -37,7 +37,7 @@
 	return json.Marshal(groups)
 }
 
-// UnmarshalJSON reads groups.
+// UnmarshalJSON decodes groups.
 func (t *Target) UnmarshalJSON(data []byte) error {
 	var groups []targetGroup
 	if err := json.Unmarshal(data, &groups); err != nil {
