--- a/internal/entry/command/command.go
+++ b/internal/entry/command/command.go
@@ -165,7 +165,7 @@
 	call.Fill(req, g.Upstream.Addr, m, attempt, remaining)
 	a, err := h.deps.Client.CallNewConnection(ctx, g.Upstream.Addr, req, remaining)
 	if err == nil {
-		g.Done(route.OK)
+		g.Release(route.OK)
 		return a, nil
 	}
 	var callErr *upstream.CallError
@@ -174,12 +174,12 @@
 	}
 	switch {
 	case !callErr.MayHaveRun():
-		g.Done(route.NotStarted)
+		g.Release(route.NotStarted)
 	case callErr.Timeout:
 		h.deps.Client.InvalidateConnections(g.Upstream.Addr)
-		g.Done(route.Silent)
+		g.Release(route.Silent)
 	default:
-		g.Done(route.Failed)
+		g.Release(route.Failed)
 	}
 	return upstream.Answer{}, callErr
 }
--- a/internal/entry/query/answer.go
+++ b/internal/entry/query/answer.go
@@ -103,7 +103,7 @@
 		return
 	}
 	a.gotPart = true
-	a.grant.FirstToken()
+	a.grant.RecordFirstToken()
 	a.h.limits.OnFirstByte(a.grant.Upstream, time.Since(a.dispatchedAt), 0)
 }
 
@@ -119,7 +119,7 @@
 	p := a.prompt
 	grant, err := a.h.router.Acquire(a.ctx, route.Request{
 		ID: p.meta.ID, Workspace: p.meta.Workspace, Model: p.body.Model,
-		Tokens: p.promptTokens, MaxTokens: p.body.MaxTokens, Blocks: p.blockHashes,
+		PromptTokens: p.promptTokens, MaxAnswerTokens: p.body.MaxTokens, Blocks: p.blockHashes,
 		Priority: p.meta.Priority, Deadline: p.meta.Deadline, Attempt: a.attempt, Exclude: a.tried,
 	})
 	if err != nil {
@@ -302,7 +302,7 @@
 // endDispatch ends the current dispatch, if any, with the given outcome.
 func (a *answer) endDispatch(o route.Outcome) {
 	if g := a.detach(); g != nil {
-		g.Done(o)
+		g.Release(o)
 	}
 }
 
@@ -335,7 +335,7 @@
 	}
 	id, attempt := a.prompt.meta.ID, a.attempt
 	a.h.background(func(ctx context.Context) {
-		defer g.Done(o)
+		defer g.Release(o)
 		if err := a.h.client.Cancel(ctx, g.Upstream.Addr, string(id), attempt); err != nil {
 			a.h.log.Warn("cancel failed", "request", id, "upstream", g.Upstream.ID, "error", err)
 		}
--- a/internal/entry/query/read.go
+++ b/internal/entry/query/read.go
@@ -129,14 +129,14 @@
 	share := remaining / time.Duration(max(readTimeShares-r.attempt+1, 1))
 	a, err := r.h.client.Call(r.ctx, g.Upstream.Addr, req, share)
 	if err == nil {
-		g.Done(route.OK)
+		g.Release(route.OK)
 		return a, nil
 	}
 	var callErr *upstream.CallError
 	if !errors.As(err, &callErr) {
 		callErr = &upstream.CallError{Sent: true, Cause: err}
 	}
-	g.Done(dispatchOutcome(r.ctx, callErr))
+	g.Release(dispatchOutcome(r.ctx, callErr))
 	return upstream.Answer{}, callErr
 }
 
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -78,7 +78,7 @@
 func newRouter(s api.Settings, k *keeper.Keeper, f *follow.Follower, rec *explain.Recorder, m *metrics.Registry,
 	c *upstream.Client, l *warm.Limits) *route.Router {
 	r := route.New(route.Deps{View: k.View, Explain: rec, Metrics: m, Memory: c, Settings: s, Gate: l})
-	r.Usable, r.Regaining = f.Usable, f.Regaining
+	r.CheckUsable, r.RegainingTrust = f.Usable, f.Regaining
 	return r
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -212,7 +212,7 @@
 	defer cancel()
 	errs := []error{p.Callers.Shutdown(limit), p.Operators.shutdown(limit)}
 	p.Queries.Wait()
-	if err := p.Router.Wait(limit); err != nil {
+	if err := p.Router.AwaitReleases(limit); err != nil {
 		errs = append(errs, fmt.Errorf("reservations not released at the stop: %w", err))
 	}
 	errs = append(errs, p.Claims.Flush(limit))
--- a/internal/route/grant.go
+++ b/internal/route/grant.go
@@ -14,17 +14,17 @@
 
 // Request is what routing needs to know of a prompt or plain-service call.
 type Request struct {
-	ID        fleet.RequestID
-	Workspace fleet.WorkspaceID
-	Model     string // of a prompt
-	Service   string // of a plain-service call
-	Tokens    int    // of the prompt
-	MaxTokens int    // of the answer
-	Blocks    []uint64
-	Priority  int
-	Deadline  time.Time
-	Attempt   int                // from 1
-	Exclude   []fleet.UpstreamID // tried before
+	ID              fleet.RequestID
+	Workspace       fleet.WorkspaceID
+	Model           string // of a prompt
+	Service         string // of a plain-service call
+	PromptTokens    int    // of the prompt
+	MaxAnswerTokens int    // of the answer
+	Blocks          []uint64
+	Priority        int
+	Deadline        time.Time
+	Attempt         int                // from 1
+	Exclude         []fleet.UpstreamID // tried before
 }
 
 // Outcome is how a dispatch ended.
@@ -47,19 +47,19 @@
 // Gate limits what this instance sends to single upstreams, as while they are cold.
 type Gate interface {
 	// Open tells whether the upstream may get one request more now. It takes nothing.
-	Open(u *fleet.Upstream) bool
+	HasCapacity(u *fleet.Upstream) bool
 	// Allow takes a place for one request; false where there is none any more.
-	Allow(u *fleet.Upstream) bool
+	Acquire(u *fleet.Upstream) bool
 	// Done gives the place back.
-	Done(u *fleet.Upstream, o Outcome)
+	Release(u *fleet.Upstream, o Outcome)
 }
 
 // openGate limits nothing.
 type openGate struct{}
 
-func (openGate) Open(*fleet.Upstream) bool     { return true }
-func (openGate) Allow(*fleet.Upstream) bool    { return true }
-func (openGate) Done(*fleet.Upstream, Outcome) {}
+func (openGate) HasCapacity(*fleet.Upstream) bool { return true }
+func (openGate) Acquire(*fleet.Upstream) bool     { return true }
+func (openGate) Release(*fleet.Upstream, Outcome) {}
 
 // Grant is the right to dispatch one request to one upstream. Done must be called once.
 type Grant struct {
@@ -90,7 +90,7 @@
 }
 
 // FirstToken tells that the first token of the answer came; the prompt is computed.
-func (g *Grant) FirstToken() {
+func (g *Grant) RecordFirstToken() {
 	g.first.CompareAndSwap(0, int64(g.router.now()))
 	g.begin()
 }
@@ -114,11 +114,11 @@
 
 // Done ends the dispatch and frees at once what was held for it: the workspace's place, the upstream's,
 // and reserved memory.
-func (g *Grant) Done(o Outcome) {
+func (g *Grant) Release(o Outcome) {
 	g.once.Do(func() {
 		g.free()
 		g.load.own.Add(-1)
-		g.router.gate.Done(g.Upstream, o)
+		g.router.gate.Release(g.Upstream, o)
 		if g.space != nil {
 			g.space.Release()
 		}
--- a/internal/route/hold_test.go
+++ b/internal/route/hold_test.go
@@ -74,7 +74,7 @@
 		is.Equal(g.Group, "")
 		is.Equal(g.Priority, -3)
 		is.Equal(b.memory.held[g.Upstream.Addr][g.Reservation].Tokens, int64(200_100))
-		g.Done(Cancelled) // every end frees it at once
+		g.Release(Cancelled) // every end frees it at once
 		synctest.Wait()
 		is.Equal(b.memory.total(), 0)
 
@@ -89,8 +89,8 @@
 			is.True(b.memory.held[addr][id].Tokens > 0)
 			is.True(addr != g.Upstream.Addr)
 		}
-		g.Done(OK)
-		is.NoErr(b.Wait(t.Context()))
+		g.Release(OK)
+		is.NoErr(b.AwaitReleases(t.Context()))
 		is.Equal(b.memory.total(), 0)
 	})
 }
@@ -115,9 +115,9 @@
 		g, err := b.Acquire(t.Context(), b.request(200_000, 5*time.Minute))
 		is.NoErr(err)
 		is.True(time.Since(started) >= 5*time.Second)
-		g.Done(OK)
+		g.Release(OK)
 		others.Wait()
-		is.NoErr(b.Wait(t.Context()))
+		is.NoErr(b.AwaitReleases(t.Context()))
 		is.Equal(b.memory.total(), 0)
 	})
 }
@@ -134,7 +134,7 @@
 		_, err := b.Acquire(ctx, b.request(200_000, 5*time.Minute))
 		is.True(err != nil)
 		is.Equal(fault.From(err).Run, fault.RunNo)
-		is.NoErr(b.Wait(t.Context()))
+		is.NoErr(b.AwaitReleases(t.Context()))
 		is.Equal(b.memory.total(), 0)
 	})
 }
--- a/internal/route/model.go
+++ b/internal/route/model.go
@@ -61,7 +61,7 @@
 func (m *model) open() pick.Filter {
 	return pick.Filter{Reason: pick.RejectedByGate, Keep: func(_ *pick.Query, c *pick.Candidate) bool {
 		u := m.current.Load().view.Upstream(c.ID)
-		return u != nil && m.router.gate.Open(u)
+		return u != nil && m.router.gate.HasCapacity(u)
 	}}
 }
 
@@ -114,10 +114,10 @@
 func (m *model) request(s *scene, p *pooled, q *Request, now decide.Instant) *admit.Request {
 	r := &admit.Request{
 		ID: q.ID, Workspace: q.Workspace, Weight: s.spaces[q.Workspace].Weight,
-		Prompt:  cost.Prompt{Tokens: q.Tokens, MaxAnswerTokens: q.MaxTokens, Blocks: q.Blocks},
-		Class:   cost.ClassOf(q.Tokens, q.MaxTokens, p.pool.EngineMemory),
+		Prompt:  cost.Prompt{Tokens: q.PromptTokens, MaxAnswerTokens: q.MaxAnswerTokens, Blocks: q.Blocks},
+		Class:   cost.ClassOf(q.PromptTokens, q.MaxAnswerTokens, p.pool.EngineMemory),
 		Arrived: now, Deadline: m.router.instant(q.Deadline),
-		DecodeTime: time.Duration(q.MaxTokens) * time.Duration(m.pace.Load()), Exclude: q.Exclude,
+		DecodeTime: time.Duration(q.MaxAnswerTokens) * time.Duration(m.pace.Load()), Exclude: q.Exclude,
 	}
 	if len(q.Exclude) >= p.size {
 		r.Exclude = nil // all were tried: better one of them than none
@@ -248,7 +248,7 @@
 func (a *ask) refused(d *admit.Decision) error {
 	a.m.router.record("refuse", a.q, d.Reason, "model", a.m.name, "class", a.r.Class, "kind", d.Kind, "retry_after", d.RetryAfter)
 	a.m.router.meter.count("refuse", d.Reason)
-	e := fault.New(d.Kind, "%s prompt of %d tokens: %s", a.r.Class, a.q.Tokens, d.Reason)
+	e := fault.New(d.Kind, "%s prompt of %d tokens: %s", a.r.Class, a.q.PromptTokens, d.Reason)
 	e.RetryAfter = d.RetryAfter
 	return e
 }
@@ -257,7 +257,7 @@
 // limit by now. The instance itself may have become unfit while the request waited.
 func (a *ask) grant(d *admit.Decision) (*Grant, error) {
 	m := a.m
-	g := &Grant{Reason: d.Reason, Priority: a.priority(), router: m.router, model: m, class: a.r.Class, answer: a.q.MaxTokens}
+	g := &Grant{Reason: d.Reason, Priority: a.priority(), router: m.router, model: m, class: a.r.Class, answer: a.q.MaxAnswerTokens}
 	estimate := d.Choice.Estimate
 	if len(d.Plan.Parts) > 0 {
 		g.lead(a, d)
@@ -273,7 +273,7 @@
 	// Read again: the instance may have been paused since the choice, and others of its goroutines may have
 	// made it usable anew, by a view that has the engine's failure domain out.
 	g.Upstream = m.router.newest(g.Upstream)
-	if g.Upstream == nil || !g.Upstream.Takes() || !m.router.gate.Allow(g.Upstream) {
+	if g.Upstream == nil || !g.Upstream.Takes() || !m.router.gate.Acquire(g.Upstream) {
 		g.undo()
 		return nil, nil
 	}
@@ -281,7 +281,7 @@
 	g.load.own.Add(1)
 	m.router.meter.count("dispatch", d.Reason)
 	m.router.record("route", a.q, d.Reason, "upstream", g.Upstream.ID, "failure_domain", g.Upstream.Domain,
-		"class", a.r.Class, "attempt", a.q.Attempt, "tokens", a.q.Tokens, "to_compute", estimate.Cost,
+		"class", a.r.Class, "attempt", a.q.Attempt, "tokens", a.q.PromptTokens, "to_compute", estimate.Cost,
 		"predicted", estimate.FirstToken.Round(time.Millisecond), "looked", d.Choice.Scored, "group", g.Group)
 	return g, nil
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -49,9 +49,9 @@
 type Router struct {
 	// Usable gives nil, or why this instance may not send new work now; nil: it always may. It is asked
 	// last, right before the grant: a request may have waited.
-	Usable func() error
+	CheckUsable func() error
 	// Regaining tells whether an instance that is not usable is likely to be so again in a moment; nil: never.
-	Regaining func() bool
+	RegainingTrust func() bool
 
 	view    func() *fleet.View
 	explain *explain.Recorder
@@ -88,7 +88,7 @@
 func (r *Router) Incarnation() string { return r.self.incarnation }
 
 // Wait returns when all reservations that were ended are released, or ctx ends.
-func (r *Router) Wait(ctx context.Context) error {
+func (r *Router) AwaitReleases(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
 		r.holds.Wait()
@@ -104,10 +104,10 @@
 
 // usable tells why this instance may not send new work now; nil where it may.
 func (r *Router) usable() error {
-	if r.Usable == nil {
+	if r.CheckUsable == nil {
 		return nil
 	}
-	return r.Usable()
+	return r.CheckUsable()
 }
 
 // now is the instant by the monotonic clock.
@@ -197,7 +197,7 @@
 // regains tells whether err ends soon by itself: right after a pause or a failure of the network everywhere, a
 // caller that waits is served sooner than one that is turned away.
 func (r *Router) regains(err error) bool {
-	return fault.Is(err, fault.StaleInstance) && r.Regaining != nil && r.Regaining()
+	return fault.Is(err, fault.StaleInstance) && r.RegainingTrust != nil && r.RegainingTrust()
 }
 
 func (r *Router) acquire(ctx context.Context, q *Request) (*Grant, error) {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -79,7 +79,7 @@
 func (b *bench) request(tokens int, timeout time.Duration) Request {
 	return Request{
 		ID: fleet.RequestID(fmt.Sprintf("r%d", b.last.Add(1))), Workspace: "w", Model: "m",
-		Tokens: tokens, MaxTokens: 100, Deadline: time.Now().Add(timeout), Attempt: 1,
+		PromptTokens: tokens, MaxAnswerTokens: 100, Deadline: time.Now().Add(timeout), Attempt: 1,
 	}
 }
 
@@ -96,8 +96,8 @@
 		g, err := b.Acquire(t.Context(), b.request(2000, time.Minute))
 		is.NoErr(err)
 		is.Equal(g.Priority, 6)
-		g.FirstToken()
-		g.Done(OK)
+		g.RecordFirstToken()
+		g.Release(OK)
 		is.Equal(len(b.rec.About("r1")), 1)
 		is.Equal(b.rec.About("r1")[0].Kind, "route")
 	})
@@ -116,7 +116,7 @@
 		g, err := b.Acquire(t.Context(), b.request(20_000, time.Minute))
 		is.NoErr(err)
 		is.Equal(time.Since(started), 700*time.Millisecond)
-		g.Done(OK)
+		g.Release(OK)
 		kinds := []string{}
 		for _, d := range b.rec.About("r1") {
 			kinds = append(kinds, d.Kind)
@@ -178,8 +178,8 @@
 		is.NoErr(err)
 		_, err = b.Acquire(t.Context(), q)
 		is.True(fault.Is(err, fault.WorkspaceLimit))
-		first.Done(Failed)
-		first.Done(OK) // counts once
+		first.Release(Failed)
+		first.Release(OK) // counts once
 		_, err = b.Acquire(t.Context(), q)
 		is.NoErr(err)
 		_, err = b.Acquire(t.Context(), q)
@@ -193,13 +193,13 @@
 	now map[fleet.UpstreamID]int // guarded by mu
 }
 
-func (l *limited) Open(u *fleet.Upstream) bool {
+func (l *limited) HasCapacity(u *fleet.Upstream) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.now[u.ID] < 2
 }
 
-func (l *limited) Allow(u *fleet.Upstream) bool {
+func (l *limited) Acquire(u *fleet.Upstream) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.now[u.ID] >= 2 {
@@ -209,7 +209,7 @@
 	return true
 }
 
-func (l *limited) Done(u *fleet.Upstream, _ Outcome) {
+func (l *limited) Release(u *fleet.Upstream, _ Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.now[u.ID]--
@@ -228,7 +228,7 @@
 		started := time.Now()
 		go func() {
 			time.Sleep(time.Second)
-			grants[2].Done(OK)
+			grants[2].Release(OK)
 		}()
 		g, err := b.Acquire(t.Context(), b.request(1000, time.Minute))
 		is.NoErr(err)
@@ -251,7 +251,7 @@
 			g, err := b.Acquire(t.Context(), b.request(1000, time.Minute))
 			is.NoErr(err)
 			is.Equal(g.Upstream, rest)
-			g.Done(OK)
+			g.Release(OK)
 		}
 		q := b.request(1000, time.Minute)
 		q.Exclude = []fleet.UpstreamID{rest.ID}
@@ -297,7 +297,7 @@
 		b := newLongFirst(2)
 		b.report(busy, 0)
 		var unfit atomic.Bool
-		b.Usable = func() error {
+		b.CheckUsable = func() error {
 			if unfit.Load() {
 				return fault.New(fault.StaleInstance, "cut off")
 			}
@@ -321,16 +321,16 @@
 		is := is.New(t)
 		b := newBench(2, nil)
 		q := b.request(1000, time.Minute)
-		q.MaxTokens = 16384
+		q.MaxAnswerTokens = 16384
 		g, err := b.Acquire(t.Context(), q)
 		is.NoErr(err)
-		g.Done(OK)
+		g.Release(OK)
 		for range 200 { // answers that take 20 ms for each token allowed
 			g, err := b.Acquire(t.Context(), b.request(1000, time.Minute))
 			is.NoErr(err)
-			g.FirstToken()
+			g.RecordFirstToken()
 			time.Sleep(2 * time.Second)
-			g.Done(OK)
+			g.Release(OK)
 			b.report(0, 0)
 		}
 		q.Deadline = time.Now().Add(time.Minute)
@@ -363,8 +363,8 @@
 		got := testing.AllocsPerRun(200, func() {
 			g, err := b.Acquire(t.Context(), q)
 			is.NoErr(err)
-			g.FirstToken()
-			g.Done(OK)
+			g.RecordFirstToken()
+			g.Release(OK)
 		})
 		t.Logf("%.0f allocations", got)
 		is.True(got <= 40) // 26 without the race detector, 33 with it
@@ -380,14 +380,14 @@
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					g, err := r.Acquire(context.Background(), Request{
-						ID: "r", Workspace: "w", Model: "m", Tokens: 1, MaxTokens: 1,
+						ID: "r", Workspace: "w", Model: "m", PromptTokens: 1, MaxAnswerTokens: 1,
 						Deadline: time.Now().Add(time.Minute), Attempt: 1,
 					})
 					if err != nil {
 						b.Fatal(err)
 					}
-					g.FirstToken()
-					g.Done(OK)
+					g.RecordFirstToken()
+					g.Release(OK)
 				}
 			})
 		})
--- a/internal/route/service.go
+++ b/internal/route/service.go
@@ -12,8 +12,8 @@
 
 // Reasons of the choice of a plain service's instance.
 const (
-	ReasonLeastLoaded decide.Reason = "least_loaded_of_two"
-	ReasonOnly        decide.Reason = "only_candidate"
+	ReasonLeastLoaded   decide.Reason = "least_loaded_of_two"
+	ReasonOnlyCandidate decide.Reason = "only_candidate"
 )
 
 // load counts this instance's dispatches to one upstream that are in flight.
@@ -35,7 +35,7 @@
 	open := r.untried(all, q)
 	for len(open) > 0 {
 		u, reason := r.lessLoaded(open)
-		if r.gate.Allow(u) {
+		if r.gate.Acquire(u) {
 			l := r.load(u.ID)
 			l.own.Add(1)
 			r.record("route", q, reason, "upstream", u.ID, "failure_domain", u.Domain, "attempt", q.Attempt)
@@ -51,7 +51,7 @@
 	var fresh, tried []*fleet.Upstream
 	for _, u := range all {
 		switch {
-		case !u.Takes() || !r.gate.Open(u):
+		case !u.Takes() || !r.gate.HasCapacity(u):
 		case slices.Contains(q.Exclude, u.ID):
 			tried = append(tried, u)
 		default:
@@ -66,7 +66,7 @@
 
 func (r *Router) lessLoaded(all []*fleet.Upstream) (*fleet.Upstream, decide.Reason) {
 	if len(all) == 1 {
-		return all[0], ReasonOnly
+		return all[0], ReasonOnlyCandidate
 	}
 	i := rand.IntN(len(all))
 	j := rand.IntN(len(all) - 1)
--- a/internal/route/stale_test.go
+++ b/internal/route/stale_test.go
@@ -20,7 +20,7 @@
 	refused atomic.Int64
 }
 
-func (g *fullGate) Allow(u *fleet.Upstream) bool {
+func (g *fullGate) Acquire(u *fleet.Upstream) bool {
 	if u.ID == g.only {
 		return true
 	}
@@ -54,19 +54,19 @@
 			b := newBench(3, nil)
 			b.now.Store(b.with(func(*fleet.Upstream) {}))
 			out := b.with(func(u *fleet.Upstream) { u.Out = u.Domain != "d2" })
-			b.Usable = func() error {
+			b.CheckUsable = func() error {
 				b.now.Store(out) // the other goroutine catches up just now
 				return nil
 			}
 			g, err := b.Acquire(t.Context(), b.request(2000, time.Minute))
 			is.NoErr(err)
 			is.Equal(g.Upstream.ID, fleet.UpstreamID("e2"))
-			g.Done(OK)
+			g.Release(OK)
 			b.now.Store(b.with(func(*fleet.Upstream) {}))
 			g, err = b.Acquire(t.Context(), Request{ID: "c", Workspace: "w", Service: "bookdesk", Deadline: time.Now().Add(time.Minute)})
 			is.NoErr(err)
 			is.Equal(g.Upstream.ID, fleet.UpstreamID("s2"))
-			g.Done(OK)
+			g.Release(OK)
 		}
 	})
 }
@@ -84,7 +84,7 @@
 			g, err := b.Acquire(t.Context(), call)
 			is.NoErr(err)
 			is.Equal(g.Upstream.ID, fleet.UpstreamID("s1"))
-			g.Done(OK)
+			g.Release(OK)
 		}
 		is.True(gate.refused.Load() > 0)
 		gate.only = "none"
@@ -102,25 +102,25 @@
 		call := Request{ID: "c", Workspace: "w", Service: "bookdesk", Deadline: time.Now().Add(time.Minute)}
 		start := time.Now()
 		const back, over = 150 * time.Millisecond, time.Second
-		b.Usable = func() error {
+		b.CheckUsable = func() error {
 			if time.Since(start) < back {
 				return fault.New(fault.StaleInstance, "paused")
 			}
 			return nil
 		}
-		b.Regaining = func() bool { return true }
+		b.RegainingTrust = func() bool { return true }
 		for _, q := range []Request{call, b.request(2000, time.Minute)} {
 			start = time.Now()
 			g, err := b.Acquire(t.Context(), q)
 			is.NoErr(err)
 			is.True(time.Since(start) >= back)
 			is.True(time.Since(start) <= back+regainPoll)
-			g.Done(OK)
+			g.Release(OK)
 		}
 		is.Equal(b.space("w").Count(), 0)
 
-		b.Usable = func() error { return fault.New(fault.StaleInstance, "cut off") }
-		b.Regaining = func() bool { return time.Since(start) < over }
+		b.CheckUsable = func() error { return fault.New(fault.StaleInstance, "cut off") }
+		b.RegainingTrust = func() bool { return time.Since(start) < over }
 		start = time.Now()
 		_, err := b.Acquire(t.Context(), call)
 		is.True(fault.Is(err, fault.StaleInstance))
@@ -131,7 +131,7 @@
 		is.True(fault.Is(err, fault.StaleInstance))
 		is.Equal(time.Since(again), time.Duration(0)) // cut off for longer: refused at once
 
-		b.Regaining = func() bool { return true }
+		b.RegainingTrust = func() bool { return true }
 		short, cancel := context.WithTimeout(t.Context(), back)
 		defer cancel()
 		again = time.Now()
@@ -149,21 +149,21 @@
 		long := b.request(200_000, time.Minute)
 		g, err := b.Acquire(t.Context(), long)
 		is.NoErr(err)
-		g.Done(OK)
+		g.Release(OK)
 		once := b.memory.asked
 		is.True(once > 0)
 		back := time.Now().Add(200 * time.Millisecond)
-		b.Usable = func() error {
+		b.CheckUsable = func() error {
 			if time.Now().Before(back) {
 				return fault.New(fault.StaleInstance, "paused")
 			}
 			return nil
 		}
-		b.Regaining = func() bool { return true }
+		b.RegainingTrust = func() bool { return true }
 		long.ID = "again"
 		g, err = b.Acquire(t.Context(), long)
 		is.NoErr(err)
-		g.Done(OK)
+		g.Release(OK)
 		is.Equal(b.memory.asked, 3*once) // before the pause is noticed, and after it
 	})
 }
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -65,7 +65,7 @@
 	Adapter  Adapter
 	Follower *watch.Follower
 	Gateway  *gateway.Gateway
-	Side     *side
+	Status   *side
 	Gate     *gate.Gate
 	Client   *upstream.Client
 	Placer   *placement.Client
@@ -151,7 +151,7 @@
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	if err := p.Side.listen(p.Settings.Routed.Listen, p.Log); err != nil { // last: what else needs an address goes first
+	if err := p.Status.listen(p.Settings.Routed.Listen, p.Log); err != nil { // last: what else needs an address goes first
 		return err
 	}
 	n.self.Addr = advertised(n.self.Addr, peers.Addr())
@@ -162,7 +162,7 @@
 	})
 	n.run(p.Placer.Run)
 	n.run(func(context.Context) { p.Gateway.Serve() })
-	n.run(func(context.Context) { p.Side.serve() })
+	n.run(func(context.Context) { p.Status.serve() })
 	n.run(p.Follower.Run)
 	n.run(n.keepMembership)
 	p.Log.Info("started", "instance", p.Settings.Instance, "failure_domain", p.Settings.FailureDomain,
@@ -219,7 +219,7 @@
 	err := p.Gate.AwaitIdle(limit)
 	closing, done := context.WithTimeout(context.Background(), margin/2)
 	defer done()
-	err = errors.Join(err, shutAll(closing, p.Gateway.Shutdown, p.Side.shutdown))
+	err = errors.Join(err, shutAll(closing, p.Gateway.Shutdown, p.Status.shutdown))
 	n.stop()
 	p.Adapter.Store.Close()
 	p.Client.Close()
@@ -258,7 +258,7 @@
 func (n *Node) Dispatcher() string { return string(n.parts.Placer.Dispatcher()) }
 
 // Limited is the number of upstreams' limits that the instance believes to be in force.
-func (n *Node) Limited() int { return n.parts.Placer.LimitsInForce() }
+func (n *Node) LimitsInForce() int { return n.parts.Placer.LimitsInForce() }
 
 // Snapshot is what the instance knows of the fleet now.
 func (n *Node) Snapshot() *catalog.Snapshot { return n.parts.Follower.Snapshot() }
@@ -267,12 +267,12 @@
 func (n *Node) CallersAddr() string { return n.parts.Gateway.Addr() }
 
 // ReadyAddr is where the balancer asks.
-func (n *Node) ReadyAddr() string { return n.parts.Side.readyOn.Addr().String() }
+func (n *Node) ReadyAddr() string { return n.parts.Status.readyOn.Addr().String() }
 
 // MetricsAddr is where the metrics are served; empty: nowhere.
 func (n *Node) MetricsAddr() string {
-	if n.parts.Side.metricsOn == nil {
+	if n.parts.Status.metricsOn == nil {
 		return ""
 	}
-	return n.parts.Side.metricsOn.Addr().String()
+	return n.parts.Status.metricsOn.Addr().String()
 }
--- a/internal/warm/limits.go
+++ b/internal/warm/limits.go
@@ -81,9 +81,9 @@
 }
 
 var _ interface {
-	Open(*fleet.Upstream) bool
-	Allow(*fleet.Upstream) bool
-	Done(*fleet.Upstream, route.Outcome)
+	HasCapacity(*fleet.Upstream) bool
+	Acquire(*fleet.Upstream) bool
+	Release(*fleet.Upstream, route.Outcome)
 } = (*Limits)(nil)
 
 func (l *Limits) upstream(u *fleet.Upstream) *upstream {
@@ -125,7 +125,7 @@
 }
 
 // Open tells whether the upstream may get one request more now. It takes nothing.
-func (l *Limits) Open(u *fleet.Upstream) bool {
+func (l *Limits) HasCapacity(u *fleet.Upstream) bool {
 	up := l.upstream(u)
 	c := up.room(l.cfg.Now())
 	n := up.inFlight.Load()
@@ -133,7 +133,7 @@
 }
 
 // Allow takes a place for one request; Done gives it back.
-func (l *Limits) Allow(u *fleet.Upstream) bool {
+func (l *Limits) Acquire(u *fleet.Upstream) bool {
 	up := l.upstream(u)
 	c := up.room(l.cfg.Now())
 	n := up.inFlight.Add(1)
@@ -174,7 +174,7 @@
 func (l *Limits) OnLastByte(u *fleet.Upstream) { l.upstream(u).answered.Add(-1) }
 
 // Done gives a place back.
-func (l *Limits) Done(u *fleet.Upstream, o route.Outcome) {
+func (l *Limits) Release(u *fleet.Upstream, o route.Outcome) {
 	up := l.upstream(u)
 	up.inFlight.Add(-1)
 	switch o {
--- a/internal/warm/warm_test.go
+++ b/internal/warm/warm_test.go
@@ -65,7 +65,7 @@
 // take counts how many requests the upstream gets at once.
 func (b *bed) take(u *fleet.Upstream) int {
 	n := 0
-	for n < 200 && b.Allow(u) {
+	for n < 200 && b.Acquire(u) {
 		n++
 	}
 	return n
@@ -91,7 +91,7 @@
 		b.Tick(false)
 		n := b.take(e)
 		is.True(n <= 1)
-		is.Equal(b.Open(e), false)
+		is.Equal(b.HasCapacity(e), false)
 		sum += n
 		_, bounded := b.MaxDispatch(e)
 		is.True(bounded)
@@ -108,13 +108,13 @@
 	b.settle("a")
 	b.OnLoad(e, cold(2), time.Now())
 	b.Tick(false)
-	is.True(b.Open(e))
+	is.True(b.HasCapacity(e))
 	b.pass(3 * time.Second)
-	is.True(!b.Open(e))
-	is.True(!b.Allow(e))
+	is.True(!b.HasCapacity(e))
+	is.True(!b.Acquire(e))
 	b.OnList(1, []string{"a"}, time.Now())
 	b.Tick(false)
-	is.True(b.Allow(e)) // the same version of the list: nothing changed meanwhile
+	is.True(b.Acquire(e)) // the same version of the list: nothing changed meanwhile
 }
 
 // A warm engine resets connections because it turned cold. Its report of just before says "warm".
@@ -126,9 +126,9 @@
 	b.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now())
 	is.Equal(b.State(e), health.Warm)
 	is.Equal(b.take(e), 16) // the window of requests without a first byte
-	b.Done(e, route.Failed)
+	b.Release(e, route.Failed)
 	is.Equal(b.State(e), health.Suspect)
-	is.True(!b.Open(e))
+	is.True(!b.HasCapacity(e))
 	b.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now().Add(-time.Second))
 	is.Equal(b.State(e), health.Suspect)
 	b.pass(time.Second)
@@ -151,18 +151,18 @@
 	b := newBed("a", e)
 	b.OnLoad(e, wire.LoadReport{BootID: "b1"}, time.Now())
 	b.Tick(false)
-	is.True(b.Open(e))
+	is.True(b.HasCapacity(e))
 	b.show(2, leaving)
 	b.Tick(false)
 	is.Equal(b.State(e), health.Leaving)
-	is.True(!b.Allow(e))
+	is.True(!b.Acquire(e))
 	b.show(3, e)
 	b.Tick(false)
 	is.Equal(b.State(e), health.Cold)
 	b.show(4)
 	b.Tick(false)
 	is.Equal(b.State(e), health.Gone)
-	is.True(!b.Allow(e))
+	is.True(!b.Acquire(e))
 	b.show(5, e)
 	b.Tick(false)
 	is.Equal(b.State(e), health.Unknown)
@@ -175,12 +175,12 @@
 	b := newBed("a", e)
 	b.OnLoad(e, wire.LoadReport{BootID: "b1"}, time.Now())
 	for range 50 {
-		is.True(b.Allow(e))
+		is.True(b.Acquire(e))
 		b.OnFirstByte(e, time.Millisecond, 0)
 	}
 	for range 50 {
 		b.OnLastByte(e)
-		b.Done(e, route.OK)
+		b.Release(e, route.OK)
 	}
 	is.Equal(b.take(e), 16)
 }
@@ -198,14 +198,14 @@
 	for range 16 {
 		wg.Go(func() {
 			for range 300 {
-				if !b.Allow(e) {
+				if !b.Acquire(e) {
 					continue
 				}
 				n := now.Add(1)
 				for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
 				}
 				now.Add(-1)
-				b.Done(e, route.Cancelled)
+				b.Release(e, route.Cancelled)
 			}
 		})
 	}
@@ -226,7 +226,7 @@
 	b := newBed("a", desk)
 	is.Equal(b.take(desk), 4) // no slots are dealt, and nothing is refused for want of a settle time
 	for range 4 {
-		b.Done(desk, route.OK)
+		b.Release(desk, route.OK)
 	}
 	probe := func(p warm.Pinger) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -249,8 +249,8 @@
 	probe(pings{})
 	is.Equal(b.State(desk), health.Warming)
 	for range 63 {
-		is.True(b.Allow(desk))
-		b.Done(desk, route.OK)
+		is.True(b.Acquire(desk))
+		b.Release(desk, route.OK)
 	}
 	is.Equal(b.State(desk), health.Warm)
 }
--- a/internal/warm/warmup.go
+++ b/internal/warm/warmup.go
@@ -49,7 +49,7 @@
 }
 
 func (l *Limits) warmUp(ctx context.Context, p Prompter, u *fleet.Upstream) {
-	if !l.Allow(u) {
+	if !l.Acquire(u) {
 		return
 	}
 	outcome := route.OK
@@ -60,5 +60,5 @@
 	if ctx.Err() != nil {
 		outcome = route.Cancelled
 	}
-	l.Done(u, outcome)
+	l.Release(u, outcome)
 }
