--- a/internal/route/grant.go
+++ b/internal/route/grant.go
@@ -12,129 +12,132 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Request is what routing needs to know of a prompt or plain-service call.
+// Request describes a prompt for a model, or a call to a plain service, that needs an upstream.
 type Request struct {
 	ID              fleet.RequestID
 	Workspace       fleet.WorkspaceID
-	Model           string // of a prompt
-	Service         string // of a plain-service call
-	PromptTokens    int    // of the prompt
-	MaxAnswerTokens int    // of the answer
-	Blocks          []uint64
-	Priority        int
+	Model           string // for a prompt
+	Service         string // for a plain-service call
+	PromptTokens    int
+	MaxAnswerTokens int
+	Blocks          []uint64 // hashes of the prompt's prefix blocks
+	Priority        int      // of the caller, added to those of the class and the workspace
 	Deadline        time.Time
 	Attempt         int                // from 1
-	Exclude         []fleet.UpstreamID // tried before
+	Exclude         []fleet.UpstreamID // upstreams that were tried before
 }
 
-// Outcome is how a dispatch ended.
+// Outcome is the result of a dispatch.
 type Outcome uint8
 
 // The outcomes of a dispatch.
 const (
 	OK         Outcome = iota
-	NotStarted         // the upstream said that it did not start, or no byte of the request was sent
-	Failed             // error or reset after it may have started
-	Silent             // a connection to it went silent
-	Cancelled          // the caller went away or the time ran out
+	NotStarted         // the upstream reported that it did not start, or no byte of the request was sent
+	Failed             // error or reset after execution may have started
+	Silent             // the connection to the upstream went silent
+	Cancelled          // the caller disconnected or the deadline passed
 )
 
-// String gives the outcome as it stands in logs.
+// String returns the outcome as logs show it.
 func (o Outcome) String() string {
 	return [...]string{"ok", "not_started", "failed", "silent", "cancelled"}[o]
 }
 
-// Gate limits what this instance sends to single upstreams, as while they are cold.
+// Gate limits how many requests this instance has in flight at each upstream, for example while the upstream is cold.
 type Gate interface {
-	// Open tells whether the upstream may get one request more now. It takes nothing.
+	// HasCapacity reports whether the upstream may receive one more request now. It acquires nothing.
 	HasCapacity(u *fleet.Upstream) bool
-	// Allow takes a place for one request; false where there is none any more.
+	// Acquire takes one of the upstream's slots and returns true, or returns false if none is free.
 	Acquire(u *fleet.Upstream) bool
-	// Done gives the place back.
+	// Release frees the slot of a request that ended with outcome o.
 	Release(u *fleet.Upstream, o Outcome)
 }
 
-// openGate limits nothing.
-type openGate struct{}
+// unlimitedGate is a Gate without limits.
+type unlimitedGate struct{}
 
-func (openGate) HasCapacity(*fleet.Upstream) bool { return true }
-func (openGate) Acquire(*fleet.Upstream) bool     { return true }
-func (openGate) Release(*fleet.Upstream, Outcome) {}
+func (unlimitedGate) HasCapacity(*fleet.Upstream) bool { return true }
+func (unlimitedGate) Acquire(*fleet.Upstream) bool     { return true }
+func (unlimitedGate) Release(*fleet.Upstream, Outcome) {}
 
-// Grant is the right to dispatch one request to one upstream. Done must be called once.
+// Grant is the permission to dispatch one request to one upstream. Its holder must call Release when the dispatch has
+// ended.
 type Grant struct {
 	Upstream    *fleet.Upstream
 	Reason      decide.Reason
 	Priority    int    // for the engine, -10 to 10
-	Reservation string // memory held for it on Upstream; empty: none
-	Group       string // reservations on other engines, as the engine's header wants them; empty: none
-
-	router *Router
-	load   *load
-	model  *model
-	class  cost.Class
-	answer int // most tokens of the answer
-	sent   []sentTo
-	hold   *hold
-	space  *limit.InFlight
-	began  sync.Once
-	first  atomic.Int64 // when the first token came, as an Instant; 0: it did not
-	once   sync.Once
+	Reservation string // id of the memory reservation on Upstream; empty: none
+	Group       string // reservations on other engines, in the format of wire.HeaderGroup; empty: none
+
+	router          *Router
+	load            *load
+	model           *model
+	class           cost.Class
+	maxAnswerTokens int
+	recorded        []recordedWork  // work of this dispatch that the engines' records include
+	reservations    *reservations   // nil: none
+	workspace       *limit.InFlight // count that includes this request; nil: none
+	firstTokenOnce  sync.Once
+	firstTokenAt    atomic.Int64 // Instant of the first token; 0: none arrived yet
+	releaseOnce     sync.Once
 }
 
-// sentTo is work that was noted on an engine and is not yet known to have begun.
-type sentTo struct {
-	engine *pick.Engine
-	tokens int64
-	memory int64
+// recordedWork is the work of a dispatch that is recorded on one engine.
+type recordedWork struct {
+	engine        *pick.Engine
+	prefillTokens int64
+	memoryTokens  int64
 }
 
-// FirstToken tells that the first token of the answer came; the prompt is computed.
+// RecordFirstToken records that the first token of the answer arrived, so that the prefill is complete.
 func (g *Grant) RecordFirstToken() {
-	g.first.CompareAndSwap(0, int64(g.router.now()))
-	g.begin()
+	g.firstTokenAt.CompareAndSwap(0, int64(g.router.now()))
+	g.recordPrefillDone()
 }
 
-// free takes back all that is noted of the dispatch on engines.
-func (g *Grant) free() {
-	g.begin()
-	for _, s := range g.sent {
-		s.engine.ReleaseMemory(s.memory)
+// removeRecordedWork removes all work of the dispatch from the engines' records.
+func (g *Grant) removeRecordedWork() {
+	g.recordPrefillDone()
+	for _, w := range g.recorded {
+		w.engine.ReleaseMemory(w.memoryTokens)
 	}
-	g.sent = nil
+	g.recorded = nil
 }
 
-func (g *Grant) begin() {
-	g.began.Do(func() {
-		for _, s := range g.sent {
-			s.engine.RecordFirstToken(g.class, s.tokens)
+// recordPrefillDone removes the prefill work from the engines' records. Only its first call has an effect.
+func (g *Grant) recordPrefillDone() {
+	g.firstTokenOnce.Do(func() {
+		for _, w := range g.recorded {
+			w.engine.RecordFirstToken(g.class, w.prefillTokens)
 		}
 	})
 }
 
-// Done ends the dispatch and frees at once what was held for it: the workspace's place, the upstream's,
-// and reserved memory.
+// Release ends the dispatch. It frees everything held for it: its slots in the workspace's limit and at the upstream,
+// and the reserved memory. Only the first call has an effect.
 func (g *Grant) Release(o Outcome) {
-	g.once.Do(func() {
-		g.free()
-		g.load.own.Add(-1)
+	g.releaseOnce.Do(func() {
+		g.removeRecordedWork()
+		g.load.inFlight.Add(-1)
 		g.router.gate.Release(g.Upstream, o)
-		if g.space != nil {
-			g.space.Release()
+		if g.workspace != nil {
+			g.workspace.Release()
 		}
-		if g.hold != nil {
-			g.hold.end()
+		if g.reservations != nil {
+			g.reservations.releaseAll()
 		}
 		g.router.explain.Record("done", string(g.Upstream.ID), decide.Reason(o.String()))
 		if g.model != nil {
-			g.learn(o)
-			g.model.wake()
+			g.recordAnswerTime(o)
+			g.model.wakeQueues()
 		}
 	})
 }
 
-func (g *Grant) learn(o Outcome) {
-	if first := g.first.Load(); o == OK && first != 0 {
-		g.model.answered(g.router.now().Sub(decide.Instant(first)), g.answer)
+// recordAnswerTime updates the model's estimate of answer times, if the answer was complete.
+func (g *Grant) recordAnswerTime(o Outcome) {
+	if first := g.firstTokenAt.Load(); o == OK && first != 0 {
+		g.model.updateTimePerToken(g.router.now().Sub(decide.Instant(first)), g.maxAnswerTokens)
 	}
 }
--- a/internal/route/lanes.go
+++ b/internal/route/lanes.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// resizeEvery is the time between two sizings of the lanes.
-	resizeEvery = time.Second
-	// longestPrompt is enough for the users' longest prompts, in tokens; lanes hold at least one.
-	longestPrompt = 1_000_000
+	// laneResizeInterval is the least time between two adjustments of the number of lanes.
+	laneResizeInterval = time.Second
+	// longestPromptTokens is at least the length of the users' longest prompts. The lanes together can hold one.
+	longestPromptTokens = 1_000_000
 )
 
-// demanded counts a long prompt's engine time into the lanes' demand.
-func (m *model) demanded(r *admit.Request, p *pooled) {
+// recordDemand adds a long prompt's engine time to the demand for lanes: its prefill at the fastest engine's rate, and
+// its expected decoding weighted by the share of an engine's memory that it occupies.
+func (m *model) recordDemand(r *admit.Request, p *modelPool) {
 	rate := int64(0)
 	for _, c := range p.pool.All {
 		rate = max(rate, c.PrefillRate())
@@ -28,30 +29,33 @@
 	m.demand.Add(seconds+r.DecodeTime.Seconds()*share, m.router.now())
 }
 
-// reported is called after each load report: it sizes the lanes when that is due, and wakes the queues.
-func (m *model) reported() {
+// onLoadReport is called after each load report. It adjusts the number of lanes if that is due and processes the
+// queues.
+func (m *model) onLoadReport() {
 	now := m.router.now()
-	if last := m.resized.Load(); now.Sub(decide.Instant(last)) >= resizeEvery || last == 0 {
-		if m.resized.CompareAndSwap(last, max(int64(now), 1)) {
-			m.resize(now)
+	if last := m.resizedAt.Load(); now.Sub(decide.Instant(last)) >= laneResizeInterval || last == 0 {
+		if m.resizedAt.CompareAndSwap(last, max(int64(now), 1)) {
+			m.resizeLanes(now)
 		}
 	}
-	m.wake()
+	m.wakeQueues()
 }
 
-func (m *model) resize(now decide.Instant) {
-	s := m.router.scene()
+// resizeLanes sets the number of lanes from the measured demand of all instances, taken as this instance's demand times
+// their number.
+func (m *model) resizeLanes(now decide.Instant) {
+	s := m.router.state()
 	p := m.pool(s.view)
 	m.mu.Lock()
-	m.sizer.MinLanes = min(leastLanes(p.pool.EngineMemory), p.size)
-	size, reason := m.sizer.Resize(m.demand.BusyEngines(now)*float64(s.entries), p.size, now)
+	m.sizer.MinLanes = min(minLanes(p.pool.EngineMemory), p.engineCount)
+	size, reason := m.sizer.Resize(m.demand.BusyEngines(now)*float64(s.instances), p.engineCount, now)
 	m.mu.Unlock()
 	if int64(size) == m.lanes.Swap(int64(size)) {
 		return
 	}
-	m.router.meter.lanes(m.name, size)
-	m.router.explain.Record("lanes", m.name, reason, "lanes", size, "engines", p.size)
+	m.router.meter.setLanes(m.name, size)
+	m.router.explain.Record("lanes", m.name, reason, "lanes", size, "engines", p.engineCount)
 }
 
-// leastLanes is enough engines for the longest prompt.
-func leastLanes(memory int64) int { return int(longestPrompt/max(memory, 1)) + 1 }
+// minLanes returns a number of engines that can hold the longest prompt, given the memory of one in tokens.
+func minLanes(memory int64) int { return int(longestPromptTokens/max(memory, 1)) + 1 }
--- a/internal/route/meter.go
+++ b/internal/route/meter.go
@@ -13,58 +13,59 @@
 	"github.com/damaskshelf/damaskshelf/internal/metrics"
 )
 
-// counted is the label pair of one counter.
-type counted struct {
+// decisionLabels are the labels of one counter of decisions.
+type decisionLabels struct {
 	verb   string
 	reason decide.Reason
 }
 
-// meter holds the router's metrics. Counters are made beforehand, since looking one up takes a lock.
+// meter holds the router's metrics. The counters are created in advance because the registry takes a lock to look one
+// up.
 type meter struct {
-	registry      *metrics.Registry
-	decisions     map[counted]gometrics.Counter // not changed after newMeter
-	waits         [cost.ClassCount]gometrics.Gauge
-	cacheMissed   gometrics.Counter
-	reportsMissed gometrics.Counter
+	registry          *metrics.Registry
+	decisions         map[decisionLabels]gometrics.Counter // not changed after newMeter
+	waitEstimates     [cost.ClassCount]gometrics.Gauge
+	cacheEventsMissed gometrics.Counter
+	loadReportsMissed gometrics.Counter
 }
 
 func newMeter(r *metrics.Registry) *meter {
 	m := &meter{
-		registry:      r,
-		decisions:     map[counted]gometrics.Counter{},
-		cacheMissed:   r.Counter("route_cache_events_missed"),
-		reportsMissed: r.Counter("route_load_reports_missed"),
+		registry:          r,
+		decisions:         map[decisionLabels]gometrics.Counter{},
+		cacheEventsMissed: r.Counter("route_cache_events_missed"),
+		loadReportsMissed: r.Counter("route_load_reports_missed"),
 	}
 	add := func(verb string, reasons ...decide.Reason) {
 		for _, reason := range reasons {
-			m.decisions[counted{verb, reason}] = r.Counter("route_decisions", "verb", verb, "reason", string(reason))
+			m.decisions[decisionLabels{verb, reason}] = r.Counter("route_decisions", "verb", verb, "reason", string(reason))
 		}
 	}
 	for _, verb := range []string{"dispatch", "queue", "refuse"} {
 		add(verb, admit.Reasons...)
 	}
-	add("refuse", limit.OverLimit, leftReason)
+	add("refuse", limit.OverLimit, reasonLeftWaiting)
 	add("hold", reserve.Reasons...)
-	for c := range m.waits {
-		m.waits[c] = r.Gauge("route_wait_estimate_ms", "class", cost.Class(c).String())
+	for c := range m.waitEstimates {
+		m.waitEstimates[c] = r.Gauge("route_wait_estimate_ms", "class", cost.Class(c).String())
 	}
 	return m
 }
 
-// count counts a decision by verb and reason.
-func (m *meter) count(verb string, reason decide.Reason) {
-	if c := m.decisions[counted{verb, reason}]; c != nil {
+// countDecision counts a decision by verb and reason.
+func (m *meter) countDecision(verb string, reason decide.Reason) {
+	if c := m.decisions[decisionLabels{verb, reason}]; c != nil {
 		c.Inc(1)
 	}
 }
 
-// waitEstimate keeps the last estimate given to a request that waits.
-func (m *meter) waitEstimate(class cost.Class, wait time.Duration) {
-	m.waits[class].Update(wait.Milliseconds())
+// setWaitEstimate sets a class's gauge to the latest estimate of a queued request's wait.
+func (m *meter) setWaitEstimate(class cost.Class, wait time.Duration) {
+	m.waitEstimates[class].Update(wait.Milliseconds())
 }
 
-// queues shows a model's queue lengths.
-func (m *meter) queues(model *model) {
+// setQueueLengths sets the gauges of a model's queue lengths.
+func (m *meter) setQueueLengths(model *model) {
 	for _, c := range []cost.Class{cost.Short, cost.Medium, cost.Long} {
 		name := c.String()
 		if c == cost.Long {
@@ -74,7 +75,7 @@
 	}
 }
 
-// lanes shows a model's long lanes.
-func (m *meter) lanes(model string, n int) {
+// setLanes sets the gauge of a model's number of long lanes.
+func (m *meter) setLanes(model string, n int) {
 	m.registry.Gauge("route_lanes", "model", model).Update(int64(n))
 }
--- a/internal/route/model.go
+++ b/internal/route/model.go
@@ -18,25 +18,27 @@
 )
 
 const (
-	// firstPace is expected for each token that an answer may have, until answers have shown more. It is
-	// low, so that nothing is refused for an answer's length before that is known.
-	firstPace = time.Millisecond
-	// paceWeight is the weight of one answer in the pace.
-	paceWeight = 0.05
-	// placeTries bounds how often a request asks again because its engine's place was taken meanwhile.
-	placeTries  = 3
+	// initialTimePerToken is the answer time assumed for each allowed answer token until answers have been observed.
+	// It is low, so that no request is refused for the length of its answer before that length is known.
+	initialTimePerToken = time.Millisecond
+	// timePerTokenWeight is the weight of the latest answer in the moving average of times per token.
+	timePerTokenWeight = 0.05
+	// maxGrantAttempts bounds how often a request is admitted. It is admitted again when the chosen engine has become
+	// unavailable or has reached its limit before the grant.
+	maxGrantAttempts = 3
+	// maxPriority is the highest priority that an engine accepts; the lowest is -maxPriority.
 	maxPriority = 10
 )
 
 // model is the routing state of one model.
 type model struct {
-	router  *Router
-	name    string
-	gate    *admit.Gate
-	current atomic.Pointer[pooled]
-	lanes   atomic.Int64
-	resized atomic.Int64 // when, as an Instant
-	pace    atomic.Int64 // expected time for each token that an answer may have, in nanoseconds
+	router       *Router
+	name         string
+	gate         *admit.Gate
+	currentPool  atomic.Pointer[modelPool]
+	lanes        atomic.Int64 // number of lanes
+	resizedAt    atomic.Int64 // Instant of the last resizeLanes; 0: none yet
+	timePerToken atomic.Int64 // expected answer time for each allowed answer token, in nanoseconds
 
 	mu      sync.Mutex
 	waiters map[*admit.Request]*waiter // guarded by mu
@@ -44,283 +46,305 @@
 	sizer   lane.Sizer                 // guarded by mu
 }
 
-// waiter is a request that waits for a decision.
+// waiter is a queued request that waits for a decision.
 type waiter struct {
 	decision chan admit.Decision // buffered: a decision is delivered under the model's mutex
 }
 
 func newModel(r *Router, name string) *model {
 	m := &model{router: r, name: name, waiters: map[*admit.Request]*waiter{}}
-	m.gate = admit.NewGate(&r.profile, pick.Default(m.open()), r.limits.QueueLength)
-	m.pace.Store(int64(firstPace))
+	m.gate = admit.NewGate(&r.profile, pick.Default(m.gateFilter()), r.limits.QueueLength)
+	m.timePerToken.Store(int64(initialTimePerToken))
 	m.sizer = lane.Sizer{Headroom: r.profile.Headroom, MaxShare: r.profile.MaxLaneShare}
 	return m
 }
 
-// open keeps engines at their own limit (cold ones) out of the choice.
-func (m *model) open() pick.Filter {
+// gateFilter returns a filter that removes engines at the limit of the router's Gate, for example cold ones.
+func (m *model) gateFilter() pick.Filter {
 	return pick.Filter{Reason: pick.RejectedByGate, Keep: func(_ *pick.Query, c *pick.Candidate) bool {
-		u := m.current.Load().view.Upstream(c.ID)
+		u := m.currentPool.Load().view.Upstream(c.ID)
 		return u != nil && m.router.gate.HasCapacity(u)
 	}}
 }
 
-func (m *model) world(s *scene) (*admit.View, *pooled) {
+// admitView returns what the gate needs to decide now, and the pool that it contains.
+func (m *model) admitView(s *routingState) (*admit.View, *modelPool) {
 	p := m.pool(s.view)
-	return &admit.View{Pool: p.pool, Instances: s.entries, Now: m.router.now(), Rand: shared{}}, p
+	return &admit.View{Pool: p.pool, Instances: s.instances, Now: m.router.now(), Rand: sharedRand{}}, p
 }
 
-// ask is one request's way through the model's gate.
-type ask struct {
-	m     *model
-	scene *scene
-	q     *Request
-	r     *admit.Request
-	held  *hold // memory reserved for it, until its grant has it
+// admission carries one request through the model's gate.
+type admission struct {
+	model        *model
+	state        *routingState
+	request      *Request
+	admitRequest *admit.Request
+	reservations *reservations // memory reserved for the request, until its grant owns them
 }
 
-func (m *model) acquire(ctx context.Context, s *scene, q *Request) (*Grant, error) {
-	w, p := m.world(s)
-	a := &ask{m: m, scene: s, q: q, r: m.request(s, p, q, w.Now)}
-	if a.r.Class.UsesLanes() {
-		m.demanded(a.r, p)
+// acquire admits a prompt and returns its grant. It blocks while the prompt is queued.
+func (m *model) acquire(ctx context.Context, s *routingState, q *Request) (*Grant, error) {
+	view, p := m.admitView(s)
+	a := &admission{model: m, state: s, request: q, admitRequest: m.newAdmitRequest(s, p, q, view.Now)}
+	if a.admitRequest.Class.UsesLanes() {
+		m.recordDemand(a.admitRequest, p)
 	}
-	for range placeTries {
-		d, ok := m.gate.TryDispatch(a.r, w)
+	for range maxGrantAttempts {
+		d, ok := m.gate.TryDispatch(a.admitRequest, view)
 		if !ok {
 			var err error
-			if d, err = a.slow(ctx, w); err != nil {
+			if d, err = a.enqueue(ctx, view); err != nil {
 				return nil, err
 			}
 		}
 		if d.Verb == admit.Refuse {
-			return nil, a.refused(&d)
+			return nil, a.refusalError(&d)
 		}
 		if g, err := a.grant(&d); g != nil || err != nil {
 			return g, err
 		}
-		w, _ = m.world(m.router.scene()) // its place at the engine was taken meanwhile
+		view, _ = m.admitView(m.router.state()) // the engine became unavailable before the grant
 	}
 	return nil, fault.New(fault.NoUpstream, "all engines of %q are at their limit", m.name)
 }
 
-// answered learns from an answer how long one takes for each token that it may have.
-func (m *model) answered(took time.Duration, maxTokens int) {
-	old := m.pace.Load()
-	seen := float64(took) / float64(max(maxTokens, 1))
-	m.pace.CompareAndSwap(old, old+int64(paceWeight*(seen-float64(old))))
+// updateTimePerToken adds an answer to the moving average of answer times per allowed token. A sample is dropped if
+// another is added at the same time.
+func (m *model) updateTimePerToken(took time.Duration, maxTokens int) {
+	old := m.timePerToken.Load()
+	sample := float64(took) / float64(max(maxTokens, 1))
+	m.timePerToken.CompareAndSwap(old, old+int64(timePerTokenWeight*(sample-float64(old))))
 }
 
-func (m *model) request(s *scene, p *pooled, q *Request, now decide.Instant) *admit.Request {
+// newAdmitRequest returns the request as the gate needs it.
+func (m *model) newAdmitRequest(s *routingState, pool *modelPool, q *Request, now decide.Instant) *admit.Request {
 	r := &admit.Request{
-		ID: q.ID, Workspace: q.Workspace, Weight: s.spaces[q.Workspace].Weight,
+		ID: q.ID, Workspace: q.Workspace, Weight: s.workspaces[q.Workspace].Weight,
 		Prompt:  cost.Prompt{Tokens: q.PromptTokens, MaxAnswerTokens: q.MaxAnswerTokens, Blocks: q.Blocks},
-		Class:   cost.ClassOf(q.PromptTokens, q.MaxAnswerTokens, p.pool.EngineMemory),
+		Class:   cost.ClassOf(q.PromptTokens, q.MaxAnswerTokens, pool.pool.EngineMemory),
 		Arrived: now, Deadline: m.router.instant(q.Deadline),
-		DecodeTime: time.Duration(q.MaxAnswerTokens) * time.Duration(m.pace.Load()), Exclude: q.Exclude,
+		DecodeTime: time.Duration(q.MaxAnswerTokens) * time.Duration(m.timePerToken.Load()), Exclude: q.Exclude,
 	}
-	if len(q.Exclude) >= p.size {
-		r.Exclude = nil // all were tried: better one of them than none
+	if len(q.Exclude) >= pool.engineCount {
+		r.Exclude = nil // every engine was tried before, so any of them may be tried again
 	}
 	return r
 }
 
-// slow offers the request under the mutex and waits as long as the gate says so.
-func (a *ask) slow(ctx context.Context, w *admit.View) (admit.Decision, error) {
-	m := a.m
-	wait := &waiter{decision: make(chan admit.Decision, 1)}
+// enqueue offers the request to the gate under the mutex. While the gate keeps it queued, enqueue waits; it makes the
+// reservations that the gate asks for. The decision that it returns is to dispatch or to refuse.
+func (a *admission) enqueue(ctx context.Context, view *admit.View) (admit.Decision, error) {
+	m := a.model
+	pending := &waiter{decision: make(chan admit.Decision, 1)}
 	m.mu.Lock()
-	d := m.gate.Admit(a.r, w)
-	if d.Request != a.r { // another request was pushed out for this one
+	d := m.gate.Admit(a.admitRequest, view)
+	if d.Request != a.admitRequest { // another request was evicted for this one
 		m.deliver(d)
-		d = admit.Decision{Verb: admit.Enqueue, Request: a.r, Reason: admit.BehindOthers}
+		d = admit.Decision{Verb: admit.Enqueue, Request: a.admitRequest, Reason: admit.BehindOthers}
 	}
 	if d.Verb == admit.Enqueue {
-		m.waiters[a.r] = wait
+		m.waiters[a.admitRequest] = pending
 	}
 	m.mu.Unlock()
 	for {
 		switch d.Verb {
 		case admit.Enqueue:
-			a.queued(&d)
+			a.logQueued(&d)
 			var err error
-			if d, err = a.wait(ctx, wait); err != nil {
+			if d, err = a.await(ctx, pending); err != nil {
 				return d, err
 			}
 		case admit.Reserve:
-			d = a.reserve(ctx, d.Plan, wait)
+			d = a.reserve(ctx, d.Plan, pending)
 		default:
 			return d, nil
 		}
 	}
 }
 
-// wait blocks until the gate has decided. At the request's latest start the gate is woken, so that a
-// request that can't finish any more is answered then and not later.
-func (a *ask) wait(ctx context.Context, wait *waiter) (admit.Decision, error) {
-	late := time.NewTimer(a.r.LatestStart().Sub(a.m.router.now()) + time.Millisecond)
-	defer late.Stop()
+// await blocks until the gate has decided. It processes the queues at the request's latest start, so that a request
+// that can no longer finish by its deadline is refused then.
+func (a *admission) await(ctx context.Context, pending *waiter) (admit.Decision, error) {
+	expiry := time.NewTimer(a.admitRequest.LatestStart().Sub(a.model.router.now()) + time.Millisecond)
+	defer expiry.Stop()
 	for {
 		select {
-		case d := <-wait.decision:
+		case d := <-pending.decision:
 			return d, nil
-		case <-late.C:
-			a.m.wake()
+		case <-expiry.C:
+			a.model.wakeQueues()
 		case <-ctx.Done():
-			return a.leave(ctx, wait)
+			return a.cancel(ctx, pending)
 		}
 	}
 }
 
-// leave takes a request out whose caller went away or whose time ended. It has not run.
-func (a *ask) leave(ctx context.Context, wait *waiter) (admit.Decision, error) {
-	a.m.mu.Lock()
-	waiting := a.m.gate.Cancel(a.r.ID)
-	delete(a.m.waiters, a.r)
-	a.m.mu.Unlock()
-	if !waiting { // decided in the same moment
-		return <-wait.decision, nil
+// cancel removes a request from its queue after the caller disconnected or the deadline passed. The request has not
+// run. If the gate has decided already, cancel returns that decision.
+func (a *admission) cancel(ctx context.Context, pending *waiter) (admit.Decision, error) {
+	a.model.mu.Lock()
+	wasQueued := a.model.gate.Cancel(a.admitRequest.ID)
+	delete(a.model.waiters, a.admitRequest)
+	a.model.mu.Unlock()
+	if !wasQueued { // the gate decided before the cancellation
+		return <-pending.decision, nil
 	}
-	a.m.router.record("refuse", a.q, leftReason, "class", a.r.Class, "error", context.Cause(ctx))
-	a.m.router.meter.count("refuse", leftReason)
+	a.model.router.recordDecision("refuse", a.request, reasonLeftWaiting,
+		"class", a.admitRequest.Class, "error", context.Cause(ctx))
+	a.model.router.meter.countDecision("refuse", reasonLeftWaiting)
 	kind := fault.DeadlineExceeded
 	if ctx.Err() == context.Canceled {
 		kind = fault.CallerGone
 	}
-	return admit.Decision{}, fault.New(kind, "while it waited for an engine")
+	return admit.Decision{}, fault.New(kind, "request ended while queued for an engine")
 }
 
-// leftReason: the caller went away, or the request's time ended, while it waited.
-const leftReason decide.Reason = "left_waiting"
+// reasonLeftWaiting is the reason for a refusal because the caller disconnected, or the deadline passed, while the
+// request was queued.
+const reasonLeftWaiting decide.Reason = "left_waiting"
 
-// reserve holds the plan's memory and feeds the outcome back.
-func (a *ask) reserve(ctx context.Context, plan pick.Plan, wait *waiter) admit.Decision {
-	h := a.hold(&plan)
-	granted := h.acquire(ctx)
-	a.m.mu.Lock()
-	defer a.m.mu.Unlock()
-	w, _ := a.m.world(a.m.router.scene())
-	d := a.m.gate.ReservationResult(a.r, &plan, granted, w)
+// reserve reserves the plan's memory and returns the gate's decision on the outcome. A request whose reservations
+// failed is queued again, or refused if it can no longer finish by its deadline.
+func (a *admission) reserve(ctx context.Context, plan pick.Plan, pending *waiter) admit.Decision {
+	rs := a.newReservations(&plan)
+	granted := rs.acquireAll(ctx)
+	a.model.mu.Lock()
+	defer a.model.mu.Unlock()
+	view, _ := a.model.admitView(a.model.router.state())
+	d := a.model.gate.ReservationResult(a.admitRequest, &plan, granted, view)
 	if d.Verb == admit.Enqueue {
-		a.m.waiters[a.r] = wait
+		a.model.waiters[a.admitRequest] = pending
 	}
 	if granted {
-		a.held = h
+		a.reservations = rs
 	}
 	return d
 }
 
-// wake lets the gate decide for those that wait. A request's path comes here only after its end.
-func (m *model) wake() {
-	if m.waiting() == 0 {
+// wakeQueues lets the gate decide about the queued requests and delivers its decisions. It locks the mutex only if any
+// are queued. A request that isn't queued calls it only after its end.
+func (m *model) wakeQueues() {
+	if m.queueLength() == 0 {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	w, _ := m.world(m.router.scene())
-	for _, d := range m.gate.ProcessQueues(w, nil) {
+	view, _ := m.admitView(m.router.state())
+	for _, d := range m.gate.ProcessQueues(view, nil) {
 		m.deliver(d)
 	}
-	m.router.meter.queues(m)
+	m.router.meter.setQueueLengths(m)
 }
 
-func (m *model) waiting() int {
+// queueLength returns the number of queued requests of all classes.
+func (m *model) queueLength() int {
 	return m.gate.QueueLength(cost.Short) + m.gate.QueueLength(cost.Medium) + m.gate.QueueLength(cost.Long)
 }
 
-// deliver hands a decision to the request that waits for it; mu is held.
+// deliver sends a decision to the request that waits for it. The caller holds mu.
 func (m *model) deliver(d admit.Decision) {
-	if wait := m.waiters[d.Request]; wait != nil {
+	if pending := m.waiters[d.Request]; pending != nil {
 		delete(m.waiters, d.Request)
-		wait.decision <- d
+		pending.decision <- d
 	}
 }
 
-// queued logs that the request waits.
-func (a *ask) queued(d *admit.Decision) {
-	a.m.router.record("queue", a.q, d.Reason, "model", a.m.name, "class", a.r.Class, "ahead", d.OthersQueued, "wait", d.EstimatedWait)
-	a.m.router.meter.count("queue", d.Reason)
-	a.m.router.meter.waitEstimate(a.r.Class, d.EstimatedWait)
-	a.m.router.meter.queues(a.m)
+// logQueued logs and counts that the request is queued.
+func (a *admission) logQueued(d *admit.Decision) {
+	a.model.router.recordDecision("queue", a.request, d.Reason, "model", a.model.name, "class", a.admitRequest.Class,
+		"ahead", d.OthersQueued, "wait", d.EstimatedWait)
+	a.model.router.meter.countDecision("queue", d.Reason)
+	a.model.router.meter.setWaitEstimate(a.admitRequest.Class, d.EstimatedWait)
+	a.model.router.meter.setQueueLengths(a.model)
 }
 
-// refused gives the answer to a request that is given up on, at once and with when to come back.
-func (a *ask) refused(d *admit.Decision) error {
-	a.m.router.record("refuse", a.q, d.Reason, "model", a.m.name, "class", a.r.Class, "kind", d.Kind, "retry_after", d.RetryAfter)
-	a.m.router.meter.count("refuse", d.Reason)
-	e := fault.New(d.Kind, "%s prompt of %d tokens: %s", a.r.Class, a.q.PromptTokens, d.Reason)
-	e.RetryAfter = d.RetryAfter
-	return e
+// refusalError logs a refusal and returns its error, which tells the caller when to retry.
+func (a *admission) refusalError(d *admit.Decision) error {
+	a.model.router.recordDecision("refuse", a.request, d.Reason, "model", a.model.name, "class", a.admitRequest.Class,
+		"kind", d.Kind, "retry_after", d.RetryAfter)
+	a.model.router.meter.countDecision("refuse", d.Reason)
+	err := fault.New(d.Kind, "%s prompt of %d tokens: %s", a.admitRequest.Class, a.request.PromptTokens, d.Reason)
+	err.RetryAfter = d.RetryAfter
+	return err
 }
 
-// grant turns a decision into the right to dispatch; nil where the engine is leaving, out or at its own
-// limit by now. The instance itself may have become unfit while the request waited.
-func (a *ask) grant(d *admit.Decision) (*Grant, error) {
-	m := a.m
-	g := &Grant{Reason: d.Reason, Priority: a.priority(), router: m.router, model: m, class: a.r.Class, answer: a.q.MaxAnswerTokens}
+// grant returns the grant for a decision to dispatch. It returns nil without an error if the engine is leaving, out of
+// service or at its limit by now. It returns an error if the instance has become unusable while the request was queued.
+func (a *admission) grant(d *admit.Decision) (*Grant, error) {
+	m := a.model
+	g := &Grant{
+		Reason: d.Reason, Priority: a.priority(), router: m.router, model: m, class: a.admitRequest.Class,
+		maxAnswerTokens: a.request.MaxAnswerTokens,
+	}
 	estimate := d.Choice.Estimate
 	if len(d.Plan.Parts) > 0 {
-		g.lead(a, d)
+		g.assignGroup(a, d)
 		estimate = d.Plan.Estimate
 	} else {
 		g.Upstream = a.upstream(d.Choice.Engine.ID)
-		g.sent = []sentTo{{d.Choice.Engine, int64(estimate.Cost), a.r.Prompt.MemoryTokens()}}
+		g.recorded = []recordedWork{{d.Choice.Engine, int64(estimate.Cost), a.admitRequest.Prompt.MemoryTokens()}}
 	}
-	if err := m.router.usable(); err != nil {
-		g.undo()
+	if err := m.router.checkUsable(); err != nil {
+		g.rollback()
 		return nil, err
 	}
-	// Read again: the instance may have been paused since the choice, and others of its goroutines may have
-	// made it usable anew, by a view that has the engine's failure domain out.
-	g.Upstream = m.router.newest(g.Upstream)
+	// Look the engine up again. If the instance was paused since the choice, another goroutine may have made it usable
+	// again with a view in which the engine's failure domain is out of service.
+	g.Upstream = m.router.latest(g.Upstream)
 	if g.Upstream == nil || !g.Upstream.Takes() || !m.router.gate.Acquire(g.Upstream) {
-		g.undo()
+		g.rollback()
 		return nil, nil
 	}
 	g.load = m.router.load(g.Upstream.ID)
-	g.load.own.Add(1)
-	m.router.meter.count("dispatch", d.Reason)
-	m.router.record("route", a.q, d.Reason, "upstream", g.Upstream.ID, "failure_domain", g.Upstream.Domain,
-		"class", a.r.Class, "attempt", a.q.Attempt, "tokens", a.q.PromptTokens, "to_compute", estimate.Cost,
-		"predicted", estimate.FirstToken.Round(time.Millisecond), "looked", d.Choice.Scored, "group", g.Group)
+	g.load.inFlight.Add(1)
+	m.router.meter.countDecision("dispatch", d.Reason)
+	m.router.recordDecision("route", a.request, d.Reason, "upstream", g.Upstream.ID, "failure_domain", g.Upstream.Domain,
+		"class", a.admitRequest.Class, "attempt", a.request.Attempt, "tokens", a.request.PromptTokens,
+		"to_compute", estimate.Cost, "predicted", estimate.FirstToken.Round(time.Millisecond), "looked", d.Choice.Scored,
+		"group", g.Group)
 	return g, nil
 }
 
-// lead makes the first engine of a plan the one that gets the request; the others hold parts of it.
-func (g *Grant) lead(a *ask, d *admit.Decision) {
-	g.hold, a.held = a.held, nil
+// assignGroup makes the first engine of a plan the one that receives the request. The others hold parts of its memory.
+// The grant takes over the reservations.
+func (g *Grant) assignGroup(a *admission, d *admit.Decision) {
+	g.reservations, a.reservations = a.reservations, nil
 	g.Upstream = a.upstream(d.Plan.Parts[0].Engine.ID)
-	g.Reservation = g.hold.id(d.Plan.Parts[0].Engine.ID)
+	g.Reservation = g.reservations.idOn(d.Plan.Parts[0].Engine.ID)
 	var others []string
 	for i, p := range d.Plan.Parts {
-		g.sent = append(g.sent, sentTo{p.Engine, p.Tokens, p.Tokens})
+		g.recorded = append(g.recorded, recordedWork{p.Engine, p.Tokens, p.Tokens})
 		if u := a.upstream(p.Engine.ID); i > 0 && u != nil {
-			others = append(others, fmt.Sprintf("%s@%s", g.hold.id(p.Engine.ID), u.Addr))
+			others = append(others, fmt.Sprintf("%s@%s", g.reservations.idOn(p.Engine.ID), u.Addr))
 		}
 	}
 	g.Group = strings.Join(others, ",")
 }
 
-// undo takes back what a grant that comes to nothing noted.
-func (g *Grant) undo() {
-	g.free()
-	if g.hold != nil {
-		g.hold.end()
+// rollback removes the recorded work of a grant that is not issued, and releases its reservations.
+func (g *Grant) rollback() {
+	g.removeRecordedWork()
+	if g.reservations != nil {
+		g.reservations.releaseAll()
 	}
 }
 
-// newest gives the upstream as the published view shows it now; nil: it is gone.
-func (r *Router) newest(u *fleet.Upstream) *fleet.Upstream {
+// latest returns the upstream as the current view has it, or nil if it is no longer there.
+func (r *Router) latest(u *fleet.Upstream) *fleet.Upstream {
 	if u == nil {
 		return nil
 	}
 	return r.view().Upstream(u.ID)
 }
 
-func (a *ask) upstream(id fleet.UpstreamID) *fleet.Upstream { return a.m.router.view().Upstream(id) }
+// upstream returns an upstream as the current view has it, or nil.
+func (a *admission) upstream(id fleet.UpstreamID) *fleet.Upstream {
+	return a.model.router.view().Upstream(id)
+}
 
-// priority is the class's, moved by the caller's and the workspace's.
-func (a *ask) priority() int {
-	p := a.m.router.profile.Priority[a.r.Class] + a.q.Priority + a.scene.spaces[a.q.Workspace].Priority
+// priority returns the sum of the priorities of class, caller and workspace, limited to the range that engines accept.
+func (a *admission) priority() int {
+	p := a.model.router.profile.Priority[a.admitRequest.Class] + a.request.Priority +
+		a.state.workspaces[a.request.Workspace].Priority
 	return min(max(p, -maxPriority), maxPriority)
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,6 +1,8 @@
-// Package route gives a request its upstream: the shell of admission, choice, lanes, limits and
-// reservations. A prompt that need not wait is decided on the published view and atomic counters alone;
-// one that waits, and one for the lanes, goes through its model's queues under a mutex.
+// Package route chooses the upstream of a request. It runs the decisions on admission, engines, lanes, limits and
+// reservations that packages below internal/decide make, and does their input and output.
+//
+// A prompt that needn't wait is decided from the published view and atomic counters alone. A prompt that waits, or that
+// is restricted to the long lanes, goes through its model's queues under a mutex.
 package route
 
 import (
@@ -26,31 +28,32 @@
 	"github.com/damaskshelf/damaskshelf/internal/wait"
 )
 
-// regainPoll is the time between two looks at whether the instance is usable again.
-const regainPoll = 10 * time.Millisecond
+// regainPollInterval is the time between two checks whether the instance is usable again.
+const regainPollInterval = 10 * time.Millisecond
 
-// Memory holds and frees memory on engines; upstream.Client does.
+// Memory reserves and releases memory on engines. upstream.Client implements it.
 type Memory interface {
 	Reserve(ctx context.Context, addr string, r wire.Reservation) error
 	Release(ctx context.Context, addr, id string) error
 }
 
-// Deps are what a Router needs.
+// Deps are the dependencies of a Router.
 type Deps struct {
 	View     func() *fleet.View
 	Explain  *explain.Recorder
 	Metrics  *metrics.Registry
 	Memory   Memory
 	Settings api.Settings
-	Gate     Gate // nil: no limits for single upstreams
+	Gate     Gate // nil: upstreams have no limits
 }
 
 // Router chooses upstreams. It is safe for concurrent use.
 type Router struct {
-	// Usable gives nil, or why this instance may not send new work now; nil: it always may. It is asked
-	// last, right before the grant: a request may have waited.
+	// CheckUsable returns an error if this instance may not dispatch new work now. If it is nil, the instance always
+	// may. For a prompt it is called right before the grant, because the prompt may have been queued for some time.
 	CheckUsable func() error
-	// Regaining tells whether an instance that is not usable is likely to be so again in a moment; nil: never.
+	// RegainingTrust reports whether an instance that isn't usable is likely to be usable again shortly. If it is nil,
+	// the instance never is.
 	RegainingTrust func() bool
 
 	view    func() *fleet.View
@@ -63,15 +66,15 @@
 	self    holder
 	start   time.Time
 
-	current atomic.Pointer[scene]
-	loads   sync.Map // fleet.UpstreamID to *load
-	engines sync.Map // fleet.UpstreamID to *pick.Engine
-	models  sync.Map // string to *model
-	spaces  sync.Map // fleet.WorkspaceID to *limit.InFlight
-	holds   sync.WaitGroup
+	currentState atomic.Pointer[routingState]
+	loads        sync.Map       // fleet.UpstreamID to *load
+	engines      sync.Map       // fleet.UpstreamID to *pick.Engine
+	models       sync.Map       // string to *model
+	workspaces   sync.Map       // fleet.WorkspaceID to *limit.InFlight
+	unreleased   sync.WaitGroup // requests whose reservations are not all released
 }
 
-// New gives a Router over the published view.
+// New returns a Router that reads the published view.
 func New(d Deps) *Router {
 	r := &Router{
 		view: d.View, explain: d.Explain, meter: newMeter(d.Metrics), memory: d.Memory, gate: d.Gate,
@@ -79,19 +82,19 @@
 		self: holder{instance: d.Settings.Instance, incarnation: uuid.NewString()},
 	}
 	if r.gate == nil {
-		r.gate = openGate{}
+		r.gate = unlimitedGate{}
 	}
 	return r
 }
 
-// Incarnation names this life of the instance in its reservations.
+// Incarnation returns the id of this run of the instance's process, as its reservations hold it.
 func (r *Router) Incarnation() string { return r.self.incarnation }
 
-// Wait returns when all reservations that were ended are released, or ctx ends.
+// AwaitReleases waits until all reservations are released. It returns the error of ctx if ctx ends first.
 func (r *Router) AwaitReleases(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
-		r.holds.Wait()
+		r.unreleased.Wait()
 		close(done)
 	}()
 	select {
@@ -102,24 +105,26 @@
 	}
 }
 
-// usable tells why this instance may not send new work now; nil where it may.
-func (r *Router) usable() error {
+// checkUsable returns an error if this instance may not dispatch new work now.
+func (r *Router) checkUsable() error {
 	if r.CheckUsable == nil {
 		return nil
 	}
 	return r.CheckUsable()
 }
 
-// now is the instant by the monotonic clock.
+// now returns the current instant of the monotonic clock.
 func (r *Router) now() decide.Instant { return r.instant(time.Now()) }
 
+// instant returns t as the time since the router's creation.
 func (r *Router) instant(t time.Time) decide.Instant { return decide.Instant(t.Sub(r.start)) }
 
-// shared is the random source of decisions; the generator behind it is safe for concurrent use.
-type shared struct{}
+// sharedRand is the random source of decisions. The generator behind it is safe for concurrent use.
+type sharedRand struct{}
 
-func (shared) Uint64() uint64 { return rand.Uint64() }
+func (sharedRand) Uint64() uint64 { return rand.Uint64() }
 
+// load returns the counter of an upstream and creates it if needed.
 func (r *Router) load(id fleet.UpstreamID) *load {
 	if l, ok := r.loads.Load(id); ok {
 		return l.(*load)
@@ -128,6 +133,7 @@
 	return l.(*load)
 }
 
+// engine returns the record of an engine's load and cache and creates it if needed.
 func (r *Router) engine(u *fleet.Upstream) *pick.Engine {
 	if e, ok := r.engines.Load(u.ID); ok {
 		return e.(*pick.Engine)
@@ -136,6 +142,7 @@
 	return e.(*pick.Engine)
 }
 
+// model returns the routing state of a model and creates it if needed.
 func (r *Router) model(name string) *model {
 	if m, ok := r.models.Load(name); ok {
 		return m.(*model)
@@ -144,109 +151,116 @@
 	return m.(*model)
 }
 
-func (r *Router) space(id fleet.WorkspaceID) *limit.InFlight {
-	if f, ok := r.spaces.Load(id); ok {
+// workspaceInFlight returns the counter of a workspace's requests in flight and creates it if needed.
+func (r *Router) workspaceInFlight(id fleet.WorkspaceID) *limit.InFlight {
+	if f, ok := r.workspaces.Load(id); ok {
 		return f.(*limit.InFlight)
 	}
-	f, _ := r.spaces.LoadOrStore(id, &limit.InFlight{})
+	f, _ := r.workspaces.LoadOrStore(id, &limit.InFlight{})
 	return f.(*limit.InFlight)
 }
 
-// OnLoad takes an engine's load report; at is when its figures were true.
+// OnLoad applies an engine's load report, whose figures held at time at.
 func (r *Router) OnLoad(u *fleet.Upstream, l wire.LoadReport, at time.Time) {
 	l.AgeMs = 0
 	r.engine(u).UpdateReport(pick.NewReport(&l, r.instant(at)))
 	for _, name := range u.Models {
-		r.model(name).reported()
+		r.model(name).onLoadReport()
 	}
 }
 
-// OnCache takes an engine's cache events.
+// OnCache applies an engine's cache events.
 func (r *Router) OnCache(u *fleet.Upstream, e wire.CacheEvents) {
-	out := r.engine(u).Cache.Apply(&e, r.now())
-	if out.Missed > 0 {
-		r.meter.cacheMissed.Inc(int64(out.Missed))
+	result := r.engine(u).Cache.Apply(&e, r.now())
+	if result.Missed > 0 {
+		r.meter.cacheEventsMissed.Inc(int64(result.Missed))
 	}
 }
 
-// OnSilent takes note that an upstream did not report; its last report ages meanwhile.
-func (r *Router) OnSilent(*fleet.Upstream, error) { r.meter.reportsMissed.Inc(1) }
+// OnSilent counts a load report that an upstream failed to deliver. Its last report stays in use and ages.
+func (r *Router) OnSilent(*fleet.Upstream, error) { r.meter.loadReportsMissed.Inc(1) }
 
-// Acquire gives the upstream for q. A prompt that has to wait for one blocks until it is given up on, which
-// is answered at once by a *fault.Error that says "not run", or until ctx ends.
+// Acquire chooses an upstream for q and returns the grant to dispatch q to it. A prompt that has to wait blocks until
+// it gets an engine, is refused, or ctx ends. A refusal is returned as soon as it is decided, as a *fault.Error that
+// says that the request has not run.
 func (r *Router) Acquire(ctx context.Context, q Request) (*Grant, error) {
 	for {
 		g, err := r.acquire(ctx, &q)
-		if !r.regained(ctx, err) {
+		if !r.awaitTrust(ctx, err) {
 			return g, err
 		}
 	}
 }
 
-// regained waits while err ends soon by itself, and tells whether the instance is usable again. A choice is made anew
-// only then: each reserves memory on engines and counts in the lanes' demand.
-func (r *Router) regained(ctx context.Context, err error) bool {
-	for r.regains(err) && wait.For(ctx, regainPoll) {
-		if err = r.usable(); err == nil {
+// awaitTrust waits while the condition behind err is likely to end shortly, and reports whether the instance is usable
+// again. Acquire repeats its choice only then, because each choice reserves memory on engines and adds to the demand
+// for lanes.
+func (r *Router) awaitTrust(ctx context.Context, err error) bool {
+	for r.trustReturnsSoon(err) && wait.For(ctx, regainPollInterval) {
+		if err = r.checkUsable(); err == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// regains tells whether err ends soon by itself: right after a pause or a failure of the network everywhere, a
-// caller that waits is served sooner than one that is turned away.
-func (r *Router) regains(err error) bool {
+// trustReturnsSoon reports whether the condition behind err is likely to end shortly without action. Right after a
+// pause or a network failure that affects all instances, a caller that waits is served sooner than one that is refused.
+func (r *Router) trustReturnsSoon(err error) bool {
 	return fault.Is(err, fault.StaleInstance) && r.RegainingTrust != nil && r.RegainingTrust()
 }
 
+// acquire makes one attempt to choose an upstream for q.
 func (r *Router) acquire(ctx context.Context, q *Request) (*Grant, error) {
-	s := r.scene()
+	s := r.state()
 	if s.view.ConfigVersion == 0 {
 		return nil, fault.New(fault.NotReady, "no configuration yet")
 	}
 	if q.Service != "" {
-		return r.service(q)
+		return r.acquireService(q)
 	}
-	return r.prompt(ctx, s, q)
+	return r.acquirePrompt(ctx, s, q)
 }
 
-// prompt checks model and workspace, and lets the model's gate decide.
-func (r *Router) prompt(ctx context.Context, s *scene, q *Request) (*Grant, error) {
+// acquirePrompt checks the model and the workspace's limit, and passes the prompt to the model's gate.
+func (r *Router) acquirePrompt(ctx context.Context, s *routingState, q *Request) (*Grant, error) {
 	if len(s.view.Engines(q.Model)) == 0 {
-		return nil, noEngine(s.view, q)
+		return nil, noEngineError(s.view, q)
 	}
-	space := r.space(q.Workspace)
-	if !space.Acquire(r.share(s, q.Workspace)) {
-		r.record("refuse", q, limit.OverLimit, "in_flight", space.Count())
-		r.meter.count("refuse", limit.OverLimit)
-		return nil, fault.New(fault.WorkspaceLimit, "workspace %q has %d requests here", q.Workspace, space.Count())
+	inFlight := r.workspaceInFlight(q.Workspace)
+	if !inFlight.Acquire(r.workspaceShare(s, q.Workspace)) {
+		r.recordDecision("refuse", q, limit.OverLimit, "in_flight", inFlight.Count())
+		r.meter.countDecision("refuse", limit.OverLimit)
+		return nil, fault.New(fault.WorkspaceLimit, "workspace %q has %d requests in flight on this instance",
+			q.Workspace, inFlight.Count())
 	}
 	g, err := r.model(q.Model).acquire(ctx, s, q)
 	if err != nil {
-		space.Release()
+		inFlight.Release()
 		return nil, err
 	}
-	g.space = space
+	g.workspace = inFlight
 	return g, nil
 }
 
-func noEngine(v *fleet.View, q *Request) error {
+// noEngineError returns the error for a model without engines, which depends on whether the configuration has the
+// model.
+func noEngineError(v *fleet.View, q *Request) error {
 	if slices.ContainsFunc(v.Config.Intent.Models, func(m api.Model) bool { return m.Name == q.Model }) {
 		return fault.New(fault.NoUpstream, "no engine serves %q now", q.Model)
 	}
 	return fault.New(fault.UnknownModel, "model %q is not served", q.Model)
 }
 
-// share is how many of the workspace's requests this instance may have at once.
-func (r *Router) share(s *scene, id fleet.WorkspaceID) int {
-	if w, ok := s.spaces[id]; ok && w.MaxInFlight > 0 {
-		return limit.Share(w.MaxInFlight, s.entries)
+// workspaceShare returns how many requests of the workspace this instance may have in flight.
+func (r *Router) workspaceShare(s *routingState, id fleet.WorkspaceID) int {
+	if w, ok := s.workspaces[id]; ok && w.MaxInFlight > 0 {
+		return limit.Share(w.MaxInFlight, s.instances)
 	}
 	return r.limits.WorkspaceInFlight
 }
 
-// record logs one decision about a request.
-func (r *Router) record(kind string, q *Request, reason decide.Reason, fields ...any) {
+// recordDecision records one decision about a request.
+func (r *Router) recordDecision(kind string, q *Request, reason decide.Reason, fields ...any) {
 	r.explain.Record(kind, string(q.ID), reason, append(fields, "workspace", q.Workspace)...)
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -23,45 +23,52 @@
 )
 
 const (
-	memory = 400_000
-	rate   = 20_000
+	engineMemoryTokens = 400_000
+	prefillRate        = 20_000 // tokens per second
 )
 
-// bench is a router before n engines of model "m" that have just reported to be idle.
-type bench struct {
+// testbench is a router for n engines of model "m" that have just reported to be idle.
+type testbench struct {
 	*Router
-	view   *fleet.View // the first one
-	now    atomic.Pointer[fleet.View]
-	memory *fakeMemory
-	rec    *explain.Recorder
-	last   atomic.Int64
+	initial     *fleet.View // the first view
+	current     atomic.Pointer[fleet.View]
+	memory      *fakeMemory
+	recorder    *explain.Recorder
+	lastRequest atomic.Int64
 }
 
-func newBench(n int, gate Gate) *bench { return newBenchFor(api.ProfileShortFirst, n, gate) }
+func newTestbench(n int, gate Gate) *testbench {
+	return newTestbenchWithProfile(api.ProfileShortFirst, n, gate)
+}
 
-// newLongFirst is a bench whose engines put long prompts beside medium ones, so that the reported work
-// keeps a medium prompt waiting.
-func newLongFirst(n int) *bench { return newBenchFor(api.ProfileLongFirst, n, nil) }
+// newLongFirstTestbench returns a testbench whose engines run long prompts together with medium ones, so that reported
+// work keeps a medium prompt queued.
+func newLongFirstTestbench(n int) *testbench {
+	return newTestbenchWithProfile(api.ProfileLongFirst, n, nil)
+}
 
-func newBenchFor(profile string, n int, gate Gate) *bench {
-	b := &bench{memory: &fakeMemory{held: map[string]map[string]wire.Reservation{}}, rec: explain.New(hclog.NewNullLogger())}
+func newTestbenchWithProfile(profile string, n int, gate Gate) *testbench {
+	b := &testbench{
+		memory:   &fakeMemory{reservations: map[string]map[string]wire.Reservation{}},
+		recorder: explain.New(hclog.NewNullLogger()),
+	}
 	var engines []*fleet.Upstream
 	for i := range n {
 		engines = append(engines, &fleet.Upstream{
 			ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Addr: fmt.Sprintf("10.0.0.%d:80", i),
-			Domain: fleet.DomainID(fmt.Sprintf("d%d", i%3)), Models: []string{"m"}, Memory: memory,
+			Domain: fleet.DomainID(fmt.Sprintf("d%d", i%3)), Models: []string{"m"}, Memory: engineMemoryTokens,
 		})
 	}
 	cfg := api.Config{Intent: api.Intent{
 		Models:     []api.Model{{Name: "m"}},
 		Workspaces: []api.Workspace{{Name: "small", MaxInFlight: 2}},
 	}}
-	b.view = fleet.NewView(1, cfg, 1, []*fleet.Instance{{ID: "i"}}, engines)
-	b.now.Store(b.view)
+	b.initial = fleet.NewView(1, cfg, 1, []*fleet.Instance{{ID: "i"}}, engines)
+	b.current.Store(b.initial)
 	settings := api.Settings{Instance: "i", Profile: profile}
 	settings.ApplyDefaults()
 	b.Router = New(Deps{
-		View: b.now.Load, Explain: b.rec, Metrics: metrics.New(),
+		View: b.current.Load, Explain: b.recorder, Metrics: metrics.New(),
 		Memory: b.memory, Settings: settings, Gate: gate,
 	})
 	time.Sleep(time.Second)
@@ -69,27 +76,29 @@
 	return b
 }
 
-// report lets all engines say that they have so many tokens to compute and so much memory held.
-func (b *bench) report(queued, used int64) {
-	for _, u := range b.view.Upstreams {
-		b.OnLoad(u, wire.LoadReport{QueuedTokens: queued, MemoryUsed: used, MemoryTotal: memory, PrefillRate: rate}, time.Now())
+// report delivers a load report of every engine with the given tokens to compute and used memory in tokens.
+func (b *testbench) report(queued, used int64) {
+	for _, u := range b.initial.Upstreams {
+		b.OnLoad(u, wire.LoadReport{
+			QueuedTokens: queued, MemoryUsed: used, MemoryTotal: engineMemoryTokens, PrefillRate: prefillRate,
+		}, time.Now())
 	}
 }
 
-func (b *bench) request(tokens int, timeout time.Duration) Request {
+func (b *testbench) request(tokens int, timeout time.Duration) Request {
 	return Request{
-		ID: fleet.RequestID(fmt.Sprintf("r%d", b.last.Add(1))), Workspace: "w", Model: "m",
+		ID: fleet.RequestID(fmt.Sprintf("r%d", b.lastRequest.Add(1))), Workspace: "w", Model: "m",
 		PromptTokens: tokens, MaxAnswerTokens: 100, Deadline: time.Now().Add(timeout), Attempt: 1,
 	}
 }
 
-const busy = 200_000 // ten seconds of work
+const busyTokens = 200_000 // ten seconds of prefill
 
-// All prompts of an instance stand still while one decision takes long. Cause: a lock on the path of each.
-func TestOrdinaryPromptTakesNoLock(t *testing.T) {
+// Guards against one slow decision that delays all prompts of an instance. This happens if every prompt takes a lock.
+func TestPromptWithoutQueueingTakesNoLock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(3, nil)
+		b := newTestbench(3, nil)
 		m := b.model("m")
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -98,16 +107,16 @@
 		is.Equal(g.Priority, 6)
 		g.RecordFirstToken()
 		g.Release(OK)
-		is.Equal(len(b.rec.About("r1")), 1)
-		is.Equal(b.rec.About("r1")[0].Kind, "route")
+		is.Equal(len(b.recorder.About("r1")), 1)
+		is.Equal(b.recorder.About("r1")[0].Kind, "route")
 	})
 }
 
 func TestPromptWaitsUntilAnEngineIsFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newLongFirst(2)
-		b.report(busy, 0)
+		b := newLongFirstTestbench(2)
+		b.report(busyTokens, 0)
 		started := time.Now()
 		go func() {
 			time.Sleep(700 * time.Millisecond)
@@ -118,7 +127,7 @@
 		is.Equal(time.Since(started), 700*time.Millisecond)
 		g.Release(OK)
 		kinds := []string{}
-		for _, d := range b.rec.About("r1") {
+		for _, d := range b.recorder.About("r1") {
 			kinds = append(kinds, d.Kind)
 		}
 		is.Equal(kinds, []string{"queue", "route"})
@@ -128,20 +137,20 @@
 	})
 }
 
-// A caller waits for its whole deadline to hear that its prompt was never run. Cause: what was given up on
-// is answered only at the deadline.
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
+// Guards against a caller that waits until its deadline for the answer that its prompt has not run. This happens if a
+// prompt that can no longer finish is refused only at the deadline.
+func TestInfeasiblePromptIsRefusedWithoutDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newLongFirst(2)
-		b.report(busy, 0)
+		b := newLongFirstTestbench(2)
+		b.report(busyTokens, 0)
 		started := time.Now()
 		_, err := b.Acquire(t.Context(), b.request(40_000, 10*time.Second)) // 2 s of prefill, 0.1 s of answer
 		is.True(fault.Is(err, fault.Infeasible))
 		is.Equal(fault.From(err).Run, fault.RunNo)
-		is.True(fault.From(err).RetryDelay() >= time.Second) // and is told when to come back
+		is.True(fault.From(err).RetryDelay() >= time.Second) // the error tells the caller when to retry
 		waited := time.Since(started)
-		is.True(waited < 8*time.Second) // as soon as it could not finish any more
+		is.True(waited < 8*time.Second) // refused when it could no longer finish
 		is.True(waited > 7*time.Second)
 
 		started = time.Now()
@@ -151,25 +160,25 @@
 	})
 }
 
-func TestCallerThatLeavesWhileItWaitsIsTakenOut(t *testing.T) {
+func TestCancelledPromptLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newLongFirst(2)
-		b.report(busy, 0)
+		b := newLongFirstTestbench(2)
+		b.report(busyTokens, 0)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := b.Acquire(ctx, b.request(20_000, time.Minute))
 		is.True(fault.Is(err, fault.DeadlineExceeded))
-		is.Equal(b.model("m").waiting(), 0)
+		is.Equal(b.model("m").queueLength(), 0)
 		is.Equal(len(b.model("m").waiters), 0)
-		is.Equal(b.space("w").Count(), 0)
+		is.Equal(b.workspaceInFlight("w").Count(), 0)
 	})
 }
 
 func TestWorkspaceOverItsLimitIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(2, nil)
+		b := newTestbench(2, nil)
 		q := b.request(1000, time.Minute)
 		q.Workspace = "small"
 		first, err := b.Acquire(t.Context(), q)
@@ -179,7 +188,7 @@
 		_, err = b.Acquire(t.Context(), q)
 		is.True(fault.Is(err, fault.WorkspaceLimit))
 		first.Release(Failed)
-		first.Release(OK) // counts once
+		first.Release(OK) // the second call has no effect
 		_, err = b.Acquire(t.Context(), q)
 		is.NoErr(err)
 		_, err = b.Acquire(t.Context(), q)
@@ -187,38 +196,38 @@
 	})
 }
 
-// limited lets two requests at a time through to each upstream.
-type limited struct {
-	mu  sync.Mutex
-	now map[fleet.UpstreamID]int // guarded by mu
+// concurrencyGate is a Gate that allows two requests in flight at each upstream.
+type concurrencyGate struct {
+	mu       sync.Mutex
+	inFlight map[fleet.UpstreamID]int // guarded by mu
 }
 
-func (l *limited) HasCapacity(u *fleet.Upstream) bool {
+func (l *concurrencyGate) HasCapacity(u *fleet.Upstream) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now[u.ID] < 2
+	return l.inFlight[u.ID] < 2
 }
 
-func (l *limited) Acquire(u *fleet.Upstream) bool {
+func (l *concurrencyGate) Acquire(u *fleet.Upstream) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.now[u.ID] >= 2 {
+	if l.inFlight[u.ID] >= 2 {
 		return false
 	}
-	l.now[u.ID]++
+	l.inFlight[u.ID]++
 	return true
 }
 
-func (l *limited) Release(u *fleet.Upstream, _ Outcome) {
+func (l *concurrencyGate) Release(u *fleet.Upstream, _ Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.now[u.ID]--
+	l.inFlight[u.ID]--
 }
 
-func TestPromptsWaitForAPlaceAtColdEngines(t *testing.T) {
+func TestPromptsQueueWhileEnginesAreAtTheirLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(2, &limited{now: map[fleet.UpstreamID]int{}})
+		b := newTestbench(2, &concurrencyGate{inFlight: map[fleet.UpstreamID]int{}})
 		var grants []*Grant
 		for range 4 {
 			g, err := b.Acquire(t.Context(), b.request(1000, time.Minute))
@@ -232,100 +241,105 @@
 		}()
 		g, err := b.Acquire(t.Context(), b.request(1000, time.Minute))
 		is.NoErr(err)
-		is.Equal(time.Since(started), time.Second) // woken by the end of another
+		is.Equal(time.Since(started), time.Second) // the end of another request processes the queue
 		is.Equal(g.Upstream, grants[2].Upstream)
 	})
 }
 
-func TestEnginesThatLeaveOrAreOutGetNothing(t *testing.T) {
+func TestLeavingAndOutOfServiceEnginesGetNoPrompts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(3, nil)
-		gone := *b.view.Upstreams[0]
-		gone.Leaving = true
-		out := *b.view.Upstreams[1]
-		out.Out = true
-		rest := b.view.Upstreams[2]
-		b.now.Store(fleet.NewView(2, b.view.Config, 2, b.view.Instances, []*fleet.Upstream{&gone, &out, rest}))
+		b := newTestbench(3, nil)
+		leaving := *b.initial.Upstreams[0]
+		leaving.Leaving = true
+		outOfService := *b.initial.Upstreams[1]
+		outOfService.Out = true
+		remaining := b.initial.Upstreams[2]
+		b.current.Store(fleet.NewView(2, b.initial.Config, 2, b.initial.Instances,
+			[]*fleet.Upstream{&leaving, &outOfService, remaining}))
 		for range 20 {
 			g, err := b.Acquire(t.Context(), b.request(1000, time.Minute))
 			is.NoErr(err)
-			is.Equal(g.Upstream, rest)
+			is.Equal(g.Upstream, remaining)
 			g.Release(OK)
 		}
 		q := b.request(1000, time.Minute)
-		q.Exclude = []fleet.UpstreamID{rest.ID}
-		g, err := b.Acquire(t.Context(), q) // better the one tried before than none
+		q.Exclude = []fleet.UpstreamID{remaining.ID}
+		g, err := b.Acquire(t.Context(), q) // the only available engine is used although it was tried before
 		is.NoErr(err)
-		is.Equal(g.Upstream, rest)
-		b.now.Store(fleet.NewView(3, b.view.Config, 3, b.view.Instances, []*fleet.Upstream{&gone}))
+		is.Equal(g.Upstream, remaining)
+		b.current.Store(fleet.NewView(3, b.initial.Config, 3, b.initial.Instances, []*fleet.Upstream{&leaving}))
 		_, err = b.Acquire(t.Context(), b.request(1000, time.Minute))
 		is.True(fault.Is(err, fault.NoUpstream))
 	})
 }
 
-// A prompt goes to a failure domain seconds after operators took it out. Order: it waits, the domain is
-// taken out, the engine there has room. Cause: it was decided on the view of when it came.
-func TestWaitingPromptSeesTheNewestView(t *testing.T) {
+// Guards against a prompt that is sent to a failure domain after operators took the domain out of service. This happens
+// if a queued prompt is decided with the view of its arrival: the domain is taken out while the prompt is queued, and
+// an engine there becomes free.
+func TestQueuedPromptUsesLatestView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newLongFirst(2)
-		b.report(busy, 0)
-		out := *b.view.Upstreams[0]
-		out.Out = true
-		rest := b.view.Upstreams[1]
+		b := newLongFirstTestbench(2)
+		b.report(busyTokens, 0)
+		outOfService := *b.initial.Upstreams[0]
+		outOfService.Out = true
+		remaining := b.initial.Upstreams[1]
 		go func() {
 			time.Sleep(time.Second)
-			b.now.Store(fleet.NewView(2, b.view.Config, 2, b.view.Instances, []*fleet.Upstream{&out, rest}))
-			b.OnLoad(&out, wire.LoadReport{MemoryTotal: memory, PrefillRate: rate}, time.Now()) // only this one is free
+			b.current.Store(fleet.NewView(2, b.initial.Config, 2, b.initial.Instances,
+				[]*fleet.Upstream{&outOfService, remaining}))
+			// Only the engine that is out of service is free.
+			b.OnLoad(&outOfService, wire.LoadReport{MemoryTotal: engineMemoryTokens, PrefillRate: prefillRate}, time.Now())
 			time.Sleep(time.Second)
-			b.OnLoad(rest, wire.LoadReport{MemoryTotal: memory, PrefillRate: rate}, time.Now())
+			b.OnLoad(remaining, wire.LoadReport{MemoryTotal: engineMemoryTokens, PrefillRate: prefillRate}, time.Now())
 		}()
 		started := time.Now()
 		g, err := b.Acquire(t.Context(), b.request(20_000, time.Minute))
 		is.NoErr(err)
-		is.Equal(g.Upstream, rest)
+		is.Equal(g.Upstream, remaining)
 		is.Equal(time.Since(started), 2*time.Second)
 	})
 }
 
-// An instance that was cut off sends new work by an old configuration. Order: a prompt waits, the instance
-// becomes unfit, an engine has room. Cause: fitness was asked when the prompt came.
-func TestUnfitInstanceGrantsNothingMore(t *testing.T) {
+// Guards against an isolated instance that dispatches new work with an old configuration. This happens if usability is
+// checked only when a prompt arrives: the instance becomes unusable while the prompt is queued, and an engine becomes
+// free.
+func TestUnusableInstanceGrantsNoQueuedPrompt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newLongFirst(2)
-		b.report(busy, 0)
-		var unfit atomic.Bool
+		b := newLongFirstTestbench(2)
+		b.report(busyTokens, 0)
+		var unusable atomic.Bool
 		b.CheckUsable = func() error {
-			if unfit.Load() {
+			if unusable.Load() {
 				return fault.New(fault.StaleInstance, "cut off")
 			}
 			return nil
 		}
 		go func() {
 			time.Sleep(time.Second)
-			unfit.Store(true)
+			unusable.Store(true)
 			b.report(0, 0)
 		}()
 		_, err := b.Acquire(t.Context(), b.request(20_000, time.Minute))
 		is.True(fault.Is(err, fault.StaleInstance))
-		is.Equal(b.space("w").Count(), 0)
+		is.Equal(b.workspaceInFlight("w").Count(), 0)
 	})
 }
 
-// A caller that allows long answers is refused for want of time, though its answers are short. Cause: the
-// longest answer allowed is taken for the answer.
-func TestAnswerLengthIsLearnedNotAssumed(t *testing.T) {
+// Guards against the refusal of a caller that allows long answers but gets short ones. This happens if the time for an
+// answer is estimated from the allowed tokens without regard to observed answers.
+func TestAnswerTimeIsEstimatedFromObservedAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(2, nil)
+		b := newTestbench(2, nil)
 		q := b.request(1000, time.Minute)
 		q.MaxAnswerTokens = 16384
 		g, err := b.Acquire(t.Context(), q)
 		is.NoErr(err)
 		g.Release(OK)
-		for range 200 { // answers that take 20 ms for each token allowed
+		for range 200 { // answers that take 20 ms for each allowed token
 			g, err := b.Acquire(t.Context(), b.request(1000, time.Minute))
 			is.NoErr(err)
 			g.RecordFirstToken()
@@ -334,7 +348,7 @@
 			b.report(0, 0)
 		}
 		q.Deadline = time.Now().Add(time.Minute)
-		_, err = b.Acquire(t.Context(), q) // 16384 * 20 ms are over five minutes
+		_, err = b.Acquire(t.Context(), q) // 16384 * 20 ms is more than five minutes
 		is.True(fault.Is(err, fault.Infeasible))
 	})
 }
@@ -342,23 +356,23 @@
 func TestLanesAreSizedFromReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(12, nil)
-		time.Sleep(2 * resizeEvery)
+		b := newTestbench(12, nil)
+		time.Sleep(2 * laneResizeInterval)
 		b.report(0, 0)
-		is.Equal(int(b.model("m").lanes.Load()), leastLanes(memory))
+		is.Equal(int(b.model("m").lanes.Load()), minLanes(engineMemoryTokens))
 		is.True(strings.Contains(string(b.meter.registry.Text()), `route_lanes{model="m"} 3`))
-		p := b.model("m").pool(b.view)
+		p := b.model("m").pool(b.initial)
 		is.Equal(len(p.pool.ForClass(cost.Long)), 3)
 		is.Equal(len(p.pool.ForClass(cost.Short)), 12)
 	})
 }
 
-// The decision itself allocates nothing; what an ordinary prompt's way through the router allocates is its
-// request, its grant and its two log lines.
-func TestAllocationsOfAnOrdinaryPrompt(t *testing.T) {
+// Bounds the allocations for a prompt that isn't queued. The decision itself allocates nothing; the allocations are the
+// request, the grant and two log lines.
+func TestAllocationsPerPrompt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(20, nil)
+		b := newTestbench(20, nil)
 		q := b.request(1000, time.Hour)
 		got := testing.AllocsPerRun(200, func() {
 			g, err := b.Acquire(t.Context(), q)
@@ -374,7 +388,7 @@
 func BenchmarkAcquire(b *testing.B) {
 	for _, n := range []int{20, 400, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := newBench(n, nil)
+			r := newTestbench(n, nil)
 			b.ReportAllocs()
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
--- a/internal/route/service.go
+++ b/internal/route/service.go
@@ -10,61 +10,65 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Reasons of the choice of a plain service's instance.
+// Reasons for the choice of an upstream of a plain service.
 const (
 	ReasonLeastLoaded   decide.Reason = "least_loaded_of_two"
 	ReasonOnlyCandidate decide.Reason = "only_candidate"
 )
 
-// load counts this instance's dispatches to one upstream that are in flight.
+// load counts the dispatches of this instance to one upstream that are in flight.
 type load struct {
-	own atomic.Int64
+	inFlight atomic.Int64
 }
 
-// service gives an instance of a plain service: the one of two random ones with fewer of our calls. The view
-// is read after usable was asked: an instance that was paused in between would otherwise choose from what it
-// knew before, though others of its goroutines have caught up meanwhile.
-func (r *Router) service(q *Request) (*Grant, error) {
-	if err := r.usable(); err != nil {
+// acquireService chooses an upstream of a plain service: of two random candidates, the one with fewer calls from this
+// instance. The view is read after checkUsable. In the other order, an instance that is paused in between could choose
+// from its old view, because another goroutine has updated the view and made the instance usable again by then.
+func (r *Router) acquireService(q *Request) (*Grant, error) {
+	if err := r.checkUsable(); err != nil {
 		return nil, err
 	}
 	all := r.view().Services(q.Service)
 	if len(all) == 0 {
 		return nil, fault.New(fault.UnknownService, "service %q is not known", q.Service)
 	}
-	open := r.untried(all, q)
-	for len(open) > 0 {
-		u, reason := r.lessLoaded(open)
+	candidates := r.candidates(all, q)
+	for len(candidates) > 0 {
+		u, reason := r.leastLoadedOfTwo(candidates)
 		if r.gate.Acquire(u) {
 			l := r.load(u.ID)
-			l.own.Add(1)
-			r.record("route", q, reason, "upstream", u.ID, "failure_domain", u.Domain, "attempt", q.Attempt)
+			l.inFlight.Add(1)
+			r.recordDecision("route", q, reason, "upstream", u.ID, "failure_domain", u.Domain, "attempt", q.Attempt)
 			return &Grant{Upstream: u, Reason: reason, router: r, load: l}, nil
 		}
-		open = slices.DeleteFunc(open, func(o *fleet.Upstream) bool { return o == u }) // its place was taken meanwhile
+		// Another request took the last slot of u.
+		candidates = slices.DeleteFunc(candidates, func(o *fleet.Upstream) bool { return o == u })
 	}
-	return nil, fault.New(fault.NoUpstream, "all instances of %q are leaving, out or at their limit", q.Service)
+	return nil, fault.New(fault.NoUpstream, "all upstreams of service %q are leaving, out of service or at their limit",
+		q.Service)
 }
 
-// untried gives the upstreams that may take q; those tried before only when there is no other.
-func (r *Router) untried(all []*fleet.Upstream, q *Request) []*fleet.Upstream {
-	var fresh, tried []*fleet.Upstream
+// candidates returns the upstreams that accept work and have capacity. It includes those that q excludes only if there
+// are no others.
+func (r *Router) candidates(all []*fleet.Upstream, q *Request) []*fleet.Upstream {
+	var untried, tried []*fleet.Upstream
 	for _, u := range all {
 		switch {
 		case !u.Takes() || !r.gate.HasCapacity(u):
 		case slices.Contains(q.Exclude, u.ID):
 			tried = append(tried, u)
 		default:
-			fresh = append(fresh, u)
+			untried = append(untried, u)
 		}
 	}
-	if len(fresh) == 0 {
+	if len(untried) == 0 {
 		return tried
 	}
-	return fresh
+	return untried
 }
 
-func (r *Router) lessLoaded(all []*fleet.Upstream) (*fleet.Upstream, decide.Reason) {
+// leastLoadedOfTwo picks two random upstreams and returns the one with fewer dispatches of this instance in flight.
+func (r *Router) leastLoadedOfTwo(all []*fleet.Upstream) (*fleet.Upstream, decide.Reason) {
 	if len(all) == 1 {
 		return all[0], ReasonOnlyCandidate
 	}
@@ -73,7 +77,7 @@
 	if j >= i {
 		j++
 	}
-	if r.load(all[j].ID).own.Load() < r.load(all[i].ID).own.Load() {
+	if r.load(all[j].ID).inFlight.Load() < r.load(all[i].ID).inFlight.Load() {
 		i = j
 	}
 	return all[i], ReasonLeastLoaded
--- a/internal/route/stale_test.go
+++ b/internal/route/stale_test.go
@@ -13,57 +13,62 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// fullGate lets only one upstream take requests, though all looked open a moment before.
-type fullGate struct {
-	openGate
-	only    fleet.UpstreamID
-	refused atomic.Int64
+// singleUpstreamGate is a Gate that reports capacity for every upstream but lets only one acquire a slot.
+type singleUpstreamGate struct {
+	unlimitedGate
+	accepting fleet.UpstreamID
+	refused   atomic.Int64
 }
 
-func (g *fullGate) Acquire(u *fleet.Upstream) bool {
-	if u.ID == g.only {
+func (g *singleUpstreamGate) Acquire(u *fleet.Upstream) bool {
+	if u.ID == g.accepting {
 		return true
 	}
 	g.refused.Add(1)
 	return false
 }
 
-// with gives the bench's first view with services beside the engines, each changed by edit.
-func (b *bench) with(edit func(*fleet.Upstream)) *fleet.View {
+// viewWithServices returns the testbench's first view with three services added, after edit was called for each
+// upstream.
+func (b *testbench) viewWithServices(edit func(*fleet.Upstream)) *fleet.View {
 	var all []*fleet.Upstream
-	for _, u := range b.view.Upstreams {
+	for _, u := range b.initial.Upstreams {
 		c := *u
 		all = append(all, &c)
 	}
 	for _, id := range []fleet.UpstreamID{"s0", "s1", "s2"} {
-		all = append(all, &fleet.Upstream{ID: id, Kind: fleet.Service, Service: "bookdesk", Domain: "d" + fleet.DomainID(id[1:])})
+		all = append(all, &fleet.Upstream{
+			ID: id, Kind: fleet.Service, Service: "bookdesk", Domain: "d" + fleet.DomainID(id[1:]),
+		})
 	}
 	for _, u := range all {
 		edit(u)
 	}
-	return fleet.NewView(2, b.view.Config, 2, b.view.Instances, all)
+	return fleet.NewView(2, b.initial.Config, 2, b.initial.Instances, all)
 }
 
-// An instance is paused in the middle of a choice. Meanwhile operators take a failure domain out; when the
-// instance wakes, another goroutine catches up first, so that it is usable again, while this one still holds
-// the engine and service instance that it chose by the old view. Both lie in the domain that is out.
-func TestChoiceFromBeforeAPauseIsNotGranted(t *testing.T) {
+// Guards against a grant for an upstream in a failure domain that is out of service. This happens if the process is
+// paused during a choice while operators take the domain out. After the pause, another goroutine updates the view
+// first, so that the instance is usable again, while the choice still refers to the old view.
+func TestChoiceMadeBeforePauseIsNotGranted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for range 20 {
-			b := newBench(3, nil)
-			b.now.Store(b.with(func(*fleet.Upstream) {}))
-			out := b.with(func(u *fleet.Upstream) { u.Out = u.Domain != "d2" })
+			b := newTestbench(3, nil)
+			b.current.Store(b.viewWithServices(func(*fleet.Upstream) {}))
+			domainsOut := b.viewWithServices(func(u *fleet.Upstream) { u.Out = u.Domain != "d2" })
 			b.CheckUsable = func() error {
-				b.now.Store(out) // the other goroutine catches up just now
+				b.current.Store(domainsOut) // the other goroutine updates the view now
 				return nil
 			}
 			g, err := b.Acquire(t.Context(), b.request(2000, time.Minute))
 			is.NoErr(err)
 			is.Equal(g.Upstream.ID, fleet.UpstreamID("e2"))
 			g.Release(OK)
-			b.now.Store(b.with(func(*fleet.Upstream) {}))
-			g, err = b.Acquire(t.Context(), Request{ID: "c", Workspace: "w", Service: "bookdesk", Deadline: time.Now().Add(time.Minute)})
+			b.current.Store(b.viewWithServices(func(*fleet.Upstream) {}))
+			g, err = b.Acquire(t.Context(), Request{
+				ID: "c", Workspace: "w", Service: "bookdesk", Deadline: time.Now().Add(time.Minute),
+			})
 			is.NoErr(err)
 			is.Equal(g.Upstream.ID, fleet.UpstreamID("s2"))
 			g.Release(OK)
@@ -71,14 +76,14 @@
 	})
 }
 
-// A guest's booking is refused though one instance of the service has room: two others were chosen and filled
-// up between the look and the taking of a place, and the third was not asked.
-func TestBookingGoesToTheInstanceWithRoom(t *testing.T) {
+// Guards against the refusal of a service call although one upstream has capacity. This happens if the two upstreams
+// that were chosen fill up between the check of their capacity and the acquisition, and the third isn't tried.
+func TestServiceCallGoesToInstanceWithCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		gate := &fullGate{only: "s1"}
-		b := newBench(1, gate)
-		b.now.Store(b.with(func(*fleet.Upstream) {}))
+		gate := &singleUpstreamGate{accepting: "s1"}
+		b := newTestbench(1, gate)
+		b.current.Store(b.viewWithServices(func(*fleet.Upstream) {}))
 		call := Request{ID: "c", Workspace: "w", Service: "bookdesk", Deadline: time.Now().Add(time.Minute)}
 		for range 30 {
 			g, err := b.Acquire(t.Context(), call)
@@ -87,23 +92,23 @@
 			g.Release(OK)
 		}
 		is.True(gate.refused.Load() > 0)
-		gate.only = "none"
+		gate.accepting = "none"
 		_, err := b.Acquire(t.Context(), call)
 		is.True(fault.Is(err, fault.NoUpstream))
 	})
 }
 
-// Guards against turning callers away though the instance, stale after a pause, is usable again a moment later.
-func TestRequestsWaitForTrustThatComesBack(t *testing.T) {
+// Guards against the refusal of callers by an instance that is stale after a pause and usable again shortly after.
+func TestRequestsWaitForTrustToReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(1, nil)
-		b.now.Store(b.with(func(*fleet.Upstream) {}))
+		b := newTestbench(1, nil)
+		b.current.Store(b.viewWithServices(func(*fleet.Upstream) {}))
 		call := Request{ID: "c", Workspace: "w", Service: "bookdesk", Deadline: time.Now().Add(time.Minute)}
 		start := time.Now()
-		const back, over = 150 * time.Millisecond, time.Second
+		const regainAfter, regainLimit = 150 * time.Millisecond, time.Second
 		b.CheckUsable = func() error {
-			if time.Since(start) < back {
+			if time.Since(start) < regainAfter {
 				return fault.New(fault.StaleInstance, "paused")
 			}
 			return nil
@@ -113,48 +118,48 @@
 			start = time.Now()
 			g, err := b.Acquire(t.Context(), q)
 			is.NoErr(err)
-			is.True(time.Since(start) >= back)
-			is.True(time.Since(start) <= back+regainPoll)
+			is.True(time.Since(start) >= regainAfter)
+			is.True(time.Since(start) <= regainAfter+regainPollInterval)
 			g.Release(OK)
 		}
-		is.Equal(b.space("w").Count(), 0)
+		is.Equal(b.workspaceInFlight("w").Count(), 0)
 
 		b.CheckUsable = func() error { return fault.New(fault.StaleInstance, "cut off") }
-		b.RegainingTrust = func() bool { return time.Since(start) < over }
+		b.RegainingTrust = func() bool { return time.Since(start) < regainLimit }
 		start = time.Now()
 		_, err := b.Acquire(t.Context(), call)
 		is.True(fault.Is(err, fault.StaleInstance))
-		is.True(time.Since(start) <= over+regainPoll) // it is not waited for longer
-		start = time.Now().Add(-over)
-		again := time.Now()
+		is.True(time.Since(start) <= regainLimit+regainPollInterval) // no wait beyond that
+		start = time.Now().Add(-regainLimit)
+		retried := time.Now()
 		_, err = b.Acquire(t.Context(), call)
 		is.True(fault.Is(err, fault.StaleInstance))
-		is.Equal(time.Since(again), time.Duration(0)) // cut off for longer: refused at once
+		is.Equal(time.Since(retried), time.Duration(0)) // isolated for longer: refused immediately
 
 		b.RegainingTrust = func() bool { return true }
-		short, cancel := context.WithTimeout(t.Context(), back)
+		shortCtx, cancel := context.WithTimeout(t.Context(), regainAfter)
 		defer cancel()
-		again = time.Now()
-		_, err = b.Acquire(short, call)
-		is.True(fault.Is(err, fault.StaleInstance)) // it has not run
-		is.Equal(time.Since(again), back)
+		retried = time.Now()
+		_, err = b.Acquire(shortCtx, call)
+		is.True(fault.Is(err, fault.StaleInstance)) // the request has not run
+		is.Equal(time.Since(retried), regainAfter)
 	})
 }
 
-// Guards against memory that is reserved on engines and given back at each look while the instance is not usable.
-func TestMemoryIsNotReservedAnewWhileTrustIsAwaited(t *testing.T) {
+// Guards against reserving and releasing memory on engines at each check while the instance isn't usable.
+func TestMemoryIsNotReservedWhileAwaitingTrust(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(2, nil)
+		b := newTestbench(2, nil)
 		long := b.request(200_000, time.Minute)
 		g, err := b.Acquire(t.Context(), long)
 		is.NoErr(err)
 		g.Release(OK)
-		once := b.memory.asked
-		is.True(once > 0)
-		back := time.Now().Add(200 * time.Millisecond)
+		callsPerAcquire := b.memory.reserveCalls
+		is.True(callsPerAcquire > 0)
+		regainAt := time.Now().Add(200 * time.Millisecond)
 		b.CheckUsable = func() error {
-			if time.Now().Before(back) {
+			if time.Now().Before(regainAt) {
 				return fault.New(fault.StaleInstance, "paused")
 			}
 			return nil
@@ -164,6 +169,6 @@
 		g, err = b.Acquire(t.Context(), long)
 		is.NoErr(err)
 		g.Release(OK)
-		is.Equal(b.memory.asked, 3*once) // before the pause is noticed, and after it
+		is.Equal(b.memory.reserveCalls, 3*callsPerAcquire) // the first prompt, then before the pause is detected and after it
 	})
 }
