--- a/internal/routed/budget.go
+++ b/internal/routed/budget.go
@@ -11,30 +11,31 @@
 	"github.com/damaskshelf/damaskshelf/internal/watch"
 )
 
-// shareUsed is the part of the fleet's retries that its instances give out together. The rest covers what they
-// count differently: a request is counted where it came from, and instances that come or go change the cut
-// before all know of it.
-const shareUsed = 0.7
+// allocatedShare is the part of the fleet's retry limit that the shares of all instances add up to. The rest covers
+// differences between the instances: a request is counted only by the instance that received it, and while an instance
+// joins or leaves, the others divide the limit by different numbers of members.
+const allocatedShare = 0.7
 
-// budgets are an instance's shares of the retries that the fleet may make, by service.
+// budgets holds this instance's shares of the fleet's retry limits, by service. It is safe for concurrent use.
 type budgets struct {
-	members func() int
+	members func() int // number of instances that the limits are divided by
 	start   time.Time
 
-	mu    sync.Mutex
-	rules api.Retries                          // guarded by mu
-	all   map[catalog.ServiceName]*retry.Share // guarded by mu
+	mu     sync.Mutex
+	rules  api.Retries                          // guarded by mu
+	shares map[catalog.ServiceName]*retry.Share // guarded by mu
 }
 
 func newBudgets(s api.Settings, f *watch.Follower) *budgets {
-	return budgetsOf(s.Routed.Retries, func() int { return len(f.Snapshot().Members) })
+	return newBudgetsWithRules(s.Routed.Retries, func() int { return len(f.Snapshot().Members) })
 }
 
-func budgetsOf(rules api.Retries, members func() int) *budgets {
-	return &budgets{rules: rules, members: members, start: time.Now(), all: map[catalog.ServiceName]*retry.Share{}}
+// newBudgetsWithRules returns budgets under the given rules.
+func newBudgetsWithRules(rules api.Retries, members func() int) *budgets {
+	return &budgets{rules: rules, members: members, start: time.Now(), shares: map[catalog.ServiceName]*retry.Share{}}
 }
 
-// setRules puts other rules in force, for all services.
+// setRules changes the rules for all services.
 func (b *budgets) setRules(r api.Retries) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,14 +44,14 @@
 
 func (b *budgets) now() decide.Instant { return decide.Instant(time.Since(b.start)) }
 
-// of gives a service's share under the rules in force; mu is held.
+// of returns a service's share under the current rules. The caller holds mu.
 func (b *budgets) of(s catalog.ServiceName) *retry.Share {
-	share := b.all[s]
+	share := b.shares[s]
 	if share == nil {
 		share = &retry.Share{}
-		b.all[s] = share
+		b.shares[s] = share
 	}
-	share.SetLimits(*b.rules.Ratio*shareUsed, *b.rules.Slack*shareUsed/float64(max(1, b.members())))
+	share.SetLimits(*b.rules.Ratio*allocatedShare, *b.rules.Slack*allocatedShare/float64(max(1, b.members())))
 	return share
 }
 
--- a/internal/routed/membership.go
+++ b/internal/routed/membership.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// memberEvery is how often an instance looks whether it still stands in the store, and a dispatcher
-	// whether others should.
-	memberEvery = 2 * time.Second
-	// absentTime is how long no session of an instance may be heard of before its entry is removed: far above
-	// a restart, and far below the time in which replaced instances would outnumber the living ones (2,900 a
-	// day in 930 are one every half minute).
-	absentTime = 30 * time.Second
-	// removeTimeout bounds one removal.
+	// membershipCheckInterval is the time between two checks whether this instance's entry is still in the store and,
+	// on the dispatcher, whether entries of absent instances are to be removed.
+	membershipCheckInterval = 2 * time.Second
+	// minAbsence is how long an instance must have had no session before its entry is removed. It is far above the time
+	// of a restart. It is far below the time in which the entries of replaced instances would outnumber those of running
+	// ones: 2,900 replacements a day among 930 instances are one every half minute.
+	minAbsence = 30 * time.Second
+	// removeTimeout bounds the removal of one entry.
 	removeTimeout = time.Second
 )
 
-// keepMembership joins, and joins again if the entry was removed while the instance was cut off. As the
-// dispatcher it removes entries of instances that nobody has heard of: nothing in the store expires, and each
-// entry takes a share of the limits that all instances cut among them.
+// keepMembership writes this instance's entry to the store, and writes it again if it was removed while the instance
+// was isolated. On the dispatcher it also removes the entries of absent instances: entries don't expire, and each takes
+// a share of the limits that the instances divide among them. It returns when the instance is leaving or ctx ends.
 func (n *Node) keepMembership(ctx context.Context) {
 	p := n.parts
 	watch.Join(ctx, p.Adapter.Store, n.self, p.Log)
-	for wait.For(ctx, memberEvery) {
+	for wait.For(ctx, membershipCheckInterval) {
 		if !p.Gate.Ready() {
 			return // leaving
 		}
-		if n.missing() {
-			p.Log.Warn("own entry is gone from the store: joining again")
+		if n.entryMissing() {
+			p.Log.Warn("entry of this instance is missing from the store; joining again")
 			watch.Join(ctx, p.Adapter.Store, n.self, p.Log)
 		}
-		for _, m := range p.Placer.AbsentMembers(absentTime) {
-			n.remove(ctx, m)
+		for _, m := range p.Placer.AbsentMembers(minAbsence) {
+			n.removeMember(ctx, m)
 		}
 	}
 }
 
-// missing tells whether the store is known not to hold the own entry.
-func (n *Node) missing() bool {
+// entryMissing reports whether the latest member list lacks this instance. An empty list counts as not known yet.
+func (n *Node) entryMissing() bool {
 	members := n.parts.Follower.Snapshot().Members
 	for _, m := range members {
 		if m.ID == n.self.ID {
@@ -52,10 +52,11 @@
 	return len(members) > 0
 }
 
-func (n *Node) remove(ctx context.Context, m *catalog.Member) {
-	limit, cancel := context.WithTimeout(ctx, removeTimeout)
+// removeMember removes an absent instance's entry from the store and logs the result.
+func (n *Node) removeMember(ctx context.Context, m *catalog.Member) {
+	removeCtx, cancel := context.WithTimeout(ctx, removeTimeout)
 	defer cancel()
-	err := watch.Remove(limit, n.parts.Adapter.Store, m)
+	err := watch.Remove(removeCtx, n.parts.Adapter.Store, m)
 	n.parts.Log.Info("instance was not heard of for long: its entry is removed", "instance", m.ID,
 		"incarnation", m.Incarnation, "revision", m.Revision, "error", err)
 }
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -1,5 +1,5 @@
-// Package routed assembles an instance that forwards routed requests: it follows a metadata store, serves
-// callers through the gateway, and answers the balancer's question.
+// Package routed assembles an instance that forwards routed requests. The instance follows a metadata store, serves
+// callers through the gateway, and answers the readiness probes of the load balancer.
 package routed
 
 import (
@@ -35,7 +35,7 @@
 	Close()
 }
 
-// Adapter is what speaks the platform's words.
+// Adapter holds the platform's implementations of the metadata store, its objects and the protocol of its requests.
 type Adapter struct {
 	Store   Store
 	Kinds   watch.Kinds
@@ -48,15 +48,16 @@
 type Node struct {
 	parts    parts
 	self     catalog.Member
-	settings atomic.Pointer[api.Settings] // in force
+	settings atomic.Pointer[api.Settings] // the current settings
 
-	work context.Context // of everything that runs beside requests
-	stop context.CancelFunc
-	wg   sync.WaitGroup
-	once sync.Once
-	err  error // of the stop
+	background     context.Context // ends the goroutines of runInBackground
+	stopBackground context.CancelFunc
+	wg             sync.WaitGroup
+	stopOnce       sync.Once
+	stopErr        error // result of the stop
 }
 
+// parts are the components that the container assembles.
 type parts struct {
 	dig.In
 
@@ -65,17 +66,17 @@
 	Adapter  Adapter
 	Follower *watch.Follower
 	Gateway  *gateway.Gateway
-	Status   *side
+	Status   *statusServer
 	Gate     *gate.Gate
 	Client   *upstream.Client
 	Placer   *placement.Client
 	Budgets  *budgets
 }
 
-// Options are what the process gives its instance.
+// Options are the parts of an instance that the process provides.
 type Options struct {
 	Log          hclog.Logger
-	DroppedLines func() int // log lines dropped since the start; nil: none are
+	DroppedLines func() int // number of log lines dropped since the start; nil: none are
 }
 
 // New assembles an instance. It opens no connection and binds no address.
@@ -94,7 +95,7 @@
 		newBudgets,
 		newPlacer,
 		newGateway,
-		newSide,
+		newStatusServer,
 	}
 	for _, p := range provides {
 		if err := c.Provide(p); err != nil {
@@ -110,7 +111,7 @@
 		ID: fleet.InstanceID(s.Instance), Addr: s.Routed.Listen.Advertised, Incarnation: uint64(time.Now().UnixNano()),
 		Domain: fleet.DomainID(s.FailureDomain), CPUShare: s.Routed.CPUShare, LinkMbps: s.Routed.LinkMbps,
 	}
-	n.work, n.stop = context.WithCancel(context.Background())
+	n.background, n.stopBackground = context.WithCancel(context.Background())
 	return n, nil
 }
 
@@ -124,9 +125,9 @@
 	return placement.NewClient(fleet.InstanceID(s.Instance), fleet.DomainID(s.FailureDomain), f, log)
 }
 
-// writeStall ends callers that take nothing for so long; it is above the longest pause that a lossy link
-// makes and far below a request's time.
-const writeStall = 10 * time.Second
+// writeStallTimeout is how long a caller may accept no data before its connection is closed. It is above the longest
+// pause that a lossy link causes and far below the time of a request.
+const writeStallTimeout = 10 * time.Second
 
 func newGateway(s api.Settings, a Adapter, f *watch.Follower, p *placement.Client, c *upstream.Client, b *budgets, g *gate.Gate,
 	rec *explain.Recorder, m *metrics.Registry, log hclog.Logger) *gateway.Gateway {
@@ -136,12 +137,13 @@
 		Gate: g, MarkLeaving: p.MarkLeaving, HeldOff: p.HeldOff, ObserveAnswer: p.ObserveAnswer, Explain: rec, Metrics: m, Log: log,
 		Limits: gateway.Limits{
 			MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, MaxConnections: l.MaxConnections,
-			ReadTimeout: time.Duration(l.ReadTimeout), IdleTimeout: time.Duration(l.IdleTimeout), WriteStall: writeStall,
+			ReadTimeout: time.Duration(l.ReadTimeout), IdleTimeout: time.Duration(l.IdleTimeout), WriteStall: writeStallTimeout,
 		},
 	})
 }
 
-// Start binds the listeners and begins to serve. Readiness follows once a configuration is in force.
+// Start binds the listeners and starts to serve. The instance reports that it is ready once a configuration is in
+// force.
 func (n *Node) Start() error {
 	p := n.parts
 	if err := p.Gateway.Listen(p.Settings.Routed.Listen.Callers); err != nil {
@@ -151,128 +153,136 @@
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	if err := p.Status.listen(p.Settings.Routed.Listen, p.Log); err != nil { // last: what else needs an address goes first
+	// Last, so that the other listeners get their addresses first.
+	if err := p.Status.listen(p.Settings.Routed.Listen, p.Log); err != nil {
 		return err
 	}
-	n.self.Addr = advertised(n.self.Addr, peers.Addr())
-	n.run(func(ctx context.Context) {
+	n.self.Addr = advertisedAddr(n.self.Addr, peers.Addr())
+	n.runInBackground(func(ctx context.Context) {
 		if err := p.Placer.Serve(ctx, peers); err != nil {
 			p.Log.Error("peers' listener ended", "error", err)
 		}
 	})
-	n.run(p.Placer.Run)
-	n.run(func(context.Context) { p.Gateway.Serve() })
-	n.run(func(context.Context) { p.Status.serve() })
-	n.run(p.Follower.Run)
-	n.run(n.keepMembership)
+	n.runInBackground(p.Placer.Run)
+	n.runInBackground(func(context.Context) { p.Gateway.Serve() })
+	n.runInBackground(func(context.Context) { p.Status.serve() })
+	n.runInBackground(p.Follower.Run)
+	n.runInBackground(n.keepMembership)
 	p.Log.Info("started", "instance", p.Settings.Instance, "failure_domain", p.Settings.FailureDomain,
 		"callers", p.Gateway.Addr(), "incarnation", n.self.Incarnation)
 	return nil
 }
 
-// advertised gives the address that other instances connect to: where the settings leave the port to the
-// system, the one that was given.
-func advertised(set string, bound net.Addr) string {
-	if a, err := netip.ParseAddrPort(set); err == nil && a.Port() == 0 {
+// advertisedAddr returns the address that other instances connect to. If the configured port is 0, which lets the
+// system choose one, it returns the address that was bound.
+func advertisedAddr(configured string, bound net.Addr) string {
+	if a, err := netip.ParseAddrPort(configured); err == nil && a.Port() == 0 {
 		return bound.String()
 	}
-	return set
+	return configured
 }
 
-func (n *Node) run(f func(ctx context.Context)) {
+// runInBackground calls f in a goroutine, with a context that ends when the instance has drained.
+func (n *Node) runInBackground(f func(ctx context.Context)) {
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		f(n.work)
+		f(n.background)
 	}()
 }
 
 const (
-	// closeMargin is what is left of the grace for closing listeners and connections; of a short grace a quarter.
+	// closeMargin is the part of the grace period that is reserved for closing listeners and connections. Of a short
+	// grace period, a quarter is reserved.
 	closeMargin = 500 * time.Millisecond
-	// leaveTimeout bounds the removal of the own entry; peers drop one that stays.
+	// leaveTimeout bounds the removal of this instance's entry. The dispatcher removes an entry that stays.
 	leaveTimeout = time.Second
 )
 
-// Stop is the planned stop: not ready; serve on for the balancer's lag; refuse new requests; let those in
-// flight end; close. Calling it again waits for the first call's end.
+// Stop shuts the instance down in steps. It reports that the instance is not ready, continues to serve for the load
+// balancer's lag, refuses new requests, waits for those in flight, and closes all connections. Further calls wait for
+// the first one and return its error.
 func (n *Node) Stop() error {
-	n.once.Do(func() {
-		n.err = n.drain()
-		n.parts.Log.Info("stopped", "error", n.err)
+	n.stopOnce.Do(func() {
+		n.stopErr = n.drain()
+		n.parts.Log.Info("stopped", "error", n.stopErr)
 	})
-	return n.err
+	return n.stopErr
 }
 
+// drain performs the steps of Stop within the grace period.
 func (n *Node) drain() error {
 	p := n.parts
-	stop := n.settings.Load().Routed.Stop
-	margin := min(closeMargin, time.Duration(stop.Grace)/4)
-	limit, cancel := context.WithTimeout(context.Background(), time.Duration(stop.Grace)-margin)
+	stopSettings := n.settings.Load().Routed.Stop
+	margin := min(closeMargin, time.Duration(stopSettings.Grace)/4)
+	drainCtx, cancel := context.WithTimeout(context.Background(), time.Duration(stopSettings.Grace)-margin)
 	defer cancel()
 	p.Log.Info("stopping", "in_flight", p.Gate.InFlight())
 	p.Gate.MarkUnready()
-	n.run(func(context.Context) { n.leave(limit) })
-	wait.For(limit, time.Duration(stop.BalancerLag))
+	n.runInBackground(func(context.Context) { n.leave(drainCtx) })
+	wait.For(drainCtx, time.Duration(stopSettings.BalancerLag))
 	p.Gate.RefuseNew()
 	p.Log.Info("refusing new requests", "in_flight", p.Gate.InFlight(), "idle_closed", p.Gateway.CloseIdle())
-	err := p.Gate.AwaitIdle(limit)
-	closing, done := context.WithTimeout(context.Background(), margin/2)
-	defer done()
-	err = errors.Join(err, shutAll(closing, p.Gateway.Shutdown, p.Status.shutdown))
-	n.stop()
+	err := p.Gate.AwaitIdle(drainCtx)
+	closeCtx, cancelClose := context.WithTimeout(context.Background(), margin/2)
+	defer cancelClose()
+	err = errors.Join(err, shutdownAll(closeCtx, p.Gateway.Shutdown, p.Status.shutdown))
+	n.stopBackground()
 	p.Adapter.Store.Close()
 	p.Client.Close()
 	return err
 }
 
-func (n *Node) leave(limit context.Context) {
-	ctx, cancel := context.WithTimeout(limit, leaveTimeout)
+// leave removes this instance's entry from the store.
+func (n *Node) leave(parent context.Context) {
+	ctx, cancel := context.WithTimeout(parent, leaveTimeout)
 	defer cancel()
 	if err := watch.Leave(ctx, n.parts.Adapter.Store, n.self); err != nil {
-		n.parts.Log.Warn("own entry is left in the store; peers drop it", "error", err)
+		n.parts.Log.Warn("entry of this instance was not removed from the store; the dispatcher removes it", "error", err)
 	}
 }
 
-// Reload puts changed settings in force where that is possible while requests run: retries, the times of a
-// stop, and the level of the log. Anything else that differs is named in the log and needs a restart.
+// Reload applies those settings that can change while requests run: the retry rules, the times of a stop and the log
+// level. It logs whether a difference in the instance's names, listeners, store, limits or ready path needs a restart.
 func (n *Node) Reload(s api.Settings) {
 	old := n.settings.Load()
 	if s.Routed == nil {
-		n.parts.Log.Error("settings have no part 'routed' any more: those in force stay")
+		n.parts.Log.Error("new settings have no part 'routed'; the current settings stay in force")
 		return
 	}
 	n.parts.Budgets.setRules(s.Routed.Retries)
 	n.parts.Log.SetLevel(hclog.LevelFromString(s.LogLevel))
 	n.settings.Store(&s)
-	fixed := old.Instance != s.Instance || old.FailureDomain != s.FailureDomain || old.Routed.Listen != s.Routed.Listen ||
-		old.Routed.Store != s.Routed.Store || old.Routed.Limits != s.Routed.Limits || old.Routed.ReadyPath != s.Routed.ReadyPath
+	restartNeeded := old.Instance != s.Instance || old.FailureDomain != s.FailureDomain ||
+		old.Routed.Listen != s.Routed.Listen ||
+		old.Routed.Store != s.Routed.Store || old.Routed.Limits != s.Routed.Limits ||
+		old.Routed.ReadyPath != s.Routed.ReadyPath
 	n.parts.Log.Info("settings reloaded", "retry_ratio", *s.Routed.Retries.Ratio, "retry_slack", *s.Routed.Retries.Slack,
-		"grace", time.Duration(s.Routed.Stop.Grace), "log_level", s.LogLevel, "restart_needed", fixed)
+		"grace", time.Duration(s.Routed.Stop.Grace), "log_level", s.LogLevel, "restart_needed", restartNeeded)
 }
 
 // Abort ends every request in flight with an explicit error.
 func (n *Node) Abort() { n.parts.Gateway.Abort() }
 
-// Dispatcher is the instance that gives places to this one's requests now; empty: none.
+// Dispatcher returns the id of the instance that places this instance's requests now, or "" if there is none.
 func (n *Node) Dispatcher() string { return string(n.parts.Placer.Dispatcher()) }
 
-// Limited is the number of upstreams' limits that the instance believes to be in force.
+// LimitsInForce returns the number of upstreams' rate limits that this instance treats as in force.
 func (n *Node) LimitsInForce() int { return n.parts.Placer.LimitsInForce() }
 
-// Snapshot is what the instance knows of the fleet now.
+// Snapshot returns what the instance currently knows of the fleet.
 func (n *Node) Snapshot() *catalog.Snapshot { return n.parts.Follower.Snapshot() }
 
-// CallersAddr is where callers connect.
+// CallersAddr returns the address that callers connect to.
 func (n *Node) CallersAddr() string { return n.parts.Gateway.Addr() }
 
-// ReadyAddr is where the balancer asks.
-func (n *Node) ReadyAddr() string { return n.parts.Status.readyOn.Addr().String() }
+// ReadyAddr returns the address of the readiness probe.
+func (n *Node) ReadyAddr() string { return n.parts.Status.readyListener.Addr().String() }
 
-// MetricsAddr is where the metrics are served; empty: nowhere.
+// MetricsAddr returns the address that the metrics are served on, or "" if they are not served.
 func (n *Node) MetricsAddr() string {
-	if n.parts.Status.metricsOn == nil {
+	if n.parts.Status.metricsListener == nil {
 		return ""
 	}
-	return n.parts.Status.metricsOn.Addr().String()
+	return n.parts.Status.metricsListener.Addr().String()
 }
--- /dev/null
+++ b/internal/routed/status.go
@@ -0,0 +1,121 @@
+package routed
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"github.com/fasthttp/router"
+	"github.com/hashicorp/go-hclog"
+	"github.com/valyala/fasthttp"
+
+	"github.com/damaskshelf/damaskshelf/api"
+	"github.com/damaskshelf/damaskshelf/internal/entry/gate"
+	"github.com/damaskshelf/damaskshelf/internal/httplog"
+	"github.com/damaskshelf/damaskshelf/internal/metrics"
+	"github.com/damaskshelf/damaskshelf/internal/placement"
+	"github.com/damaskshelf/damaskshelf/internal/watch"
+)
+
+const (
+	statusReadTimeout = 5 * time.Second
+	statusHeaderBytes = 4 << 10
+	metricsPath       = "/metrics"
+)
+
+// statusServer serves the readiness probes of the load balancer and the metrics, each on its own listener.
+type statusServer struct {
+	readyServer, metricsServer *fasthttp.Server
+	readyListener              net.Listener
+	metricsListener            net.Listener // nil: the metrics are not served
+	serveErrors                chan error   // results of the servers, with room for both
+}
+
+// newStatusServer returns a statusServer that is not bound to its addresses yet.
+func newStatusServer(s api.Settings, o Options, f *watch.Follower, p *placement.Client, g *gate.Gate,
+	m *metrics.Registry, log hclog.Logger) *statusServer {
+	readyRouter := router.New()
+	readyRouter.GET(s.Routed.ReadyPath, func(ctx *fasthttp.RequestCtx) {
+		if reason := notReadyReason(f, g); reason != "" {
+			ctx.Error(reason, fasthttp.StatusServiceUnavailable)
+			return
+		}
+		ctx.SetBodyString("ready\n")
+	})
+	metricsRouter := router.New()
+	metricsRouter.GET(metricsPath, func(ctx *fasthttp.RequestCtx) {
+		if o.DroppedLines != nil {
+			m.Gauge("log_dropped").Update(int64(o.DroppedLines()))
+		}
+		m.Gauge("upstreams_held_off").Update(int64(p.HoldOffCount()))
+		m.Gauge("upstreams_limited").Update(int64(p.LimitsInForce()))
+		ctx.SetBody(m.Text())
+	})
+	return &statusServer{
+		readyServer: newHTTPServer(readyRouter, log), metricsServer: newHTTPServer(metricsRouter, log),
+		serveErrors: make(chan error, 2),
+	}
+}
+
+// notReadyReason returns why the load balancer should send no callers to this instance now, or "" if it should.
+func notReadyReason(f *watch.Follower, g *gate.Gate) string {
+	switch {
+	case !g.Ready():
+		return "this instance is stopping"
+	case f.Snapshot().Config == nil:
+		return "no configuration is known yet"
+	default:
+		return ""
+	}
+}
+
+// newHTTPServer returns a server for small requests, with the limits of the status server.
+func newHTTPServer(r *router.Router, log hclog.Logger) *fasthttp.Server {
+	return &fasthttp.Server{
+		Handler: r.Handler, ReadTimeout: statusReadTimeout, ReadBufferSize: statusHeaderBytes,
+		NoDefaultServerHeader: true, Logger: httplog.Logger{Log: log},
+	}
+}
+
+// listen binds both addresses. It returns no error if only that of the metrics can't be bound: its port is the same on
+// every instance, and a deployment may have given it to another listener.
+func (s *statusServer) listen(l api.RoutedListen, log hclog.Logger) error {
+	var err error
+	if s.readyListener, err = net.Listen("tcp", l.Ready); err != nil {
+		return fmt.Errorf("listen on %s: %w", l.Ready, err)
+	}
+	if s.metricsListener, err = net.Listen("tcp", l.Metrics); err != nil {
+		log.Error("metrics are not served", "addr", l.Metrics, "error", err)
+	}
+	return nil
+}
+
+// serve serves until shutdown is called.
+func (s *statusServer) serve() {
+	if s.metricsListener != nil {
+		go func() { s.serveErrors <- s.metricsServer.Serve(s.metricsListener) }()
+	}
+	s.serveErrors <- s.readyServer.Serve(s.readyListener)
+}
+
+// shutdown shuts both servers down.
+func (s *statusServer) shutdown(ctx context.Context) error {
+	return shutdownAll(ctx, s.readyServer.ShutdownWithContext, s.metricsServer.ShutdownWithContext)
+}
+
+// shutdownAll shuts servers down concurrently and joins their errors. On a busy machine each server checks a second
+// time, 100 ms later, whether it is done. One after the other, the servers would take longer than a stop reserves for
+// them.
+func shutdownAll(ctx context.Context, all ...func(context.Context) error) error {
+	errs := make(chan error, len(all))
+	for _, shutdown := range all {
+		go func() { errs <- shutdown(ctx) }()
+	}
+	var err error
+	for range all {
+		err = errors.Join(err, <-errs)
+	}
+	return err
+}
--- /dev/null
+++ b/internal/routed/status_test.go
@@ -0,0 +1,45 @@
+package routed
+
+import (
+	"context"
+	"net"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+	"github.com/valyala/fasthttp"
+	"github.com/valyala/fasthttp/fasthttputil"
+)
+
+// lateCloseListener delays the error that ends Accept, as for a goroutine that waits for a processor.
+type lateCloseListener struct{ net.Listener }
+
+func (l lateCloseListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		time.Sleep(20 * time.Millisecond)
+	}
+	return c, err
+}
+
+// Guards against a stop that fails on a busy machine because the listeners are closed one after the other.
+func TestServersShutDownConcurrently(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		listener := func() net.Listener { return lateCloseListener{fasthttputil.NewInmemoryListener()} }
+		s := &statusServer{
+			readyServer: &fasthttp.Server{}, metricsServer: &fasthttp.Server{}, serveErrors: make(chan error, 2),
+			readyListener: listener(), metricsListener: listener(),
+		}
+		callers, callersOn := &fasthttp.Server{}, listener()
+		go s.serve()
+		go func() { _ = callers.Serve(callersOn) }()
+		synctest.Wait()
+		ctx, cancel := context.WithTimeout(t.Context(), closeMargin/2)
+		defer cancel()
+		err := shutdownAll(ctx, callers.ShutdownWithContext, s.shutdown)
+		time.Sleep(time.Minute) // lets the goroutines of the servers end
+		is.NoErr(err)
+	})
+}
