--- a/cmd/damaskctl/store.go
+++ b/cmd/damaskctl/store.go
@@ -87,7 +87,7 @@
 
 func fleetStatusOf(snap *catalog.Snapshot, now time.Time) api.FleetStatus {
 	status := api.FleetStatus{FleetRevision: snap.FleetVersion}
-	for d := range snap.Out {
+	for d := range snap.DomainsOut {
 		status.DomainsOut = append(status.DomainsOut, string(d))
 	}
 	slices.Sort(status.DomainsOut)
@@ -113,7 +113,7 @@
 		switch {
 		case u.Leaving:
 			s.Leaving++
-		case snap.Out[u.Domain]:
+		case snap.DomainsOut[u.Domain]:
 			s.Out++
 		default:
 			s.Ready++
@@ -166,7 +166,7 @@
 // domainsOf lists the failure domains of instances and upstreams, and those that are out.
 func domainsOf(snap *catalog.Snapshot) []fleet.DomainID {
 	seen := map[fleet.DomainID]bool{}
-	for d := range snap.Out {
+	for d := range snap.DomainsOut {
 		seen[d] = true
 	}
 	for _, m := range snap.Members {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -42,18 +42,18 @@
 
 // Route says where the requests of a host and path prefix go and how they are to be treated.
 type Route struct {
-	Name      string
-	Host      string
-	Prefix    string // begins and ends with a slash
-	Kind      Kind
-	Resumable bool          // a stream may go on at another upstream after its last event
-	Public    bool          // needs no key
-	Shares    []Share       // at least one, with a weight above zero
-	Timeout   time.Duration // longest time a request may take, its answer included
-	Aim       time.Duration // time to the answer, or to the first event, that earns full credit; 0: none
-	MaxGap    time.Duration // longest pause between events of a stream in time; 0: none
-	Priority  int           // 0 is the most urgent
-	Attempts  int           // upstreams that one request may be sent to, at least 1
+	Name          string
+	Host          string
+	Prefix        string // begins and ends with a slash
+	Kind          Kind
+	Resumable     bool          // a stream may go on at another upstream after its last event
+	Public        bool          // needs no key
+	Shares        []Share       // at least one, with a weight above zero
+	Timeout       time.Duration // longest time a request may take, its answer included
+	TargetLatency time.Duration // time to the answer, or to the first event, that earns full credit; 0: none
+	MaxGap        time.Duration // longest pause between events of a stream in time; 0: none
+	Priority      int           // 0 is the most urgent
+	MaxAttempts   int           // upstreams that one request may be sent to, at least 1
 }
 
 // Repeatable tells whether a request of the route may run a second time.
@@ -63,15 +63,15 @@
 
 // Engine is how a service's model engines work, as its operators state it.
 type Engine struct {
-	Slots      int     // requests that are processed at once
-	Memory     int     // tokens of KV cache
-	Stride     int     // steps of a pass that has writers; an event comes at the end of a pass
-	Step       float64 // ms of a step
-	PerWriter  float64 // ms of a step for each request that writes
-	PerContext float64 // ms of a step for each 1,000 tokens of a writer's context
-	ReadPerMs  float64 // prompt tokens read in a ms
-	PairsPerM  float64 // ms for a million pairs of a token and any earlier one
-	Chunk      int     // prompt tokens read in a step, at most
+	Slots              int     // requests that are processed at once
+	KVCacheTokens      int     // tokens of KV cache
+	StepsPerPass       int     // steps of a pass that has writers; an event comes at the end of a pass
+	StepMs             float64 // ms of a step
+	PerDecodeMs        float64 // ms of a step for each request that writes
+	Per1000ContextMs   float64 // ms of a step for each 1,000 tokens of a writer's context
+	PrefillTokensPerMs float64 // prompt tokens read in a ms
+	MsPerMillionPairs  float64 // ms for a million pairs of a token and any earlier one
+	ChunkTokens        int     // prompt tokens read in a step, at most
 }
 
 // Service is a set of like upstreams.
@@ -107,12 +107,12 @@
 	Slots     int
 	Leaving   bool
 	ColdUntil time.Time // by this instance's steady clock; zero: not cold
-	Born      int64     // Unix ms of its start: another value under the same id is another process
+	StartTime int64     // Unix ms of its start: another value under the same id is another process
 	Revision  uint64    // of the store, at its last change
 }
 
 // Process is the start of the upstream that is known.
-func (u *Upstream) Process() fleet.Process { return fleet.Process{ID: u.ID, Born: u.Born} }
+func (u *Upstream) Process() fleet.Process { return fleet.Process{ID: u.ID, StartTime: u.StartTime} }
 
 // Member is another instance of damaskshelf.
 type Member struct {
--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -126,7 +126,7 @@
 // Snapshot is all that an instance knows of the fleet at a moment. It is immutable.
 type Snapshot struct {
 	Config       *Config // nil: none known yet
-	Out          map[fleet.DomainID]bool
+	DomainsOut   map[fleet.DomainID]bool
 	FleetVersion uint64 // of the store, as of which the upstreams are known
 	Members      []*Member
 
@@ -136,7 +136,7 @@
 
 // NewSnapshot indexes what is known. The arguments must not be changed afterwards.
 func NewSnapshot(c *Config, upstreams []*Upstream, out map[fleet.DomainID]bool, members []*Member, version uint64) *Snapshot {
-	return (&Snapshot{}).WithConfig(c).WithOut(out).WithMembers(members).WithUpstreams(upstreams, version)
+	return (&Snapshot{}).WithConfig(c).WithDomainsOut(out).WithMembers(members).WithUpstreams(upstreams, version)
 }
 
 // WithConfig gives the snapshot with another configuration; the rest is shared.
@@ -147,9 +147,9 @@
 }
 
 // WithOut gives the snapshot with other failure domains out; the rest is shared.
-func (s *Snapshot) WithOut(out map[fleet.DomainID]bool) *Snapshot {
+func (s *Snapshot) WithDomainsOut(out map[fleet.DomainID]bool) *Snapshot {
 	next := *s
-	next.Out = out
+	next.DomainsOut = out
 	return &next
 }
 
@@ -181,8 +181,8 @@
 func (s *Snapshot) Upstream(id fleet.UpstreamID) *Upstream { return s.upstreams[id] }
 
 // Running gives the upstream whose known start is that process, or nil.
-func (s *Snapshot) Running(p fleet.Process) *Upstream {
-	if u := s.upstreams[p.ID]; u != nil && u.Born == p.Born {
+func (s *Snapshot) UpstreamByProcess(p fleet.Process) *Upstream {
+	if u := s.upstreams[p.ID]; u != nil && u.StartTime == p.StartTime {
 		return u
 	}
 	return nil
@@ -192,4 +192,4 @@
 func (s *Snapshot) Upstreams(name ServiceName) []*Upstream { return s.byService[name] }
 
 // Open tells whether the upstream may get new work: it isn't leaving and its domain isn't taken out.
-func (s *Snapshot) Open(u *Upstream) bool { return !u.Leaving && !s.Out[u.Domain] }
+func (s *Snapshot) AcceptsWork(u *Upstream) bool { return !u.Leaving && !s.DomainsOut[u.Domain] }
--- a/internal/decide/advertised/limits.go
+++ b/internal/decide/advertised/limits.go
@@ -177,7 +177,7 @@
 		}
 	}
 	slices.SortFunc(observations, func(a, b Observation) int {
-		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born))
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.StartTime, b.StartTime))
 	})
 	return observations
 }
--- a/internal/decide/advertised/limits_test.go
+++ b/internal/decide/advertised/limits_test.go
@@ -15,7 +15,7 @@
 
 func at(ms int) decide.Instant { return decide.Instant(time.Duration(ms) * time.Millisecond) }
 
-var process = fleet.Process{ID: "u", Born: 7}
+var process = fleet.Process{ID: "u", StartTime: 7}
 
 func limited(rate float64, receivedMs int) advertised.Observation {
 	return advertised.Observation{Process: process, Limited: true, Rate: rate, SentAt: at(receivedMs - 10), ReceivedAt: at(receivedMs), ReceivedBy: "i"}
@@ -88,7 +88,7 @@
 	is := is.New(t)
 	l := advertised.New()
 	l.Apply(limited(2, 1000))
-	_, ok := l.Rate(fleet.Process{ID: process.ID, Born: process.Born + 1})
+	_, ok := l.Rate(fleet.Process{ID: process.ID, StartTime: process.StartTime + 1})
 	is.Equal(ok, false)
 }
 
@@ -103,7 +103,7 @@
 	}
 	is.Equal(len(l.Observations(at(0))), 10_000)
 	is.Equal(l.InForce(), 10_000)
-	_, ok := l.Rate(fleet.Process{ID: "11999", Born: process.Born})
+	_, ok := l.Rate(fleet.Process{ID: "11999", StartTime: process.StartTime})
 	is.True(ok)
 }
 
--- a/internal/execute/cost_test.go
+++ b/internal/execute/cost_test.go
@@ -98,7 +98,7 @@
 		id := fmt.Sprintf("engine-%05d", i)
 		f.engines[id] = &quickEngine{state: upstream.EngineState{BootID: "b", Loaded: []upstream.LoadedModel{{Model: model(i), Version: "1"}}}}
 		ups = append(ups, &fleet.Upstream{
-			ID: fleet.UpstreamID(id), Addr: id, Fencing: true, Memory: 100,
+			ID: fleet.UpstreamID(id), Addr: id, Fencing: true, KVCacheTokens: 100,
 			Domain: fleet.DomainID(fmt.Sprint("d", i%16)), Models: []string{model(i)},
 		})
 	}
--- a/internal/execute/job.go
+++ b/internal/execute/job.go
@@ -91,7 +91,7 @@
 func (j *job) services(v *fleet.View, loaded loadedOf, stage int) (map[string]order.ModelService, map[string]string) {
 	models, first := map[string]order.ModelService{}, map[string]string{}
 	for _, u := range v.Upstreams {
-		if u.Kind != fleet.Engine || !u.Takes() {
+		if u.Kind != fleet.Engine || !u.AcceptsWork() {
 			continue
 		}
 		id := string(u.ID)
--- a/internal/execute/round.go
+++ b/internal/execute/round.go
@@ -38,7 +38,7 @@
 func (x *Executor) round(view *fleet.View, stage int) *round {
 	r := &round{view: view, stage: stage, byShard: map[int][]*fleet.Upstream{}}
 	for _, u := range view.Upstreams {
-		if u.Kind == fleet.Engine && u.Takes() {
+		if u.Kind == fleet.Engine && u.AcceptsWork() {
 			n := ShardOf(string(u.ID))
 			r.byShard[n] = append(r.byShard[n], u)
 		}
--- a/internal/execute/world_test.go
+++ b/internal/execute/world_test.go
@@ -262,7 +262,7 @@
 	var ups []*fleet.Upstream
 	for _, e := range p.w.engines {
 		u := &fleet.Upstream{
-			ID: fleet.UpstreamID(e.id), Addr: e.id, Domain: fleet.DomainID(e.domain), Fencing: e.fencing, Memory: 100,
+			ID: fleet.UpstreamID(e.id), Addr: e.id, Domain: fleet.DomainID(e.domain), Fencing: e.fencing, KVCacheTokens: 100,
 		}
 		for m := range e.loaded {
 			u.Models = append(u.Models, m)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,8 +21,8 @@
 
 // Process is one start of an upstream: another start under the same id is another process, and knows nothing of this one.
 type Process struct {
-	ID   UpstreamID
-	Born int64 // Unix ms of its start; 0: it isn't known
+	ID        UpstreamID
+	StartTime int64 // Unix ms of its start; 0: it isn't known
 }
 
 // Instance is one entry instance.
@@ -45,22 +45,22 @@
 
 // Upstream is one engine or plain service as the instance list and the configuration show it.
 type Upstream struct {
-	ID      UpstreamID
-	Kind    UpstreamKind
-	Addr    string
-	Domain  DomainID
-	Region  RegionID
-	Service string   // plain service's name
-	Models  []string // models that it serves now, sorted
-	Long    bool     // in a long lane
-	Fencing bool     // refuses orders with an old fencing number
-	Memory  int64    // KV cache in tokens
-	Leaving bool
-	Out     bool // its failure domain is taken out
+	ID            UpstreamID
+	Kind          UpstreamKind
+	Addr          string
+	Domain        DomainID
+	Region        RegionID
+	Service       string   // plain service's name
+	Models        []string // models that it serves now, sorted
+	LongLane      bool     // in a long lane
+	Fencing       bool     // refuses orders with an old fencing number
+	KVCacheTokens int64    // KV cache in tokens
+	Leaving       bool
+	DomainOut     bool // its failure domain is taken out
 }
 
 // Takes tells whether the upstream may get new work.
-func (u *Upstream) Takes() bool { return !u.Leaving && !u.Out }
+func (u *Upstream) AcceptsWork() bool { return !u.Leaving && !u.DomainOut }
 
 // Serves tells whether the upstream has the model loaded.
 func (u *Upstream) Serves(model string) bool {
--- a/internal/follow/announce.go
+++ b/internal/follow/announce.go
@@ -20,7 +20,7 @@
 func (a announcing) Put(ctx context.Context, w objects.Write) (uint64, error) {
 	version, err := a.Store.Put(ctx, w)
 	if err == nil && w.Key == ConfigKey {
-		a.follower.Accepted(version, w.Value)
+		a.follower.ConfigAccepted(version, w.Value)
 	}
 	return version, err
 }
--- a/internal/follow/calls.go
+++ b/internal/follow/calls.go
@@ -50,8 +50,8 @@
 	switch {
 	case err != nil:
 		f.deps.Log.Debug("heartbeat failed", "peer", e.To.ID, "error", err)
-	case f.deps.PeerList != nil:
-		f.deps.PeerList(d.ListVersion, began)
+	case f.deps.OnPeerListVersion != nil:
+		f.deps.OnPeerListVersion(d.ListVersion, began)
 	}
 	f.handle(func(now decide.Instant) []relay.Effect { return f.node.HeartbeatDone(now, e, d, err == nil) })
 }
@@ -130,7 +130,7 @@
 			f.deps.Log.Info("instance list back", "version", l.Version)
 		}
 		failures, known = 0, f.takeList(l)
-		wait.For(ctx, storebudget.ReadInterval(len(l.Instances)*listRowBytes, f.deps.ListEvery, listBytes))
+		wait.For(ctx, storebudget.ReadInterval(len(l.Instances)*listRowBytes, f.deps.ListInterval, listBytes))
 	}
 }
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -31,15 +31,15 @@
 
 // Deps are what a Follower works with.
 type Deps struct {
-	Self      fleet.Instance // PeerAddr is not needed
-	Store     objects.Store
-	Instances objects.Instances
-	Keeper    *keeper.Keeper
-	ListEvery time.Duration // between reads of the instance list
-	Heartbeat time.Duration // between heartbeats to one peer
-	Log       hclog.Logger
+	Self              fleet.Instance // PeerAddr is not needed
+	Store             objects.Store
+	Instances         objects.Instances
+	Keeper            *keeper.Keeper
+	ListInterval      time.Duration // between reads of the instance list
+	HeartbeatInterval time.Duration // between heartbeats to one peer
+	Log               hclog.Logger
 	// PeerList is told the version of the instance list that a peer went by, not before at. May be nil.
-	PeerList func(version uint64, at time.Time)
+	OnPeerListVersion func(version uint64, at time.Time)
 }
 
 // Follower follows the fleet and feeds a Keeper. It is safe for concurrent use.
@@ -75,7 +75,7 @@
 	}
 	f.server = server
 	r := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	f.node = relay.NewNode(f.now(), relay.NewParams(d.Self, uint64(time.Now().UnixNano()), d.Heartbeat, r))
+	f.node = relay.NewNode(f.now(), relay.NewParams(d.Self, uint64(time.Now().UnixNano()), d.HeartbeatInterval, r))
 	f.guard = f.node.Guard()
 	f.config.Store(&relay.Config{})
 	return f, nil
@@ -274,7 +274,7 @@
 func (f *Follower) Config() relay.Config { return *f.config.Load() }
 
 // Accepted takes a configuration whose write by this instance is known to have taken effect.
-func (f *Follower) Accepted(version uint64, raw []byte) {
+func (f *Follower) ConfigAccepted(version uint64, raw []byte) {
 	packed, err := peer.Pack(raw)
 	if err != nil {
 		f.deps.Log.Error("configuration is not packed", "version", version, "error", err)
@@ -312,7 +312,7 @@
 
 // InForce tells how many of the instances that this one hears, itself among them, have a configuration
 // version in force, and how many those are.
-func (f *Follower) InForce(version uint64) (have, of int) {
+func (f *Follower) CountInForce(version uint64) (have, of int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	have, of = f.node.Members().CountInForce(f.now(), version)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -103,7 +103,7 @@
 	x.Follower, err = follow.New(follow.Deps{
 		Self:  fleet.Instance{ID: fleet.InstanceID(id), Domain: fleet.DomainID(domain)},
 		Store: store{Store: f.memory, down: &x.down}, Instances: f.list, Keeper: x.keeper,
-		ListEvery: 20 * time.Millisecond, Heartbeat: 50 * time.Millisecond, Log: hclog.NewNullLogger(),
+		ListInterval: 20 * time.Millisecond, HeartbeatInterval: 50 * time.Millisecond, Log: hclog.NewNullLogger(),
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -183,10 +183,10 @@
 	second := f.write(api.Config{DomainsOut: []string{"north"}}, first, f.all[3])
 	f.inForce(second)
 	for _, x := range f.all {
-		is.True(x.keeper.View().Upstream("engine-1").Out)
+		is.True(x.keeper.View().Upstream("engine-1").DomainOut)
 	}
 	eventually(t, "told by peers", func() bool {
-		have, of := f.all[0].InForce(second)
+		have, of := f.all[0].CountInForce(second)
 		return have == of && of > 1+member.DefaultFanout && of <= 9 // callers count beside peers
 	})
 }
@@ -214,10 +214,10 @@
 	u := f.all[0].keeper.View().Upstream("engine-1")
 	f.all[0].OnLoad(u, "boot-1", true)
 	for _, x := range f.all {
-		eventually(t, "leaving", func() bool { return !x.keeper.View().Upstream("engine-1").Takes() })
+		eventually(t, "leaving", func() bool { return !x.keeper.View().Upstream("engine-1").AcceptsWork() })
 	}
 	f.all[4].OnLoad(u, "boot-2", false)
-	eventually(t, "taken up again", func() bool { return f.all[4].keeper.View().Upstream("engine-1").Takes() })
+	eventually(t, "taken up again", func() bool { return f.all[4].keeper.View().Upstream("engine-1").AcceptsWork() })
 }
 
 // An instance that neither peers nor the store answer must refuse new work, and take it up again when it
--- a/internal/gateway/failure.go
+++ b/internal/gateway/failure.go
@@ -118,9 +118,9 @@
 		return false, "retry budget is spent"
 	case f.ran != fault.RunNo && !l.r.route.Repeatable():
 		return false, "may have run and must not run twice"
-	case l.attempts >= l.r.route.Attempts:
+	case l.attempts >= l.r.route.MaxAttempts:
 		return false, "attempt limit reached"
-	case l.sends >= l.r.route.Attempts+1:
+	case l.sends >= l.r.route.MaxAttempts+1:
 		return false, "send limit reached"
 	case !l.g.deps.RetryBudget.Allows(l.r.service):
 		return false, "retry budget is spent"
--- a/internal/gateway/lifecycle.go
+++ b/internal/gateway/lifecycle.go
@@ -118,7 +118,7 @@
 		return "upstream is gone"
 	case current.Leaving:
 		return "upstream is leaving"
-	case snap.Out[current.Domain]:
+	case snap.DomainsOut[current.Domain]:
 		return "failure domain is out"
 	case l.g.deps.HeldOff(current):
 		return "upstream wants nothing from here for now"
--- a/internal/gateway/lifecycle_test.go
+++ b/internal/gateway/lifecycle_test.go
@@ -30,7 +30,7 @@
 		"leaving":                  {snapshot: upstream(func(u *catalog.Upstream) { u.Leaving = true }), deadline: time.Second, canSend: true},
 		"serves another service":   {snapshot: upstream(func(u *catalog.Upstream) { u.Service = "other" }), deadline: time.Second, canSend: true},
 		"gone":                     {snapshot: catalog.NewSnapshot(nil, nil, nil, nil, 1), deadline: time.Second, canSend: true},
-		"domain is out":            {snapshot: unchanged.WithOut(map[fleet.DomainID]bool{"north": true}), deadline: time.Second, canSend: true},
+		"domain is out":            {snapshot: unchanged.WithDomainsOut(map[fleet.DomainID]bool{"north": true}), deadline: time.Second, canSend: true},
 		"wants nothing from here":  {snapshot: unchanged, heldOff: true, deadline: time.Second, canSend: true},
 		"instance was paused":      {snapshot: unchanged, paused: true, deadline: time.Second, usable: true},
 		"request has no time left": {snapshot: unchanged, usable: true},
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -93,7 +93,7 @@
 	if r.route == nil {
 		return nil
 	}
-	fields := []any{"class", r.class(), "prompt", r.PromptTokens, "workspace", r.workspace, "aim_ms", r.route.Aim.Milliseconds()}
+	fields := []any{"class", r.class(), "prompt", r.PromptTokens, "workspace", r.workspace, "aim_ms", r.route.TargetLatency.Milliseconds()}
 	if r.isStream() {
 		fields = append(fields, "gap_ms", r.route.MaxGap.Milliseconds())
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -121,7 +121,7 @@
 // placementRequest returns the request for a grant now. lastEventAt is when the last event arrived of a stream that
 // resumes on another upstream; zero means that the answer has not begun.
 func (r *request) placementRequest(now, lastEventAt time.Time, attempt int, avoid []fleet.UpstreamID) PlacementRequest {
-	start, target := r.arrived, r.route.Aim
+	start, target := r.arrived, r.route.TargetLatency
 	if !lastEventAt.IsZero() {
 		// The caller has waited since the last event, and the longest pause that is in time replaces the latency
 		// target.
@@ -146,7 +146,7 @@
 
 // silenceTolerance returns how long the caller waits for a silent stream before it gives up.
 func (r *request) silenceTolerance() time.Duration {
-	return max(minSilenceTolerance, toleranceTargets*r.route.Aim, toleranceGaps*r.route.MaxGap)
+	return max(minSilenceTolerance, toleranceTargets*r.route.TargetLatency, toleranceGaps*r.route.MaxGap)
 }
 
 // dispatchMeta returns what is stated to an upstream along with the request.
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -15,7 +15,7 @@
 // just like one that an instance resumes by itself.
 func TestStreamResumedByCallerCountsAsResumed(t *testing.T) {
 	is := is.New(t)
-	route := &catalog.Route{Kind: catalog.Stream, Aim: 300 * time.Millisecond, MaxGap: 200 * time.Millisecond}
+	route := &catalog.Route{Kind: catalog.Stream, TargetLatency: 300 * time.Millisecond, MaxGap: 200 * time.Millisecond}
 	now := time.Now()
 	r := &request{route: route, arrived: now, deadline: now.Add(10 * time.Second)}
 	is.True(!r.placementRequest(now, time.Time{}, 1, nil).Resumed)
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -30,7 +30,7 @@
 func (l *lifecycle) startWatchdog() context.Context {
 	l.watchdog = nil
 	timeout := l.grant.AnswerTimeout()
-	if timeout == 0 || !l.r.route.Repeatable() || l.attempts+1 >= l.r.route.Attempts {
+	if timeout == 0 || !l.r.route.Repeatable() || l.attempts+1 >= l.r.route.MaxAttempts {
 		return l.ctx
 	}
 	ctx, cancel := context.WithCancelCause(l.ctx)
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -136,11 +136,11 @@
 	u := &fleet.Upstream{
 		ID: id, Addr: i.Addr,
 		Domain: fleet.DomainID(i.Domain), Region: fleet.RegionID(i.Region),
-		Service: i.Service, Fencing: i.Fencing, Memory: i.Memory,
-		Models:  k.served[id].Models,
-		Long:    k.served[id].Long,
-		Leaving: i.State == wire.StateLeaving || slices.Contains(k.leaving, id),
-		Out:     slices.Contains(k.config.DomainsOut, i.Domain),
+		Service: i.Service, Fencing: i.Fencing, KVCacheTokens: i.Memory,
+		Models:    k.served[id].Models,
+		LongLane:  k.served[id].Long,
+		Leaving:   i.State == wire.StateLeaving || slices.Contains(k.leaving, id),
+		DomainOut: slices.Contains(k.config.DomainsOut, i.Domain),
 	}
 	if i.Kind == wire.KindService {
 		u.Kind = fleet.Service
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -28,6 +28,6 @@
 			ID: fleet.InstanceID(s.Instance), Domain: fleet.DomainID(s.FailureDomain), Region: fleet.RegionID(s.Region),
 		},
 		Store: store, Instances: listTap{p, l}, Keeper: k, Log: log,
-		ListEvery: time.Duration(s.Intervals.InstanceList), Heartbeat: time.Duration(s.Intervals.Heartbeat), PeerList: l.OnPeerList,
+		ListInterval: time.Duration(s.Intervals.InstanceList), HeartbeatInterval: time.Duration(s.Intervals.Heartbeat), OnPeerListVersion: l.OnPeerList,
 	})
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -50,7 +50,7 @@
 		Token:     s.OperatorToken,
 		Upstreams: c,
 		Explain:   explainer(rec),
-		InForce:   f.InForce,
+		InForce:   f.CountInForce,
 	})
 	r.GET("/metrics", func(ctx *fasthttp.RequestCtx) { ctx.SetBody(m.Text()) })
 	return &operators{
--- a/internal/operate/command/survey.go
+++ b/internal/operate/command/survey.go
@@ -102,8 +102,8 @@
 			continue
 		}
 		all = append(all, plan.Engine{
-			ID: string(u.ID), Domain: string(u.Domain), Memory: u.Memory, Loaded: p.loaded,
-			AvailableBefore: u.Takes(), AvailableAfter: usable(u, after),
+			ID: string(u.ID), Domain: string(u.Domain), Memory: u.KVCacheTokens, Loaded: p.loaded,
+			AvailableBefore: u.AcceptsWork(), AvailableAfter: usable(u, after),
 		})
 	}
 	return all
@@ -134,7 +134,7 @@
 		}
 		for _, l := range p.loaded {
 			count(&all[at("model", l.Model)], p.upstream, after)
-			if p.busy >= 0 && p.upstream.Takes() {
+			if p.busy >= 0 && p.upstream.AcceptsWork() {
 				sum[l.Model] += p.busy
 				known[l.Model]++
 			}
@@ -149,12 +149,12 @@
 }
 
 func count(g *drain.Group, u *fleet.Upstream, after api.Config) {
-	if u.Takes() {
+	if u.AcceptsWork() {
 		g.UpstreamsBefore++
-		g.MemoryBefore += u.Memory
+		g.MemoryBefore += u.KVCacheTokens
 	}
 	if usable(u, after) {
 		g.UpstreamsAfter++
-		g.MemoryAfter += u.Memory
+		g.MemoryAfter += u.KVCacheTokens
 	}
 }
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -90,8 +90,8 @@
 		ups = append(ups, &fleet.Upstream{
 			ID: fleet.UpstreamID(fmt.Sprintf("engine-%d", i)), Domain: fleet.DomainID([]string{"a", "b", "c"}[i%3]),
 			Addr:   fmt.Sprintf("engine-%d", i),
-			Models: []string{"m"}, Memory: 1000, Fencing: true,
-			Out: slices.Contains(cfg.DomainsOut, []string{"a", "b", "c"}[i%3]),
+			Models: []string{"m"}, KVCacheTokens: 1000, Fencing: true,
+			DomainOut: slices.Contains(cfg.DomainsOut, []string{"a", "b", "c"}[i%3]),
 		})
 	}
 	return fleet.NewView(version, cfg, 1, nil, ups)
--- a/internal/operate/query/status.go
+++ b/internal/operate/query/status.go
@@ -94,7 +94,7 @@
 func taking(upstreams []*fleet.Upstream) int {
 	n := 0
 	for _, u := range upstreams {
-		if u.Takes() {
+		if u.AcceptsWork() {
 			n++
 		}
 	}
@@ -107,7 +107,7 @@
 		switch {
 		case u.Leaving:
 			c.Leaving++
-		case u.Out:
+		case u.DomainOut:
 			c.Out++
 		default:
 			c.Live++
--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -84,7 +84,7 @@
 		orderCheck: make(chan struct{}, 1),
 	}
 	c.local = NewLocalPlacer(f.Snapshot, c.limits.isLimited)
-	f.Share(c.queueChange)
+	f.ShareReads(c.queueChange)
 	return c
 }
 
--- a/internal/placement/convert.go
+++ b/internal/placement/convert.go
@@ -65,15 +65,15 @@
 // dispatchModel returns the performance model of a service's engines, or nil for a plain service.
 func dispatchModel(s *catalog.Service) *dispatch.Model {
 	e := s.Engine
-	if e == nil || e.ReadPerMs <= 0 {
+	if e == nil || e.PrefillTokensPerMs <= 0 {
 		return nil
 	}
-	memory := e.Memory
+	memory := e.KVCacheTokens
 	if memory <= 0 {
 		memory = math.MaxInt32 // not configured
 	}
 	return &dispatch.Model{
-		Slots: max(1, e.Slots), KVCacheTokens: memory, StepsPerPass: e.Stride, StepMs: e.Step, PerDecodeMs: e.PerWriter,
-		Per1000ContextMs: e.PerContext, PrefillTokensPerMs: e.ReadPerMs, MsPerMillionPairs: e.PairsPerM, ChunkTokens: e.Chunk,
+		Slots: max(1, e.Slots), KVCacheTokens: memory, StepsPerPass: e.StepsPerPass, StepMs: e.StepMs, PerDecodeMs: e.PerDecodeMs,
+		Per1000ContextMs: e.Per1000ContextMs, PrefillTokensPerMs: e.PrefillTokensPerMs, MsPerMillionPairs: e.MsPerMillionPairs, ChunkTokens: e.ChunkTokens,
 	}
 }
--- a/internal/placement/departures.go
+++ b/internal/placement/departures.go
@@ -22,16 +22,16 @@
 // dispatcher.
 func (c *Client) MarkLeaving(u *catalog.Upstream, sign string) {
 	p := u.Process()
-	if now := c.snapshot().Running(p); now != nil && now.Leaving {
+	if now := c.snapshot().UpstreamByProcess(p); now != nil && now.Leaving {
 		return
 	}
-	if c.follower.Left(p, sign, c.self) {
+	if c.follower.MarkLeaving(p, sign, c.self) {
 		c.sendToDispatcher(&pb.FromEntry{Departures: []*pb.Departure{departureMessage(p, sign, c.self)}})
 	}
 }
 
 func departureMessage(p fleet.Process, sign string, by fleet.InstanceID) *pb.Departure {
-	return &pb.Departure{Upstream: string(p.ID), Born: p.Born, Sign: sign, By: string(by)}
+	return &pb.Departure{Upstream: string(p.ID), Born: p.StartTime, Sign: sign, By: string(by)}
 }
 
 func departureMessages(all []fleet.Process) []*pb.Departure {
@@ -53,7 +53,7 @@
 }
 
 func departedProcess(m *pb.Departure) fleet.Process {
-	return fleet.Process{ID: fleet.UpstreamID(m.Upstream), Born: m.Born}
+	return fleet.Process{ID: fleet.UpstreamID(m.Upstream), StartTime: m.Born}
 }
 
 // applyDepartures records the departures that an instance reports, and broadcasts the new ones; mu is held.
@@ -61,7 +61,7 @@
 	var added []*pb.Departure
 	for _, m := range all {
 		p := departedProcess(m)
-		h.follower.Left(p, m.Sign, fleet.InstanceID(m.By))
+		h.follower.MarkLeaving(p, m.Sign, fleet.InstanceID(m.By))
 		if h.announcedDepartures[p] {
 			continue
 		}
--- a/internal/placement/departures_test.go
+++ b/internal/placement/departures_test.go
@@ -20,7 +20,7 @@
 func (upstreamDecoder) Config(wire.Object) (*catalog.Config, error) { return &catalog.Config{}, nil }
 
 func (upstreamDecoder) Upstream(o wire.Object, _ time.Time) (*catalog.Upstream, error) {
-	return &catalog.Upstream{ID: fleet.UpstreamID(o.Name), Service: "s", Born: 7, Revision: o.Version}, nil
+	return &catalog.Upstream{ID: fleet.UpstreamID(o.Name), Service: "s", StartTime: 7, Revision: o.Version}, nil
 }
 
 // recordingSink is a sink that records the departures that it is sent.
@@ -30,13 +30,13 @@
 
 func followerWithUpstreams(upstreams ...string) *watch.Follower {
 	f := watch.New(watch.Deps{
-		Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Decoder: upstreamDecoder{}, Log: hclog.NewNullLogger(),
+		Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Decoder: upstreamDecoder{}, Log: hclog.NewNullLogger(),
 	})
-	c := watch.Change{Kind: "u", Whole: true, To: 1}
+	c := watch.Change{Kind: "u", Full: true, To: 1}
 	for _, id := range upstreams {
 		c.Objects = append(c.Objects, wire.Object{Kind: "u", Name: id, Version: 1})
 	}
-	f.Offer(c)
+	f.ApplyChange(c)
 	return f
 }
 
@@ -44,7 +44,7 @@
 func TestNewDispatcherLearnsDepartures(t *testing.T) {
 	is := is.New(t)
 	c := NewClient("i1", "d", followerWithUpstreams("x", "y"), hclog.NewNullLogger())
-	c.MarkLeaving(&catalog.Upstream{ID: "x", Born: 7}, "its answer")
+	c.MarkLeaving(&catalog.Upstream{ID: "x", StartTime: 7}, "its answer")
 	first := c.firstMessage()
 	is.Equal(len(first.Departures), 1)
 	h := newHub(followerWithUpstreams("x", "y"), hclog.NewNullLogger())
@@ -66,9 +66,9 @@
 	is := is.New(t)
 	c := NewClient("i1", "d", followerWithUpstreams("x", "y", "z"), hclog.NewNullLogger())
 	c.session = &session{peerID: "old", end: func() {}, send: func(*pb.FromEntry) {}}
-	c.MarkLeaving(&catalog.Upstream{ID: "x", Born: 7}, "its answer")
+	c.MarkLeaving(&catalog.Upstream{ID: "x", StartTime: 7}, "its answer")
 	first := c.firstMessage()
-	c.MarkLeaving(&catalog.Upstream{ID: "y", Born: 7}, "its answer")
+	c.MarkLeaving(&catalog.Upstream{ID: "y", StartTime: 7}, "its answer")
 	var since *pb.FromEntry
 	c.switchSession(&session{peerID: "next", firstMessage: first, end: func() {}, send: func(m *pb.FromEntry) { since = m }})
 	is.Equal(len(since.Departures), 1)
--- a/internal/placement/holdoff.go
+++ b/internal/placement/holdoff.go
@@ -37,7 +37,7 @@
 	}
 	h.until[p] = until
 	h.count.Store(int32(len(h.until)))
-	h.log.Info("upstream wants nothing from here", "upstream", u.ID, "born", u.Born, "for_ms", time.Until(until).Milliseconds())
+	h.log.Info("upstream wants nothing from here", "upstream", u.ID, "born", u.StartTime, "for_ms", time.Until(until).Milliseconds())
 }
 
 // active reports whether a holdoff of an upstream is in effect now.
--- a/internal/placement/holdoff_test.go
+++ b/internal/placement/holdoff_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHoldoffs(hclog.NewNullLogger())
-		u, again := &catalog.Upstream{ID: "u", Born: 7}, &catalog.Upstream{ID: "u", Born: 8}
+		u, again := &catalog.Upstream{ID: "u", StartTime: 7}, &catalog.Upstream{ID: "u", StartTime: 8}
 		h.set(u, time.Now().Add(3*time.Second))
 		h.set(u, time.Now().Add(time.Second)) // a later answer with a shorter holdoff does not shorten it
 		is.True(h.active(u))
--- a/internal/placement/hub.go
+++ b/internal/placement/hub.go
@@ -295,9 +295,9 @@
 	var open []dispatch.Upstream
 	wallNow := time.Now()
 	for _, u := range snap.Upstreams(name) {
-		if snap.Open(u) {
+		if snap.AcceptsWork(u) {
 			open = append(open, dispatch.Upstream{
-				ID: u.ID, Domain: u.Domain, Slots: u.Slots, Born: u.Born, ColdUntil: now.Add(u.ColdUntil.Sub(wallNow)),
+				ID: u.ID, Domain: u.Domain, Slots: u.Slots, Born: u.StartTime, ColdUntil: now.Add(u.ColdUntil.Sub(wallNow)),
 			})
 		}
 	}
--- a/internal/placement/limits.go
+++ b/internal/placement/limits.go
@@ -52,7 +52,7 @@
 	t.known.Store(int32(t.limits.Tracked()))
 	t.mu.Unlock()
 	if change != advertised.Unchanged && change != advertised.Renewed {
-		t.log.Info("upstream's limit", "reason", change, "upstream", s.ID, "born", s.Born, "requests_per_s", s.Rate, "heard_by", s.ReceivedBy,
+		t.log.Info("upstream's limit", "reason", change, "upstream", s.ID, "born", s.StartTime, "requests_per_s", s.Rate, "heard_by", s.ReceivedBy,
 			"age_ms", t.now().Sub(s.ReceivedAt).Milliseconds())
 	}
 	return change
@@ -81,7 +81,7 @@
 	t.mu.Unlock()
 	var out []*pb.Limit
 	for _, s := range all {
-		if snap.Running(s.Process) != nil {
+		if snap.UpstreamByProcess(s.Process) != nil {
 			out = append(out, limitMessage(s, now))
 		}
 	}
@@ -90,7 +90,7 @@
 
 func limitMessage(s advertised.Observation, now decide.Instant) *pb.Limit {
 	return &pb.Limit{
-		Upstream: string(s.ID), Born: s.Born, Limited: s.Limited, Rate: s.Rate, By: string(s.ReceivedBy),
+		Upstream: string(s.ID), Born: s.StartTime, Limited: s.Limited, Rate: s.Rate, By: string(s.ReceivedBy),
 		SentMs: now.Sub(s.SentAt).Milliseconds(), HeardMs: now.Sub(s.ReceivedAt).Milliseconds(),
 	}
 }
@@ -99,7 +99,7 @@
 func (t *limitTable) decode(m *pb.Limit) advertised.Observation {
 	now := t.now()
 	return advertised.Observation{
-		Process: fleet.Process{ID: fleet.UpstreamID(m.Upstream), Born: m.Born}, Limited: m.Limited, Rate: m.Rate,
+		Process: fleet.Process{ID: fleet.UpstreamID(m.Upstream), StartTime: m.Born}, Limited: m.Limited, Rate: m.Rate,
 		SentAt: now.Add(-ms(m.SentMs)), ReceivedAt: now.Add(-ms(m.HeardMs)), ReceivedBy: fleet.InstanceID(m.By),
 	}
 }
--- a/internal/placement/limits_test.go
+++ b/internal/placement/limits_test.go
@@ -74,14 +74,14 @@
 		all[i] = &catalog.Member{ID: fleet.InstanceID(fmt.Sprint("i", i)), CPUShare: 1, Domain: "d"}
 	}
 	upstreams := []*catalog.Upstream{
-		{ID: "needy", Service: "s", Domain: "d", Slots: 16, Born: 1}, {ID: "sound", Service: "s", Domain: "d", Slots: 400, Born: 1},
+		{ID: "needy", Service: "s", Domain: "d", Slots: 16, StartTime: 1}, {ID: "sound", Service: "s", Domain: "d", Slots: 400, StartTime: 1},
 	}
 	return catalog.NewSnapshot(&catalog.Config{}, upstreams, nil, all, 1)
 }
 
 func (f *limitedFleet) newInstance(i int, snapshot func() *catalog.Snapshot) *limitedInstance {
 	log := hclog.NewNullLogger()
-	w := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: log})
+	w := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Log: log})
 	n := &limitedInstance{fleet: f, id: fleet.InstanceID(fmt.Sprint("i", i)), hub: newHub(w, log), limits: newLimitTable(log)}
 	n.hub.snapshot = snapshot
 	n.local = NewLocalPlacer(snapshot, n.limits.isLimited)
@@ -413,7 +413,7 @@
 	is := is.New(t)
 	c := NewClient("i1", "d", followerWithUpstreams("x", "y"), hclog.NewNullLogger())
 	c.ObserveAnswer(c.snapshot().Upstream("x"), gateway.Answer{HasLimit: true, Limit: 2}, time.Now())
-	c.ObserveAnswer(&catalog.Upstream{ID: "gone", Born: 7}, gateway.Answer{HasLimit: true, Limit: 2}, time.Now())
+	c.ObserveAnswer(&catalog.Upstream{ID: "gone", StartTime: 7}, gateway.Answer{HasLimit: true, Limit: 2}, time.Now())
 	first := c.firstMessage()
 	is.Equal(len(first.Limits), 1)
 	is.Equal(first.Limits[0].Upstream, "x")
--- a/internal/placement/local.go
+++ b/internal/placement/local.go
@@ -37,7 +37,7 @@
 	defer l.mu.Unlock()
 	var best *catalog.Upstream
 	for _, u := range snap.Upstreams(a.Service) {
-		if !snap.Open(u) || slices.Contains(a.Avoid, u.ID) || l.isLimited(u) {
+		if !snap.AcceptsWork(u) || slices.Contains(a.Avoid, u.ID) || l.isLimited(u) {
 			continue
 		}
 		if best == nil || l.loadPerSlot(u) < l.loadPerSlot(best) {
--- a/internal/placement/reading.go
+++ b/internal/placement/reading.go
@@ -18,7 +18,7 @@
 const unprovenAge = time.Hour
 
 var rolesByDuty = map[pb.ToEntry_Duty]watch.Role{
-	pb.ToEntry_AS_BEFORE: watch.Told, pb.ToEntry_TOLD: watch.Told,
+	pb.ToEntry_AS_BEFORE: watch.Receiver, pb.ToEntry_TOLD: watch.Receiver,
 	pb.ToEntry_FIRST: watch.FirstReader, pb.ToEntry_SECOND: watch.SecondReader,
 }
 
@@ -36,7 +36,7 @@
 // dispatcher would drop the work of an instance that sends nothing for that long.
 func (c *Client) sendHeartbeats(ctx context.Context, s *session) {
 	for wait.For(ctx, heartbeatInterval) {
-		s.send(&pb.FromEntry{Reads: proofMessages(c.follower.Reads())})
+		s.send(&pb.FromEntry{Reads: proofMessages(c.follower.ReaderProofs())})
 	}
 }
 
@@ -93,7 +93,7 @@
 	report := readers.Report{ProofAge: unprovenAge}
 	for _, m := range reads {
 		p := decodeProof(m)
-		report.FailingFor = max(report.FailingFor, p.Failing)
+		report.FailingFor = max(report.FailingFor, p.FailingFor)
 		if p.Known {
 			report.ProofAge = min(report.ProofAge, p.Age)
 		}
@@ -102,7 +102,7 @@
 	outage := h.readers.OutageDuration(now)
 	for _, m := range reads {
 		p := decodeProof(m)
-		p.Failing = outage
-		h.follower.Prove(p) // if changes are missing here, the reader sends a full copy
+		p.FailingFor = outage
+		h.follower.ApplyProof(p) // if changes are missing here, the reader sends a full copy
 	}
 }
--- a/internal/placement/reading_test.go
+++ b/internal/placement/reading_test.go
@@ -22,9 +22,9 @@
 	roles := func() (reading, notReading int) {
 		for _, p := range all {
 			switch {
-			case p.follower.Role().Reads():
+			case p.follower.Role().IsReader():
 				reading++
-			case p.follower.Role() == watch.Told:
+			case p.follower.Role() == watch.Receiver:
 				notReading++
 			}
 		}
@@ -35,7 +35,7 @@
 		return reading == 2 && notReading == 1 && first.follower.Role() == watch.FirstReader
 	})
 	all = []*testClient{first, second}
-	if third.follower.Role().Reads() {
+	if third.follower.Role().IsReader() {
 		all = []*testClient{first, third}
 	}
 	gone := all[1]
@@ -47,7 +47,7 @@
 	waitUntil(t, "two instances read again", func() bool {
 		reading := 0
 		for _, p := range []*testClient{first, second, third} {
-			if p.follower.Role().Reads() {
+			if p.follower.Role().IsReader() {
 				reading++
 			}
 		}
@@ -115,7 +115,7 @@
 func TestHeartbeatRotatesProofsAndIncludesChangedKinds(t *testing.T) {
 	is := is.New(t)
 	rotation := &proofRotation{sentRevision: map[string]uint64{}}
-	all := []watch.Proof{{Kind: "c", Known: true, Latest: 1}, {Kind: "o", Known: true, Latest: 1}, {Kind: "u", Known: true, Latest: 1}}
+	all := []watch.Proof{{Kind: "c", Known: true, LastChange: 1}, {Kind: "o", Known: true, LastChange: 1}, {Kind: "u", Known: true, LastChange: 1}}
 	is.Equal(len(rotation.dueProofs(all)), 3) // no proof has been sent yet
 	seen := map[string]int{}
 	for range 30 {
@@ -124,7 +124,7 @@
 		seen[due[0].Kind]++
 	}
 	is.Equal(seen, map[string]int{"c": 10, "o": 10, "u": 10})
-	all[0].Latest = 2
+	all[0].LastChange = 2
 	kinds := map[string]bool{}
 	for _, p := range rotation.dueProofs(all) {
 		kinds[p.Kind] = true
@@ -141,7 +141,7 @@
 		addrs[fleet.InstanceID(fmt.Sprint("i", i))] = deadAddr
 	}
 	p.setMembers(t, 1, addrs)
-	p.follower.Offer(watch.Change{Kind: "o", Whole: true, To: 9})
+	p.follower.ApplyChange(watch.Change{Kind: "o", Full: true, To: 9})
 	first := p.dispatcherOrder()[:catchUpSenders]
 	for _, m := range first {
 		is.True(m.ID != "i-last") // precondition of this test
--- a/internal/placement/relay_test.go
+++ b/internal/placement/relay_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	l := &resettableListener{Listener: bound}
-	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: hclog.NewNullLogger()})
+	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Log: hclog.NewNullLogger()})
 	p := &testClient{Client: NewClient(id, domain, f, hclog.NewNullLogger()), addr: l.Addr().String(), listener: l}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 2)
@@ -92,7 +92,7 @@
 // setMembersOf gives the client members at addresses that have started as an incarnation.
 func (p *testClient) setMembersOf(t *testing.T, revision, incarnation uint64, addrs map[fleet.InstanceID]string) {
 	t.Helper()
-	c := watch.Change{Kind: watch.KindMembers, Whole: true, To: revision}
+	c := watch.Change{Kind: watch.KindMembers, Full: true, To: revision}
 	for id, addr := range addrs {
 		raw, err := json.Marshal(map[string]any{"peer_addr": addr, "cpu_share": 1, "incarnation": incarnation, "failure_domain": "d-" + string(id)})
 		if err != nil {
@@ -100,7 +100,7 @@
 		}
 		c.Objects = append(c.Objects, wire.Object{Kind: watch.KindMembers, Name: string(id), Version: revision, Value: raw})
 	}
-	p.follower.Offer(c)
+	p.follower.ApplyChange(c)
 }
 
 func (p *testClient) attached(id fleet.InstanceID) bool { return p.hub.attached(id) }
@@ -124,7 +124,7 @@
 		addrs[id] = all[id].addr
 	}
 	// A client that is not a member itself computes the order.
-	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: hclog.NewNullLogger()})
+	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Log: hclog.NewNullLogger()})
 	probe := &testClient{Client: NewClient("probe", "d", f, hclog.NewNullLogger())}
 	probe.setMembers(t, 1, addrs)
 	var order []*testClient
@@ -184,7 +184,7 @@
 // The instance must place them by its own view.
 func TestRequestsArePlacedLocallyWithoutDispatcher(t *testing.T) {
 	is := is.New(t)
-	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: hclog.NewNullLogger()})
+	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Log: hclog.NewNullLogger()})
 	c := NewClient("i1", "d", f, hclog.NewNullLogger())
 	asked := make(chan struct{}, 1)
 	ended := make(chan struct{})
@@ -268,7 +268,7 @@
 // heartbeat of each other.
 func TestDeadMemberDoesNotDelayNextDispatcher(t *testing.T) {
 	is := is.New(t)
-	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: hclog.NewNullLogger()})
+	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Log: hclog.NewNullLogger()})
 	h := newHub(f, hclog.NewNullLogger())
 	p := &testClient{Client: &Client{follower: f, hub: h}}
 	p.setMembers(t, 2, map[fleet.InstanceID]string{"dead": deadAddr, "i1": deadAddr, "i2": deadAddr})
@@ -302,7 +302,7 @@
 
 // loadUpstreams gives the client a full copy of the upstreams, which is empty.
 func (p *testClient) loadUpstreams() {
-	p.follower.Offer(watch.Change{Kind: "u", Whole: true, To: 1})
+	p.follower.ApplyChange(watch.Change{Kind: "u", Full: true, To: 1})
 }
 
 // Guards against short prompts that are late for half a second after connections were reset. If all other instances
@@ -333,7 +333,7 @@
 // and place by their own work alone. Requests wait for the next session, which receives them.
 func TestRequestsWaitForNextSession(t *testing.T) {
 	is := is.New(t)
-	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: hclog.NewNullLogger()})
+	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Log: hclog.NewNullLogger()})
 	c := NewClient("i1", "d", f, hclog.NewNullLogger())
 	answered := make(chan error, 1)
 	go func() {
@@ -362,7 +362,7 @@
 // a new incarnation is contacted at once.
 func TestRestartedInstanceLeavesBackoff(t *testing.T) {
 	is := is.New(t)
-	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: hclog.NewNullLogger()})
+	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Log: hclog.NewNullLogger()})
 	p := &testClient{Client: NewClient("i1", "d", f, hclog.NewNullLogger())}
 	addrs := map[fleet.InstanceID]string{"i1": deadAddr, "i2": deadAddr}
 	resting := func() bool {
@@ -385,7 +385,7 @@
 // is in use, so that its end goes to the old dispatcher only. All changes in between are reported again.
 func TestChangesDuringSessionSwitchAreReported(t *testing.T) {
 	is := is.New(t)
-	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: hclog.NewNullLogger()})
+	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Log: hclog.NewNullLogger()})
 	c := NewClient("i1", "d", f, hclog.NewNullLogger())
 	c.session = &session{peerID: "old", end: func() {}, send: func(*pb.FromEntry) {}}
 	run := func(id fleet.RequestID, on fleet.UpstreamID) *dispatchedGrant {
@@ -428,17 +428,17 @@
 func TestDispatcherThatMissedChangeReceivesFullCopy(t *testing.T) {
 	first, second, _, _ := newConnectedClients(t)
 	for _, p := range []*testClient{first, second} {
-		p.follower.Offer(watch.Change{Kind: "o", Whole: true, To: 1})
+		p.follower.ApplyChange(watch.Change{Kind: "o", Full: true, To: 1})
 	}
 	waitUntil(t, "the second is attached", func() bool { return first.directlyAttached(second.self) })
 	out := func(from, to uint64) watch.Change {
 		return watch.Change{Kind: "o", From: from, To: to, Objects: []wire.Object{{Kind: "o", Name: "north", Version: to, Value: []byte("{}")}}}
 	}
-	second.follower.Offer(out(1, 5))
-	second.follower.Offer(out(5, 7))
+	second.follower.ApplyChange(out(1, 5))
+	second.follower.ApplyChange(out(5, 7))
 	second.queueChange(out(5, 7), true) // as a reader of the store reports it
 	waitUntil(t, "the first knows the domain is out", func() bool {
-		c, _ := first.follower.Whole("o")
+		c, _ := first.follower.FullCopy("o")
 		return len(c.Objects) == 1 && c.Objects[0].Version == 7
 	})
 }
--- a/internal/placement/requests.go
+++ b/internal/placement/requests.go
@@ -41,7 +41,7 @@
 func (c *Client) receive(m *pb.ToEntry) {
 	c.deliverRelayed(m.Back)
 	for _, d := range m.Departures {
-		c.follower.Left(departedProcess(d), d.Sign, fleet.InstanceID(d.By))
+		c.follower.MarkLeaving(departedProcess(d), d.Sign, fleet.InstanceID(d.By))
 	}
 	for _, l := range m.Limits {
 		c.limits.record(c.limits.decode(l))
@@ -157,14 +157,14 @@
 	}
 	g := &dispatchedGrant{c: c, ask: w.ask, askedAt: w.askedAt, upstream: u, reason: r.place.Reason, overdue: ms(r.place.OverdueMs)}
 	for _, id := range r.place.Helpers {
-		if h := snap.Upstream(fleet.UpstreamID(id)); h != nil && snap.Open(h) {
+		if h := snap.Upstream(fleet.UpstreamID(id)); h != nil && snap.AcceptsWork(h) {
 			g.helpers = append(g.helpers, h.ID)
 			g.addrs = append(g.addrs, h.Addr)
 		}
 	}
 	for _, m := range r.place.Holders {
 		h := snap.Upstream(fleet.UpstreamID(m.Upstream))
-		if h == nil || !snap.Open(h) {
+		if h == nil || !snap.AcceptsWork(h) {
 			// The prompt can't be processed without all of its memory, so it needs another place.
 			c.sendToDispatcher(&pb.FromEntry{Withdrawn: []string{string(w.ask.ID)}})
 			return nil, fault.New(fault.NoUpstream, "holder %s is not open here", m.Upstream)
--- a/internal/placement/session.go
+++ b/internal/placement/session.go
@@ -122,7 +122,7 @@
 		return raw.Send(&pb.ToEntry{}) // confirms receipt
 	}
 	if len(s.c.dispatcherOrder()) == 0 {
-		s.c.follower.ListNow()
+		s.c.follower.ListMembersNow()
 	}
 	instance := fleet.InstanceID(first.Entry)
 	ctx, cancel := context.WithCancel(raw.Context())
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -33,8 +33,8 @@
 
 // newChangeMessage returns the message of a change with the given objects, which it packs if they are long.
 func newChangeMessage(c watch.Change, objects []*pb.Object) (*pb.Change, error) {
-	m := &pb.Change{Kind: c.Kind, Whole: c.Whole, From: c.From, To: c.To, Deleted: c.Deleted, Lapsing: c.Lapsing, Objects: objects}
-	for _, span := range c.Without {
+	m := &pb.Change{Kind: c.Kind, Whole: c.Full, From: c.From, To: c.To, Deleted: c.Deleted, Lapsing: c.Lapsing, Objects: objects}
+	for _, span := range c.EmptySpans {
 		m.Without = append(m.Without, &pb.Span{After: span.After, Through: span.Through})
 	}
 	length := 0
@@ -72,7 +72,7 @@
 		key := c.Kind + "/" + o.Name
 		base, known := l[key]
 		l[key] = o
-		if !known || c.Whole {
+		if !known || c.Full {
 			continue
 		}
 		difference, err := packed.Difference(base.Value, o.Value)
@@ -91,9 +91,9 @@
 
 // decodeChange decodes a change. lookup returns the object held here, for objects that arrive as differences.
 func decodeChange(m *pb.Change, lookup func(kind, name string) (wire.Object, bool)) (watch.Change, error) {
-	c := watch.Change{Kind: m.Kind, Whole: m.Whole, From: m.From, To: m.To, Deleted: m.Deleted, Lapsing: m.Lapsing}
+	c := watch.Change{Kind: m.Kind, Full: m.Whole, From: m.From, To: m.To, Deleted: m.Deleted, Lapsing: m.Lapsing}
 	for _, span := range m.Without {
-		c.Without = append(c.Without, watch.Span{After: span.After, Through: span.Through})
+		c.EmptySpans = append(c.EmptySpans, watch.Span{After: span.After, Through: span.Through})
 	}
 	all := m.Objects
 	if len(m.Packed) > 0 {
@@ -152,8 +152,8 @@
 	out := make([]*pb.Proof, len(all))
 	for i, p := range all {
 		out[i] = &pb.Proof{
-			Kind: p.Kind, Known: p.Known, Revision: p.Revision, Latest: p.Latest,
-			AgeMs: p.Age.Milliseconds(), FailingMs: p.Failing.Milliseconds(),
+			Kind: p.Kind, Known: p.Known, Revision: p.Revision, Latest: p.LastChange,
+			AgeMs: p.Age.Milliseconds(), FailingMs: p.FailingFor.Milliseconds(),
 		}
 	}
 	return out
@@ -161,7 +161,7 @@
 
 func decodeProof(m *pb.Proof) watch.Proof {
 	return watch.Proof{
-		Kind: m.Kind, Known: m.Known, Revision: m.Revision, Latest: m.Latest, Age: ms(m.AgeMs), Failing: ms(m.FailingMs),
+		Kind: m.Kind, Known: m.Known, Revision: m.Revision, LastChange: m.Latest, Age: ms(m.AgeMs), FailingFor: ms(m.FailingMs),
 	}
 }
 
@@ -189,12 +189,12 @@
 			needed = append(needed, m.Kind)
 			continue
 		}
-		if f.Offer(c) {
+		if f.ApplyChange(c) {
 			needed = append(needed, m.Kind)
 		}
 	}
 	for _, m := range proofs {
-		if f.Prove(decodeProof(m)) {
+		if f.ApplyProof(decodeProof(m)) {
 			needed = append(needed, m.Kind)
 		}
 	}
@@ -205,7 +205,7 @@
 func newerCopies(f *watch.Follower, sent fullCopyCache, theirs []*pb.Proof) ([]*pb.Change, error) {
 	var out []*pb.Change
 	for _, proof := range theirs {
-		c, ok := f.Whole(proof.Kind)
+		c, ok := f.FullCopy(proof.Kind)
 		if !ok || (proof.Known && proof.Revision >= c.From) {
 			continue
 		}
--- a/internal/placement/state_test.go
+++ b/internal/placement/state_test.go
@@ -16,7 +16,7 @@
 )
 
 func upstreamEntries(n int) watch.Change {
-	c := watch.Change{Kind: "u", Whole: true, From: 9, To: 9}
+	c := watch.Change{Kind: "u", Full: true, From: 9, To: 9}
 	for i := range n {
 		c.Objects = append(c.Objects, wire.Object{Kind: "u", Name: fmt.Sprint("upstream-", i), Version: 9,
 			Value: fmt.Appendf(nil, `{"service":"engines","address":"10.0.%d.%d:8080","zone":"a","slots":12,"state":"ready"}`, i/250, i%250)})
@@ -100,11 +100,11 @@
 	is.NoErr(err)
 	is.True(proto.Size(second) < proto.Size(first)/10)
 
-	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", Out: "o"}, Log: hclog.NewNullLogger()})
+	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Log: hclog.NewNullLogger()})
 	needed, err := applyState(f, []*pb.Change{second}, nil)
 	is.NoErr(err)
 	is.Equal(needed, []string{"c"}) // nothing is held yet
-	f.Offer(watch.Change{Kind: "c", Whole: true, To: 1})
+	f.ApplyChange(watch.Change{Kind: "c", Full: true, To: 1})
 	needed, err = applyState(f, []*pb.Change{first, second}, nil)
 	is.NoErr(err)
 	is.Equal(len(needed), 0)
--- a/internal/placement/updates.go
+++ b/internal/placement/updates.go
@@ -74,7 +74,7 @@
 	if i < 0 {
 		return append(all, c)
 	}
-	all[i] = all[i].Join(c)
+	all[i] = all[i].Merge(c)
 	return all
 }
 
@@ -112,9 +112,9 @@
 	t.next = (t.next + 1) % len(all)
 	var due []watch.Proof
 	for i, p := range all {
-		if i == t.next || p.Known && t.sentRevision[p.Kind] != p.Latest {
+		if i == t.next || p.Known && t.sentRevision[p.Kind] != p.LastChange {
 			due = append(due, p)
-			t.sentRevision[p.Kind] = p.Latest
+			t.sentRevision[p.Kind] = p.LastChange
 		}
 	}
 	return due
@@ -157,11 +157,11 @@
 	senders := c.dispatcherOrder()
 	senders = senders[:min(catchUpSenders, len(senders))]
 	isSender := slices.ContainsFunc(senders, func(m *catalog.Member) bool { return m.ID == c.self })
-	if !isSender && !c.follower.Role().Reads() {
+	if !isSender && !c.follower.Role().IsReader() {
 		return
 	}
 	for _, kind := range c.laggingKinds(theirs) {
-		fullCopy, ok := c.follower.Whole(kind)
+		fullCopy, ok := c.follower.FullCopy(kind)
 		if !ok {
 			continue
 		}
@@ -198,7 +198,7 @@
 			}
 			continue
 		}
-		if !p.Known || revision >= p.Latest {
+		if !p.Known || revision >= p.LastChange {
 			continue
 		}
 		since, wasBehind := c.dispatcherBehindSince[p.Kind]
--- a/internal/route/model.go
+++ b/internal/route/model.go
@@ -291,7 +291,7 @@
 	// Look the engine up again. If the instance was paused since the choice, another goroutine may have made it usable
 	// again with a view in which the engine's failure domain is out of service.
 	g.Upstream = m.router.latest(g.Upstream)
-	if g.Upstream == nil || !g.Upstream.Takes() || !m.router.gate.Acquire(g.Upstream) {
+	if g.Upstream == nil || !g.Upstream.AcceptsWork() || !m.router.gate.Acquire(g.Upstream) {
 		g.rollback()
 		return nil, nil
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -138,7 +138,7 @@
 	if e, ok := r.engines.Load(u.ID); ok {
 		return e.(*pick.Engine)
 	}
-	e, _ := r.engines.LoadOrStore(u.ID, pick.NewEngine(u.ID, cost.NewTable(u.Memory)))
+	e, _ := r.engines.LoadOrStore(u.ID, pick.NewEngine(u.ID, cost.NewTable(u.KVCacheTokens)))
 	return e.(*pick.Engine)
 }
 
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -56,7 +56,7 @@
 	for i := range n {
 		engines = append(engines, &fleet.Upstream{
 			ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Addr: fmt.Sprintf("10.0.0.%d:80", i),
-			Domain: fleet.DomainID(fmt.Sprintf("d%d", i%3)), Models: []string{"m"}, Memory: engineMemoryTokens,
+			Domain: fleet.DomainID(fmt.Sprintf("d%d", i%3)), Models: []string{"m"}, KVCacheTokens: engineMemoryTokens,
 		})
 	}
 	cfg := api.Config{Intent: api.Intent{
@@ -253,7 +253,7 @@
 		leaving := *b.initial.Upstreams[0]
 		leaving.Leaving = true
 		outOfService := *b.initial.Upstreams[1]
-		outOfService.Out = true
+		outOfService.DomainOut = true
 		remaining := b.initial.Upstreams[2]
 		b.current.Store(fleet.NewView(2, b.initial.Config, 2, b.initial.Instances,
 			[]*fleet.Upstream{&leaving, &outOfService, remaining}))
@@ -283,7 +283,7 @@
 		b := newLongFirstTestbench(2)
 		b.report(busyTokens, 0)
 		outOfService := *b.initial.Upstreams[0]
-		outOfService.Out = true
+		outOfService.DomainOut = true
 		remaining := b.initial.Upstreams[1]
 		go func() {
 			time.Sleep(time.Second)
--- a/internal/route/service.go
+++ b/internal/route/service.go
@@ -54,7 +54,7 @@
 	var untried, tried []*fleet.Upstream
 	for _, u := range all {
 		switch {
-		case !u.Takes() || !r.gate.HasCapacity(u):
+		case !u.AcceptsWork() || !r.gate.HasCapacity(u):
 		case slices.Contains(q.Exclude, u.ID):
 			tried = append(tried, u)
 		default:
--- a/internal/route/stale_test.go
+++ b/internal/route/stale_test.go
@@ -56,7 +56,7 @@
 		for range 20 {
 			b := newTestbench(3, nil)
 			b.current.Store(b.viewWithServices(func(*fleet.Upstream) {}))
-			domainsOut := b.viewWithServices(func(u *fleet.Upstream) { u.Out = u.Domain != "d2" })
+			domainsOut := b.viewWithServices(func(u *fleet.Upstream) { u.DomainOut = u.Domain != "d2" })
 			b.CheckUsable = func() error {
 				b.current.Store(domainsOut) // the other goroutine updates the view now
 				return nil
--- a/internal/route/state.go
+++ b/internal/route/state.go
@@ -57,13 +57,13 @@
 	var available []*fleet.Upstream
 	memory := int64(unboundedMemory)
 	for _, u := range v.Engines(m.name) {
-		if !u.Takes() {
+		if !u.AcceptsWork() {
 			continue
 		}
 		available = append(available, u)
 		engines = append(engines, m.router.engine(u))
-		if u.Memory > 0 {
-			memory = min(memory, u.Memory)
+		if u.KVCacheTokens > 0 {
+			memory = min(memory, u.KVCacheTokens)
 		}
 	}
 	p := &modelPool{view: v, lanes: lanes, engineCount: len(available)}
@@ -76,7 +76,7 @@
 func laneOrder(model string, available []*fleet.Upstream) []fleet.UpstreamID {
 	var long, others []*fleet.Upstream
 	for _, u := range available {
-		if u.Long {
+		if u.LongLane {
 			long = append(long, u)
 		} else {
 			others = append(others, u)
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -133,7 +133,7 @@
 	rec *explain.Recorder, m *metrics.Registry, log hclog.Logger) *gateway.Gateway {
 	l := s.Routed.Limits
 	return gateway.New(gateway.Deps{
-		Snapshot: f.Snapshot, Untrusted: f.Doubtful, Dialect: a.Dialect, Placer: p, RetryBudget: b, Client: c, Memory: a.Memory(c, p.ObserveAnswer),
+		Snapshot: f.Snapshot, Untrusted: f.Untrusted, Dialect: a.Dialect, Placer: p, RetryBudget: b, Client: c, Memory: a.Memory(c, p.ObserveAnswer),
 		Gate: g, MarkLeaving: p.MarkLeaving, HeldOff: p.HeldOff, ObserveAnswer: p.ObserveAnswer, Explain: rec, Metrics: m, Log: log,
 		Limits: gateway.Limits{
 			MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, MaxConnections: l.MaxConnections,
--- a/internal/warm/follow.go
+++ b/internal/warm/follow.go
@@ -72,12 +72,12 @@
 func (l *Limits) follow(v *fleet.View) {
 	for _, u := range v.Upstreams {
 		switch state := l.State(u); {
-		case !u.Takes() && state != health.Leaving:
+		case !u.AcceptsWork() && state != health.Leaving:
 			l.RecordEvidence(u, health.Listed)
 			l.RecordEvidence(u, health.IsLeaving)
-		case u.Takes() && state == health.Leaving:
+		case u.AcceptsWork() && state == health.Leaving:
 			l.RecordEvidence(u, health.IsBack)
-		case u.Takes() && state == health.Gone:
+		case u.AcceptsWork() && state == health.Gone:
 			l.RecordEvidence(u, health.Listed)
 		}
 	}
--- a/internal/watch/calls_test.go
+++ b/internal/watch/calls_test.go
@@ -156,10 +156,10 @@
 	f := &told{store: newCalledStore(), start: time.Now(), changes: make(chan Change, 1<<16)}
 	for i := range n {
 		one := New(Deps{
-			Store: seenBy{f.store, i}, Kinds: Kinds{Config: "c", Upstreams: "u", Out: "o", ConfigName: "main"},
+			Store: seenBy{f.store, i}, Kinds: Kinds{Config: "c", Upstreams: "u", DomainsOut: "o", ConfigName: "main"},
 			Decoder: emptyDecoder{}, Log: hclog.NewNullLogger(),
 		})
-		one.Share(func(c Change, own bool) {
+		one.ShareReads(func(c Change, own bool) {
 			if own {
 				f.changes <- c
 			}
@@ -185,7 +185,7 @@
 		case c := <-f.changes:
 			time.Sleep(2 * time.Millisecond)
 			for _, one := range f.followers {
-				one.Offer(c)
+				one.ApplyChange(c)
 			}
 		case <-beat.C:
 			f.beat(all)
@@ -197,29 +197,29 @@
 	now := decide.Instant(time.Since(f.start)) + 1
 	chosen := f.readers.Choose(now, all)
 	for i, one := range f.followers {
-		role := Told
+		role := Receiver
 		if at := slices.Index(chosen, all[i].ID); at >= 0 {
 			role = FirstReader + Role(at)
 		}
 		one.SetRole(role)
-		reads := one.Reads()
+		reads := one.ReaderProofs()
 		if reads == nil {
 			continue
 		}
 		report := readers.Report{ProofAge: time.Hour}
 		for _, p := range reads {
-			report.FailingFor = max(report.FailingFor, p.Failing)
+			report.FailingFor = max(report.FailingFor, p.FailingFor)
 			if p.Known {
 				report.ProofAge = min(report.ProofAge, p.Age)
 			}
 		}
 		f.readers.HandleReport(now, all[i].ID, report)
 		for _, p := range reads {
-			p.Failing = f.readers.OutageDuration(now)
+			p.FailingFor = f.readers.OutageDuration(now)
 			for _, other := range f.followers {
-				if other.Prove(p) {
-					if whole, ok := one.Whole(p.Kind); ok {
-						other.Offer(whole)
+				if other.ApplyProof(p) {
+					if whole, ok := one.FullCopy(p.Kind); ok {
+						other.ApplyChange(whole)
 					}
 				}
 			}
@@ -326,7 +326,7 @@
 	l, _ := f.store.since("c", 0)
 	newest := l.Objects[len(l.Objects)-1].Version
 	for i, one := range f.followers {
-		c, ok := one.Whole("c")
+		c, ok := one.FullCopy("c")
 		if !ok || len(c.Objects) != 1 || c.Objects[0].Version+60 < newest {
 			t.Fatalf("instance %d has the configuration of %v, the newest is %d", i, c.Objects, newest)
 		}
--- a/internal/watch/config_test.go
+++ b/internal/watch/config_test.go
@@ -23,14 +23,14 @@
 // in a copy of the store from before. The newest version that was in force stays.
 func TestAnOlderConfigurationIsKeptOut(t *testing.T) {
 	is := is.New(t)
-	f := New(Deps{Kinds: Kinds{Config: "c", ConfigName: "main", Upstreams: "u", Out: "o"}, Decoder: versionDecoder{}, Log: hclog.NewNullLogger()})
+	f := New(Deps{Kinds: Kinds{Config: "c", ConfigName: "main", Upstreams: "u", DomainsOut: "o"}, Decoder: versionDecoder{}, Log: hclog.NewNullLogger()})
 	for i, c := range []struct{ version, inForce string }{{"5", "5"}, {"4", "5"}, {"5", "5"}, {"nonsense", "5"}, {"6", "6"}, {"1", "6"}} {
 		revision := uint64(i + 1)
-		f.Offer(Change{Kind: "c", Whole: true, To: revision, Objects: []wire.Object{
+		f.ApplyChange(Change{Kind: "c", Full: true, To: revision, Objects: []wire.Object{
 			{Kind: "c", Name: "main", Version: revision, Value: []byte(c.version)},
 		}})
 		is.Equal(strconv.FormatUint(f.Snapshot().Config.Version, 10), c.inForce)
 	}
-	f.Offer(Change{Kind: "c", Whole: true, To: 9}) // the object is gone
+	f.ApplyChange(Change{Kind: "c", Full: true, To: 9}) // the object is gone
 	is.Equal(f.Snapshot().Config.Version, uint64(6))
 }
--- a/internal/watch/departures.go
+++ b/internal/watch/departures.go
@@ -56,14 +56,14 @@
 
 // Left notes that a process leaves, which can be known before the store says so: it gets no new work. by is the instance that
 // found out. It tells whether that is news here.
-func (f *Follower) Left(p fleet.Process, sign string, by fleet.InstanceID) bool {
+func (f *Follower) MarkLeaving(p fleet.Process, sign string, by fleet.InstanceID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	if !f.left.note(p, now) {
 		return false
 	}
-	f.log.Info("upstream leaves by its own answer", "upstream", p.ID, "born", p.Born, "sign", sign, "heard_by", by)
+	f.log.Info("upstream leaves by its own answer", "upstream", p.ID, "born", p.StartTime, "sign", sign, "heard_by", by)
 	f.publish(f.deps.Kinds.Upstreams, now)
 	return true
 }
--- a/internal/watch/departures_test.go
+++ b/internal/watch/departures_test.go
@@ -18,7 +18,7 @@
 
 func (bornDecoder) Upstream(o wire.Object, _ time.Time) (*catalog.Upstream, error) {
 	u := &catalog.Upstream{ID: fleet.UpstreamID(o.Name), Service: "s", Revision: o.Version}
-	_, err := fmt.Sscan(string(o.Value), &u.Born)
+	_, err := fmt.Sscan(string(o.Value), &u.StartTime)
 	return u, err
 }
 
@@ -26,30 +26,30 @@
 // outlives its process.
 func TestADepartureIsFinalForItsProcess(t *testing.T) {
 	is := is.New(t)
-	f := New(Deps{Kinds: Kinds{Config: "c", Upstreams: "u", Out: "o"}, Decoder: bornDecoder{}, Log: hclog.NewNullLogger()})
+	f := New(Deps{Kinds: Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Decoder: bornDecoder{}, Log: hclog.NewNullLogger()})
 	revision := uint64(0)
 	offer := func(born string) *catalog.Upstream {
 		revision++
-		c := Change{Kind: "u", Whole: revision == 1, From: revision - 1, To: revision}
+		c := Change{Kind: "u", Full: revision == 1, From: revision - 1, To: revision}
 		if born == "" {
 			c.Deleted = []string{"x"}
 		} else {
 			c.Objects = []wire.Object{{Kind: "u", Name: "x", Version: revision, Value: []byte(born)}}
 		}
-		f.Offer(c)
+		f.ApplyChange(c)
 		return f.Snapshot().Upstream("x")
 	}
 	is.Equal(offer("7").Leaving, false)
-	is.True(f.Left(fleet.Process{ID: "x", Born: 7}, "its answer", "i"))
-	is.True(!f.Left(fleet.Process{ID: "x", Born: 7}, "its answer", "i"))
+	is.True(f.MarkLeaving(fleet.Process{ID: "x", StartTime: 7}, "its answer", "i"))
+	is.True(!f.MarkLeaving(fleet.Process{ID: "x", StartTime: 7}, "its answer", "i"))
 	is.True(f.Snapshot().Upstream("x").Leaving)
 	is.True(offer("7").Leaving)
-	is.Equal(f.Departures(), []fleet.Process{{ID: "x", Born: 7}})
+	is.Equal(f.Departures(), []fleet.Process{{ID: "x", StartTime: 7}})
 	is.Equal(offer(""), nil)
 	is.Equal(len(f.Departures()), 0)
 	is.True(offer("7").Leaving)
 	is.Equal(offer("8").Leaving, false)
-	f.Left(fleet.Process{ID: "x", Born: 7}, "a late answer", "i")
+	f.MarkLeaving(fleet.Process{ID: "x", StartTime: 7}, "a late answer", "i")
 	is.Equal(f.Snapshot().Upstream("x").Leaving, false)
 }
 
@@ -57,15 +57,15 @@
 // from the one that left.
 func TestADepartureWithoutAStartEndsWithItsEntry(t *testing.T) {
 	is := is.New(t)
-	f := New(Deps{Kinds: Kinds{Config: "c", Upstreams: "u", Out: "o"}, Decoder: bornDecoder{}, Log: hclog.NewNullLogger()})
+	f := New(Deps{Kinds: Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Decoder: bornDecoder{}, Log: hclog.NewNullLogger()})
 	entry := func(version uint64) []wire.Object {
 		return []wire.Object{{Kind: "u", Name: "x", Version: version, Value: []byte("0")}}
 	}
-	f.Offer(Change{Kind: "u", Whole: true, To: 1, Objects: entry(1)})
-	f.Left(fleet.Process{ID: "x", Born: 0}, "its answer", "i")
+	f.ApplyChange(Change{Kind: "u", Full: true, To: 1, Objects: entry(1)})
+	f.MarkLeaving(fleet.Process{ID: "x", StartTime: 0}, "its answer", "i")
 	is.True(f.Snapshot().Upstream("x").Leaving)
-	f.Offer(Change{Kind: "u", From: 1, To: 2, Deleted: []string{"x"}})
-	f.Offer(Change{Kind: "u", From: 2, To: 3, Objects: entry(3)})
+	f.ApplyChange(Change{Kind: "u", From: 1, To: 2, Deleted: []string{"x"}})
+	f.ApplyChange(Change{Kind: "u", From: 2, To: 3, Objects: entry(3)})
 	is.Equal(f.Snapshot().Upstream("x").Leaving, false)
 }
 
@@ -75,9 +75,9 @@
 	d := newDepartures()
 	began := time.Now()
 	for i := range maxDepartures + 5 {
-		d.note(fleet.Process{ID: fleet.UpstreamID(fmt.Sprint(i)), Born: 1}, began.Add(time.Duration(i)))
+		d.note(fleet.Process{ID: fleet.UpstreamID(fmt.Sprint(i)), StartTime: 1}, began.Add(time.Duration(i)))
 	}
 	is.Equal(len(d.noted), maxDepartures)
-	is.True(!d.has(&catalog.Upstream{ID: "0", Born: 1}))
-	is.True(d.has(&catalog.Upstream{ID: fleet.UpstreamID(fmt.Sprint(maxDepartures)), Born: 1}))
+	is.True(!d.has(&catalog.Upstream{ID: "0", StartTime: 1}))
+	is.True(d.has(&catalog.Upstream{ID: fleet.UpstreamID(fmt.Sprint(maxDepartures)), StartTime: 1}))
 }
--- a/internal/watch/doubt.go
+++ b/internal/watch/doubt.go
@@ -72,7 +72,7 @@
 
 // Doubtful tells whether the process was paused so lately that nothing has proven yet that what it knows is
 // still in force.
-func (f *Follower) Doubtful() bool {
+func (f *Follower) Untrusted() bool {
 	awake, ok := f.awake()
 	if !ok {
 		return false
--- a/internal/watch/join_test.go
+++ b/internal/watch/join_test.go
@@ -36,7 +36,7 @@
 			}
 			c := first.follow(l, now)
 			if rapid.Bool().Draw(r, "list without news") {
-				c = c.Join(first.replace(listed(first, revision+1), now))
+				c = c.Merge(first.replace(listed(first, revision+1), now))
 			}
 			if c.empty() {
 				continue
@@ -44,7 +44,7 @@
 			if _, ok := one.offer(c, now); !ok {
 				r.Fatal("a change was not taken")
 			}
-			all = all.Join(c)
+			all = all.Merge(c)
 		}
 		if _, ok := joined.offer(all, now); !ok {
 			r.Fatal("the joined change was not taken")
--- a/internal/watch/mirror.go
+++ b/internal/watch/mirror.go
@@ -20,14 +20,14 @@
 // Change is what became different of a kind's objects between two revisions of the store, or all of them.
 // It is not changed once it was made.
 type Change struct {
-	Kind    string
-	Whole   bool   // Objects are all there are
-	From    uint64 // revision of the change before it: it applies to a copy as of then or later
-	To      uint64
-	Objects []wire.Object
-	Deleted []string
-	Lapsing []string // gone from the store as of To, and still taken as there for lapseGrace
-	Without []Span   // spans of revisions of which no object is left
+	Kind       string
+	Full       bool   // Objects are all there are
+	From       uint64 // revision of the change before it: it applies to a copy as of then or later
+	To         uint64
+	Objects    []wire.Object
+	Deleted    []string
+	Lapsing    []string // gone from the store as of To, and still taken as there for lapseGrace
+	EmptySpans []Span   // spans of revisions of which no object is left
 }
 
 // Span are the revisions after one and up to another.
@@ -36,15 +36,15 @@
 func (s Span) holds(revision uint64) bool { return s.After < revision && revision <= s.Through }
 
 func (c *Change) empty() bool {
-	return !c.Whole && len(c.Objects) == 0 && len(c.Deleted) == 0 && len(c.Lapsing) == 0 && len(c.Without) == 0
+	return !c.Full && len(c.Objects) == 0 && len(c.Deleted) == 0 && len(c.Lapsing) == 0 && len(c.EmptySpans) == 0
 }
 
 // Join gives the change that c and the one after it make together.
-func (c Change) Join(next Change) Change {
-	if next.Whole {
+func (c Change) Merge(next Change) Change {
+	if next.Full {
 		return next
 	}
-	all := Change{Kind: c.Kind, Whole: c.Whole, From: c.From, To: max(c.To, next.To), Without: slices.Concat(c.Without, next.Without)}
+	all := Change{Kind: c.Kind, Full: c.Full, From: c.From, To: max(c.To, next.To), EmptySpans: slices.Concat(c.EmptySpans, next.EmptySpans)}
 	gone := make(map[string]bool, len(next.Deleted))
 	for _, name := range next.Deleted {
 		gone[name] = true
@@ -70,7 +70,7 @@
 			all.Deleted = append(all.Deleted, name)
 		}
 	}
-	if !c.Whole {
+	if !c.Full {
 		all.Deleted = append(all.Deleted, next.Deleted...)
 	}
 	return all
@@ -178,10 +178,10 @@
 // where changes before it are missing here.
 func (m *mirror) offer(in Change, now time.Time) (c Change, ok bool) {
 	c = Change{Kind: m.kind, From: m.latest, To: max(m.revision, in.To)}
-	if !in.Whole && (!m.known || m.revision < in.From) {
+	if !in.Full && (!m.known || m.revision < in.From) {
 		return c, false
 	}
-	if in.Whole && in.To < m.revision {
+	if in.Full && in.To < m.revision {
 		return c, m.known // of before this copy: it holds what is gone here
 	}
 	m.dropWithout(&c, in)
@@ -196,7 +196,7 @@
 	for _, name := range in.Deleted {
 		m.remove(&c, name, in.To)
 	}
-	if in.Whole {
+	if in.Full {
 		for name := range m.objects {
 			if !listed[name] {
 				m.remove(&c, name, in.To)
@@ -211,7 +211,7 @@
 
 // whole gives the copy as a change. From is the revision of the last change in it.
 func (m *mirror) whole() Change {
-	c := Change{Kind: m.kind, Whole: true, From: m.latest, To: m.revision}
+	c := Change{Kind: m.kind, Full: true, From: m.latest, To: m.revision}
 	for _, o := range m.objects {
 		c.Objects = append(c.Objects, o)
 	}
@@ -230,7 +230,7 @@
 	if m.known && c.empty() {
 		if c.To > before {
 			m.latest = c.To
-			c.Without = []Span{{After: before, Through: c.To}}
+			c.EmptySpans = []Span{{After: before, Through: c.To}}
 		}
 		return c
 	}
@@ -241,14 +241,14 @@
 
 // dropWithout removes what is held of the spans of which a change says that no object is left.
 func (m *mirror) dropWithout(c *Change, in Change) {
-	for _, span := range in.Without {
+	for _, span := range in.EmptySpans {
 		for name, o := range m.objects {
 			if span.holds(o.Version) {
 				m.remove(c, name, span.Through)
 			}
 		}
 	}
-	c.Without = in.Without
+	c.EmptySpans = in.EmptySpans
 }
 
 // set takes an object unless it is older than what is known of its name. What two readers of the store see
--- a/internal/watch/mirror_test.go
+++ b/internal/watch/mirror_test.go
@@ -28,7 +28,7 @@
 	m.replace(list(5, object("a", 3)), now)
 	m.known = false
 	c := m.replace(list(7, object("a", 3), object("b", 6)), now)
-	is.True(c.Whole)
+	is.True(c.Full)
 	is.Equal(len(c.Objects), 2)
 	other := newMirror("k", false)
 	other.replace(list(5, object("a", 3)), now)
@@ -111,7 +111,7 @@
 	for _, m := range []*mirror{reader, other} { // each by itself: the reader may be gone by then
 		m.expire(back.Add(lapseGrace))
 		is.Equal(len(m.objects), 1)
-		_, ok = m.offer(Change{Kind: "k", Whole: true, From: 4, To: 9, Objects: []wire.Object{object("a", 3), object("c", 8)}}, back.Add(lapseGrace))
+		_, ok = m.offer(Change{Kind: "k", Full: true, From: 4, To: 9, Objects: []wire.Object{object("a", 3), object("c", 8)}}, back.Add(lapseGrace))
 		is.True(ok)
 		is.Equal(len(m.objects), 1) // a late message brings nothing back
 	}
@@ -134,7 +134,7 @@
 			_, ok := m.offer(c, now)
 			is.True(ok)
 		}
-		joined := lapsed.Join(anew)
+		joined := lapsed.Merge(anew)
 		is.Equal(len(joined.Lapsing), 0)
 		m.expire(now.Add(lapseGrace))
 		is.Equal(len(m.objects), 1)
@@ -174,7 +174,7 @@
 	is.True(ok)
 	is.True(c.empty())
 	m.known = false // listing again
-	_, ok = m.offer(Change{Kind: "k", Whole: true, From: 2, To: 5, Objects: []wire.Object{object("north", 5)}}, time.Now())
+	_, ok = m.offer(Change{Kind: "k", Full: true, From: 2, To: 5, Objects: []wire.Object{object("north", 5)}}, time.Now())
 	is.True(!ok)
 	is.Equal(len(m.objects), 0)
 }
@@ -188,7 +188,7 @@
 		reader.replace(list(0), time.Now())
 		behind.replace(list(1, object("a", 1)), time.Now())
 		none := reader.replace(list(2), time.Now())
-		is.True(!none.Whole) // hundreds of others lack nothing, and need not be told all
+		is.True(!none.Full) // hundreds of others lack nothing, and need not be told all
 		next := reader.follow(list(3, object("b", 3)), time.Now())
 		if !missed {
 			_, ok := behind.offer(none, time.Now())
--- a/internal/watch/publish.go
+++ b/internal/watch/publish.go
@@ -25,8 +25,8 @@
 		s = s.WithConfig(f.config)
 	case k.Upstreams:
 		s = s.WithUpstreams(f.readUpstreams(now), f.mirrors[k.Upstreams].revision)
-	case k.Out:
-		s = s.WithOut(f.readOut())
+	case k.DomainsOut:
+		s = s.WithDomainsOut(f.readOut())
 	case KindMembers:
 		s = s.WithMembers(f.readMembers())
 	}
@@ -35,7 +35,7 @@
 
 func (f *Follower) readOut() map[fleet.DomainID]bool {
 	out := map[fleet.DomainID]bool{}
-	for name := range f.mirrors[f.deps.Kinds.Out].objects {
+	for name := range f.mirrors[f.deps.Kinds.DomainsOut].objects {
 		out[fleet.DomainID(name)] = true
 	}
 	f.logOut(out)
@@ -133,14 +133,14 @@
 	case old == nil:
 		log.info("upstream found", "upstream", u.ID, "service", u.Service, "addr", u.Addr, "domain", u.Domain,
 			"leaving", u.Leaving, "revision", u.Revision)
-	case u.Leaving != old.Leaving || u.Born != old.Born || u.Addr != old.Addr:
-		log.info("upstream changed", "upstream", u.ID, "addr", u.Addr, "leaving", u.Leaving, "born", u.Born,
+	case u.Leaving != old.Leaving || u.StartTime != old.StartTime || u.Addr != old.Addr:
+		log.info("upstream changed", "upstream", u.ID, "addr", u.Addr, "leaving", u.Leaving, "born", u.StartTime,
 			"revision", u.Revision)
 	}
 }
 
 func (f *Follower) logOut(out map[fleet.DomainID]bool) {
-	old := f.snapshot.Load().Out
+	old := f.snapshot.Load().DomainsOut
 	for d := range out {
 		if !old[d] {
 			f.log.Info("failure domain taken out", "domain", d)
--- a/internal/watch/read.go
+++ b/internal/watch/read.go
@@ -117,7 +117,7 @@
 
 // wait is how long a watch of the kind waits now.
 func (f *Follower) wait(kind string) time.Duration {
-	doubtful := f.Doubtful()
+	doubtful := f.Untrusted()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if doubtful || f.shares && !f.led {
--- a/internal/watch/relay.go
+++ b/internal/watch/relay.go
@@ -15,7 +15,7 @@
 // The roles.
 const (
 	Unattached   Role = iota // no dispatcher has given it a part yet
-	Told                     // it reads nothing: the dispatcher tells it
+	Receiver                 // it reads nothing: the dispatcher tells it
 	FirstReader              // it reads, and tells
 	SecondReader             // the same, with longer waits: for the time in which the first is cut off and not known to be
 )
@@ -39,12 +39,12 @@
 
 // Proof says as of when an instance's copy of a kind was the store's newest.
 type Proof struct {
-	Kind     string
-	Known    bool
-	Revision uint64 // as of which the copy is whole
-	Latest   uint64 // revision of its last change
-	Age      time.Duration
-	Failing  time.Duration // how long the readers have failed to read it; 0: they don't
+	Kind       string
+	Known      bool
+	Revision   uint64 // as of which the copy is whole
+	LastChange uint64 // revision of its last change
+	Age        time.Duration
+	FailingFor time.Duration // how long the readers have failed to read it; 0: they don't
 }
 
 // SetRole gives the instance its part in reading the store.
@@ -55,7 +55,7 @@
 		return
 	}
 	f.log.Info("part in reading the store", "role", r, "before", f.role)
-	if !f.role.Reads() || !r.Reads() {
+	if !f.role.IsReader() || !r.IsReader() {
 		f.led = false
 		for _, m := range f.mirrors {
 			m.failed = time.Time{} // others read from now on, or this one anew
@@ -69,7 +69,7 @@
 }
 
 // Reads tells whether an instance with the role reads the store.
-func (r Role) Reads() bool { return r == FirstReader || r == SecondReader }
+func (r Role) IsReader() bool { return r == FirstReader || r == SecondReader }
 
 // String gives the role as it stands in log lines.
 func (r Role) String() string {
@@ -99,7 +99,7 @@
 		return true // the dispatcher's next proof may be seconds away, and nothing is sent until then
 	}
 	switch f.role {
-	case Told:
+	case Receiver:
 		return false
 	case Unattached:
 		return f.readingAlone(kind, now)
@@ -128,7 +128,7 @@
 }
 
 // ListNow has a starting instance list the others at once: one of them has found it, and takes it for the dispatcher.
-func (f *Follower) ListNow() {
+func (f *Follower) ListMembersNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.joinDelay > 0 {
@@ -139,16 +139,16 @@
 
 // Reads gives how new what this instance reads from the store itself is, and how long it has failed to; nil: it reads
 // nothing.
-func (f *Follower) Reads() []Proof {
+func (f *Follower) ReaderProofs() []Proof {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.role.Reads() {
+	if !f.role.IsReader() {
 		return nil
 	}
 	all := f.proofs(now)
 	for i := range all {
-		all[i].Failing = f.mirrors[all[i].Kind].failingFor(now)
+		all[i].FailingFor = f.mirrors[all[i].Kind].failingFor(now)
 	}
 	return all
 }
@@ -164,9 +164,9 @@
 func (f *Follower) proofs(now time.Time) []Proof {
 	all := make([]Proof, 0, len(f.mirrors))
 	for kind, m := range f.mirrors {
-		p := Proof{Kind: kind, Known: m.known, Revision: m.revision, Latest: m.latest, Age: now.Sub(m.proven)}
+		p := Proof{Kind: kind, Known: m.known, Revision: m.revision, LastChange: m.latest, Age: now.Sub(m.proven)}
 		if !f.failing.IsZero() {
-			p.Failing = now.Sub(f.failing)
+			p.FailingFor = now.Sub(f.failing)
 		}
 		all = append(all, p)
 	}
@@ -175,7 +175,7 @@
 }
 
 // Prove takes another instance's proof. behind tells that its copy is newer than this one.
-func (f *Follower) Prove(p Proof) (behind bool) {
+func (f *Follower) ApplyProof(p Proof) (behind bool) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,15 +183,15 @@
 	if m == nil || !p.Known {
 		return false
 	}
-	if !m.known || m.revision < p.Latest {
+	if !m.known || m.revision < p.LastChange {
 		return true
 	}
 	if m.revision <= p.Revision {
 		m.revision = p.Revision
 		m.prove(now.Add(-p.Age))
 	}
-	if p.Failing > 0 {
-		f.failed(now.Add(-p.Failing))
+	if p.FailingFor > 0 {
+		f.failed(now.Add(-p.FailingFor))
 	} else {
 		f.regained(now)
 	}
@@ -218,7 +218,7 @@
 
 // Offer takes a change that another instance made to its copy. missing tells that changes before it are
 // missing here: all of the kind is needed.
-func (f *Follower) Offer(in Change) (missing bool) {
+func (f *Follower) ApplyChange(in Change) (missing bool) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -246,7 +246,7 @@
 }
 
 // Whole gives all of a kind; ok is false while it isn't known.
-func (f *Follower) Whole(kind string) (c Change, ok bool) {
+func (f *Follower) FullCopy(kind string) (c Change, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.mirrors[kind]
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -28,7 +28,7 @@
 	Config     string
 	ConfigName string // of the one object that holds the newest configuration
 	Upstreams  string // an object each, named by the upstream's id
-	Out        string // an object for each failure domain that is taken out
+	DomainsOut string // an object for each failure domain that is taken out
 }
 
 // Decoder reads the store's objects. An error names the object, field and value at fault.
@@ -91,7 +91,7 @@
 		deps: d, log: d.Log.Named("watch"), started: now, unattached: now, doubt: newDoubt(), joinDelay: rand.N(joinTime),
 		mirrors: map[string]*mirror{
 			k.Config: newMirror(k.Config, false), k.Upstreams: newMirror(k.Upstreams, true),
-			k.Out: newMirror(k.Out, false), KindMembers: newMirror(KindMembers, false),
+			k.DomainsOut: newMirror(k.DomainsOut, false), KindMembers: newMirror(KindMembers, false),
 		},
 		upstreams: map[fleet.UpstreamID]*catalog.Upstream{},
 		members:   map[fleet.InstanceID]*catalog.Member{},
@@ -107,7 +107,7 @@
 // Share makes the Follower one of several that share the reading of the store. It is called before Run; alone
 // a Follower reads everything. changed is called, under the Follower's lock, with each change of its copies; own
 // tells that it was read from the store here.
-func (f *Follower) Share(changed func(c Change, own bool)) {
+func (f *Follower) ShareReads(changed func(c Change, own bool)) {
 	f.shares, f.tellChange = true, changed
 }
 
