--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet holds the typed identities of the fleet and the immutable View of it that the path of a
-// request reads. One writer builds a View and publishes it through an atomic pointer.
+// Package fleet defines the identifiers of the fleet's parts and the View, an immutable snapshot of the fleet that the
+// request path reads. A single writer builds each View and publishes it through an atomic pointer.
 package fleet
 
 import (
@@ -9,23 +9,24 @@
 	"github.com/damaskshelf/damaskshelf/api"
 )
 
-// Identities. Each is unique in its kind for the fleet's life.
+// Identifiers. Each is unique among all of its kind for as long as the fleet exists.
 type (
-	InstanceID  string // an instance of ours or of the platform
-	UpstreamID  string // an engine or plain service instance
+	InstanceID  string // a damaskshelf instance, or an instance of the platform
+	UpstreamID  string // an engine, or an instance of a plain service
 	DomainID    string // a failure domain
 	RegionID    string
 	WorkspaceID string
 	RequestID   string
 )
 
-// Process is one start of an upstream: another start under the same id is another process, and knows nothing of this one.
+// Process identifies one start of an upstream. A restarted upstream has the same id but is another process that has no
+// state of this one.
 type Process struct {
 	ID        UpstreamID
-	StartTime int64 // Unix ms of its start; 0: it isn't known
+	StartTime int64 // Unix ms; 0: unknown
 }
 
-// Instance is one entry instance.
+// Instance is one damaskshelf instance.
 type Instance struct {
 	ID       InstanceID
 	PeerAddr string
@@ -34,45 +35,45 @@
 	Leaving  bool
 }
 
-// UpstreamKind tells engines from plain services.
+// UpstreamKind distinguishes engines from plain services.
 type UpstreamKind uint8
 
-// The kinds of upstreams.
+// Kinds of upstreams.
 const (
 	Engine UpstreamKind = iota
 	Service
 )
 
-// Upstream is one engine or plain service as the instance list and the configuration show it.
+// Upstream is one engine or one instance of a plain service, as listed in the instance list and the configuration.
 type Upstream struct {
 	ID            UpstreamID
 	Kind          UpstreamKind
 	Addr          string
 	Domain        DomainID
 	Region        RegionID
-	Service       string   // plain service's name
-	Models        []string // models that it serves now, sorted
-	LongLane      bool     // in a long lane
-	Fencing       bool     // refuses orders with an old fencing number
-	KVCacheTokens int64    // KV cache in tokens
+	Service       string   // name of the plain service
+	Models        []string // models that it currently serves, sorted
+	LongLane      bool     // belongs to a lane for long prompts
+	Fencing       bool     // rejects orders with an outdated fencing number
+	KVCacheTokens int64    // capacity of its KV cache
 	Leaving       bool
-	DomainOut     bool // its failure domain is taken out
+	DomainOut     bool // its failure domain is out of service
 }
 
-// Takes tells whether the upstream may get new work.
+// AcceptsWork reports whether the upstream may get new work.
 func (u *Upstream) AcceptsWork() bool { return !u.Leaving && !u.DomainOut }
 
-// Serves tells whether the upstream has the model loaded.
+// Serves reports whether the upstream has the model loaded.
 func (u *Upstream) Serves(model string) bool {
 	_, found := slices.BinarySearch(u.Models, model)
 	return found
 }
 
-// View is an immutable picture of the fleet. Nothing in it is changed after it was published.
+// View is an immutable snapshot of the fleet. It isn't modified after its publication.
 type View struct {
-	ConfigVersion uint64 // version of Config in the object API; 0: none yet
+	ConfigVersion uint64 // version of Config in the object API; 0: no configuration yet
 	Config        api.Config
-	ListVersion   uint64      // of the instance list
+	ListVersion   uint64      // version of the instance list
 	Instances     []*Instance // sorted by ID
 	Upstreams     []*Upstream // sorted by ID
 	byID          map[UpstreamID]*Upstream
@@ -80,7 +81,7 @@
 	byService     map[string][]*Upstream
 }
 
-// NewView builds a View. It takes over the slices, which must not be changed afterwards.
+// NewView builds a View. It takes ownership of the slices and sorts them; the caller must not modify them afterwards.
 func NewView(version uint64, cfg api.Config, listVersion uint64, instances []*Instance, upstreams []*Upstream) *View {
 	v := &View{
 		ConfigVersion: version, Config: cfg, ListVersion: listVersion,
@@ -104,11 +105,12 @@
 	return v
 }
 
-// Upstream gives the upstream with that id, or nil.
+// Upstream returns the upstream with the id, or nil.
 func (v *View) Upstream(id UpstreamID) *Upstream { return v.byID[id] }
 
-// Engines gives the engines that have model loaded, sorted by id; shared, not to be changed.
+// Engines returns the engines that have the model loaded, sorted by id. The slice is shared; the caller must not modify
+// it.
 func (v *View) Engines(model string) []*Upstream { return v.byModel[model] }
 
-// Services gives the instances of a plain service, sorted by id; shared, not to be changed.
+// Services returns the instances of a plain service, sorted by id. The slice is shared; the caller must not modify it.
 func (v *View) Services(name string) []*Upstream { return v.byService[name] }
