--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog is what an instance knows of the fleet it routes to: routes, services, workspaces and
-// their keys, upstreams, and failure domains that are taken out. A Snapshot is immutable; the path of a
-// request reads the current one through an atomic pointer.
+// Package catalog holds what an instance knows of the fleet that it routes to: routes, services, workspaces and their
+// keys, upstreams, other instances, and failure domains that are out of service. A Snapshot is immutable. The request
+// path reads the current one through an atomic pointer.
 package catalog
 
 import (
@@ -9,17 +9,17 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind states whether requests of a route may be repeated.
 type Kind uint8
 
-// The kinds of routes.
+// Kinds of routes.
 const (
-	NonIdempotent Kind = iota // runs at most once
-	Idempotent                // may run more than once
-	Stream                    // a series of events; may be repeated only where the route is resumable
+	NonIdempotent Kind = iota // a request runs at most once
+	Idempotent                // a request may run more than once
+	Stream                    // answered by a stream of events; may be repeated only if the route is resumable
 )
 
-// String gives the kind as it stands in log lines.
+// String returns the kind as it appears in log lines.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -31,66 +31,66 @@
 	}
 }
 
-// ServiceName names a service: upstreams that serve the same.
+// ServiceName is the name of a service, a set of equivalent upstreams.
 type ServiceName string
 
-// Share is a service's part of a route's requests.
+// Share is the part of a route's requests that one service gets.
 type Share struct {
 	Service ServiceName
-	Weight  float64 // relative to the route's other shares
+	Weight  float64 // relative to the weights of the route's other shares
 }
 
-// Route says where the requests of a host and path prefix go and how they are to be treated.
+// Route states where the requests for a host and path prefix go and how they are handled.
 type Route struct {
 	Name          string
 	Host          string
 	Prefix        string // begins and ends with a slash
 	Kind          Kind
-	Resumable     bool          // a stream may go on at another upstream after its last event
-	Public        bool          // needs no key
-	Shares        []Share       // at least one, with a weight above zero
-	Timeout       time.Duration // longest time a request may take, its answer included
-	TargetLatency time.Duration // time to the answer, or to the first event, that earns full credit; 0: none
-	MaxGap        time.Duration // longest pause between events of a stream in time; 0: none
+	Resumable     bool          // after a failure, a stream may continue on another upstream after its last event
+	Public        bool          // requests need no key
+	Shares        []Share       // at least one with a weight above 0
+	Timeout       time.Duration // maximum duration of a request, including its answer
+	TargetLatency time.Duration // latency of the answer or the first event that still earns full credit; 0: no target
+	MaxGap        time.Duration // longest time between two events of a stream that is on time; 0: no limit
 	Priority      int           // 0 is the most urgent
-	MaxAttempts   int           // upstreams that one request may be sent to, at least 1
+	MaxAttempts   int           // maximum number of upstreams that one request is sent to; at least 1
 }
 
-// Repeatable tells whether a request of the route may run a second time.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Engine is how a service's model engines work, as its operators state it.
+// Engine is the performance model of a service's model engines, as their operators configure it.
 type Engine struct {
-	Slots              int     // requests that are processed at once
-	KVCacheTokens      int     // tokens of KV cache
-	StepsPerPass       int     // steps of a pass that has writers; an event comes at the end of a pass
-	StepMs             float64 // ms of a step
-	PerDecodeMs        float64 // ms of a step for each request that writes
-	Per1000ContextMs   float64 // ms of a step for each 1,000 tokens of a writer's context
-	PrefillTokensPerMs float64 // prompt tokens read in a ms
-	MsPerMillionPairs  float64 // ms for a million pairs of a token and any earlier one
-	ChunkTokens        int     // prompt tokens read in a step, at most
+	Slots              int     // requests that it processes at the same time
+	KVCacheTokens      int     // capacity of the KV cache
+	StepsPerPass       int     // steps of a pass that includes decoding requests; events are sent at the end of a pass
+	StepMs             float64 // base duration of a step
+	PerDecodeMs        float64 // added to a step for each decoding request
+	Per1000ContextMs   float64 // added to a step for each 1,000 tokens of a decoding request's context
+	PrefillTokensPerMs float64 // prefill rate
+	MsPerMillionPairs  float64 // attention cost of prefill, for a million pairs of a token and an earlier token
+	ChunkTokens        int     // most prompt tokens that one step prefills
 }
 
-// Service is a set of like upstreams.
+// Service is a set of equivalent upstreams.
 type Service struct {
 	Name          ServiceName
 	HealthPath    string
-	MaxConns      int           // open connections of one upstream, over all callers
-	ColdStart     time.Duration // how long an upstream stays cold after its start; 0: never cold
-	ColdPerSecond float64       // requests a second that a cold upstream bears
+	MaxConns      int           // maximum number of open connections to one upstream, over all callers
+	ColdStart     time.Duration // how long an upstream is cold after its start; 0: never cold
+	ColdPerSecond float64       // requests per second that a cold upstream can serve
 	Engine        *Engine       // nil: a plain service
 }
 
 // Workspace is a tenant of the fleet.
 type Workspace struct {
 	Name     fleet.WorkspaceID
-	Priority int // goes before the route's priority; -1: none
+	Priority int // overrides the route's priority; -1: not set
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -104,23 +104,23 @@
 	Service   ServiceName
 	Addr      string // IP:port
 	Domain    fleet.DomainID
-	Slots     int
+	Slots     int // requests that it processes at the same time
 	Leaving   bool
-	ColdUntil time.Time // by this instance's steady clock; zero: not cold
-	StartTime int64     // Unix ms of its start: another value under the same id is another process
-	Revision  uint64    // of the store, at its last change
+	ColdUntil time.Time // on this instance's monotonic clock; zero: not cold
+	StartTime int64     // Unix ms; another value under the same id means another process
+	Revision  uint64    // store revision of its last change
 }
 
-// Process is the start of the upstream that is known.
+// Process returns the process of the upstream that this entry describes.
 func (u *Upstream) Process() fleet.Process { return fleet.Process{ID: u.ID, StartTime: u.StartTime} }
 
-// Member is another instance of damaskshelf.
+// Member is another damaskshelf instance.
 type Member struct {
 	ID          fleet.InstanceID
-	Addr        string // of its peer listener
+	Addr        string // address of its peer listener
 	Incarnation uint64
 	Domain      fleet.DomainID
-	CPUShare    float64 // of a core
-	LinkMbps    float64 // of its machine's own link; 0: not said
-	Revision    uint64
+	CPUShare    float64 // share of a CPU core that it may use
+	LinkMbps    float64 // bandwidth of its machine's own link; 0: unknown
+	Revision    uint64  // store revision of its entry
 }
--- a/internal/catalog/config.go
+++ b/internal/catalog/config.go
@@ -9,26 +9,26 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Config is one version of the configuration, indexed for the path of a request. It is immutable.
+// Config is one version of the configuration, indexed for the request path. It is immutable.
 type Config struct {
 	Version  uint64
-	Revision uint64 // of the store, at the version's write
+	Revision uint64 // store revision at which the version was written
 	Limits   Limits
 
-	byHost   map[string][]*Route // longest prefix first
-	services map[ServiceName]*Service
-	keys     map[string]*Workspace
-	keyed    bool // workspaces are declared: a request needs a key unless its route is public
+	byHost         map[string][]*Route // by host name in lower case, longest prefix first
+	services       map[ServiceName]*Service
+	workspaceByKey map[string]*Workspace
+	keysRequired   bool // the configuration declares workspaces: a request needs a key unless its route is public
 }
 
-// NewConfig indexes a version. It gives an error that names the field and value at fault.
-func NewConfig(version, revision uint64, limits Limits, routes []*Route, services []*Service, spaces []KeyedWorkspace) (*Config, error) {
+// NewConfig indexes a configuration version. An error names the route and the invalid field.
+func NewConfig(version, revision uint64, limits Limits, routes []*Route, services []*Service, workspaces []KeyedWorkspace) (*Config, error) {
 	c := &Config{
 		Version: version, Revision: revision, Limits: limits,
-		byHost:   map[string][]*Route{},
-		services: make(map[ServiceName]*Service, len(services)),
-		keys:     map[string]*Workspace{},
-		keyed:    len(spaces) > 0,
+		byHost:         map[string][]*Route{},
+		services:       make(map[ServiceName]*Service, len(services)),
+		workspaceByKey: map[string]*Workspace{},
+		keysRequired:   len(workspaces) > 0,
 	}
 	for _, s := range services {
 		c.services[s.Name] = s
@@ -38,23 +38,24 @@
 			return nil, err
 		}
 	}
-	for _, all := range c.byHost {
-		slices.SortStableFunc(all, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
+	for _, hostRoutes := range c.byHost {
+		slices.SortStableFunc(hostRoutes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
-	for _, w := range spaces {
+	for _, w := range workspaces {
 		for _, key := range w.Keys {
-			c.keys[key] = &w.Workspace
+			c.workspaceByKey[key] = &w.Workspace
 		}
 	}
 	return c, nil
 }
 
-// KeyedWorkspace is a workspace with the keys that its callers show.
+// KeyedWorkspace is a workspace with the API keys of its callers.
 type KeyedWorkspace struct {
 	Workspace
 	Keys []string
 }
 
+// addRoute checks a route and adds it to the routes of its host.
 func (c *Config) addRoute(r *Route) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return fmt.Errorf("route %q: prefix %q must begin and end with a slash", r.Name, r.Prefix)
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// Route gives the route of a request: of the host's routes the one with the longest prefix of path; nil
-// where none matches. The host may carry a port, and path a query.
+// Route returns the route of a request, or nil if none matches: among the routes of the host, the one with the longest
+// prefix of the path. The host may include a port, and the path a query.
 func (c *Config) Route(host, path string) *Route {
 	if i := strings.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// hostName gives the host without its port, in lower case.
+// hostName returns the host in lower case and without its port.
 func hostName(host string) string {
 	if strings.IndexByte(host, ':') >= 0 {
 		if h, _, err := net.SplitHostPort(host); err == nil {
@@ -91,20 +92,20 @@
 	return strings.ToLower(host)
 }
 
-// Service gives a service, or nil.
+// Service returns the service with the name, or nil.
 func (c *Config) Service(name ServiceName) *Service { return c.services[name] }
 
-// Services gives all services by name; not to be changed.
+// Services returns all services by name. The map is shared; the caller must not modify it.
 func (c *Config) Services() map[ServiceName]*Service { return c.services }
 
-// NeedsKey tells whether a request of the route must show a key.
-func (c *Config) NeedsKey(r *Route) bool { return c.keyed && !r.Public }
+// NeedsKey reports whether a request of the route must carry a key.
+func (c *Config) NeedsKey(r *Route) bool { return c.keysRequired && !r.Public }
 
-// Workspace gives the workspace that holds the key, or nil.
-func (c *Config) Workspace(key string) *Workspace { return c.keys[key] }
+// Workspace returns the workspace that the key belongs to, or nil.
+func (c *Config) Workspace(key string) *Workspace { return c.workspaceByKey[key] }
 
-// Pick gives the service for a request of the route; point is a number in [0, 1) that is drawn for the
-// request, so that the shares are met over many requests.
+// Pick returns the service that serves a request of the route. The point is drawn uniformly from [0, 1) for each
+// request, so that over many requests each service gets its share.
 func (r *Route) Pick(point float64) ServiceName {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -113,47 +114,49 @@
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	at := point * total
+	remaining := point * total
 	for _, s := range r.Shares {
-		at -= s.Weight
-		if at < 0 {
+		remaining -= s.Weight
+		if remaining < 0 {
 			return s.Service
 		}
 	}
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// Snapshot is all that an instance knows of the fleet at a moment. It is immutable.
+// Snapshot is everything that an instance knows of the fleet at one moment. It is immutable.
 type Snapshot struct {
-	Config       *Config // nil: none known yet
-	DomainsOut   map[fleet.DomainID]bool
-	FleetVersion uint64 // of the store, as of which the upstreams are known
+	Config       *Config                 // nil: none known yet
+	DomainsOut   map[fleet.DomainID]bool // failure domains that are out of service
+	FleetVersion uint64                  // store revision of the upstreams
 	Members      []*Member
 
 	upstreams map[fleet.UpstreamID]*Upstream
 	byService map[ServiceName][]*Upstream
 }
 
-// NewSnapshot indexes what is known. The arguments must not be changed afterwards.
+// NewSnapshot returns a snapshot of the arguments, which must not be modified afterwards. The version is the store
+// revision of the upstreams.
 func NewSnapshot(c *Config, upstreams []*Upstream, out map[fleet.DomainID]bool, members []*Member, version uint64) *Snapshot {
 	return (&Snapshot{}).WithConfig(c).WithDomainsOut(out).WithMembers(members).WithUpstreams(upstreams, version)
 }
 
-// WithConfig gives the snapshot with another configuration; the rest is shared.
+// WithConfig returns a copy of the snapshot with another configuration. The copy shares the rest.
 func (s *Snapshot) WithConfig(c *Config) *Snapshot {
 	next := *s
 	next.Config = c
 	return &next
 }
 
-// WithOut gives the snapshot with other failure domains out; the rest is shared.
+// WithDomainsOut returns a copy of the snapshot with other failure domains out of service. The copy shares the rest.
 func (s *Snapshot) WithDomainsOut(out map[fleet.DomainID]bool) *Snapshot {
 	next := *s
 	next.DomainsOut = out
 	return &next
 }
 
-// WithMembers gives the snapshot with other instances, which it sorts; the rest is shared.
+// WithMembers returns a copy of the snapshot with other instances, and sorts them by id in place. The copy shares the
+// rest.
 func (s *Snapshot) WithMembers(members []*Member) *Snapshot {
 	next := *s
 	slices.SortFunc(members, func(a, b *Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
@@ -161,7 +164,8 @@
 	return &next
 }
 
-// WithUpstreams gives the snapshot with other upstreams, known as of a version of the store; the rest is shared.
+// WithUpstreams returns a copy of the snapshot with other upstreams, as of a revision of the store. The copy shares the
+// rest.
 func (s *Snapshot) WithUpstreams(upstreams []*Upstream, version uint64) *Snapshot {
 	next := *s
 	next.FleetVersion = version
@@ -171,16 +175,16 @@
 		next.upstreams[u.ID] = u
 		next.byService[u.Service] = append(next.byService[u.Service], u)
 	}
-	for _, all := range next.byService {
-		slices.SortFunc(all, func(a, b *Upstream) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	for _, group := range next.byService {
+		slices.SortFunc(group, func(a, b *Upstream) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	}
 	return &next
 }
 
-// Upstream gives the upstream with that id, or nil.
+// Upstream returns the upstream with the id, or nil.
 func (s *Snapshot) Upstream(id fleet.UpstreamID) *Upstream { return s.upstreams[id] }
 
-// Running gives the upstream whose known start is that process, or nil.
+// UpstreamByProcess returns the upstream whose current process is p, or nil.
 func (s *Snapshot) UpstreamByProcess(p fleet.Process) *Upstream {
 	if u := s.upstreams[p.ID]; u != nil && u.StartTime == p.StartTime {
 		return u
@@ -188,8 +192,8 @@
 	return nil
 }
 
-// Upstreams gives a service's upstreams, sorted by id; not to be changed.
+// Upstreams returns the upstreams of a service, sorted by id. The slice is shared; the caller must not modify it.
 func (s *Snapshot) Upstreams(name ServiceName) []*Upstream { return s.byService[name] }
 
-// Open tells whether the upstream may get new work: it isn't leaving and its domain isn't taken out.
+// AcceptsWork reports whether the upstream may get new work: it isn't leaving and its failure domain is in service.
 func (s *Snapshot) AcceptsWork(u *Upstream) bool { return !u.Leaving && !s.DomainsOut[u.Domain] }
