--- a/internal/watch/calls_test.go
+++ b/internal/watch/calls_test.go
@@ -20,32 +20,33 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// trouble is what the modelled store does to an instance's calls.
-type trouble uint8
+// storeFault is how the modelled store responds to an instance's calls.
+type storeFault uint8
 
 const (
-	fine    trouble = iota
-	refuses         // says at once that nothing was done
-	silent          // never answers
-	slow            // answers after fifty times the usual
+	healthy      storeFault = iota
+	refusing                // reports at once that nothing was done
+	unresponsive            // doesn't answer; the call fails after 1 s
+	slow                    // answers after fifty times the usual time
 )
 
-// calledStore is a store in virtual time that counts the calls of all instances.
-type calledStore struct {
+// countingStore is a store in virtual time that counts the calls of all instances.
+type countingStore struct {
 	mu       sync.Mutex
 	log      map[string][]event // by kind
 	revision uint64
-	oldest   uint64 // history before it is forgotten
-	changed  chan struct{}
+	oldest   uint64        // watches from an earlier revision fail, because the history before it is dropped
+	changed  chan struct{} // closed by the next write
 	calls    int
-	of       func(instance int) trouble
+	faultOf  func(instance int) storeFault
 }
 
-func newCalledStore() *calledStore {
-	return &calledStore{log: map[string][]event{}, changed: make(chan struct{}), of: func(int) trouble { return fine }}
+func newCountingStore() *countingStore {
+	return &countingStore{log: map[string][]event{}, changed: make(chan struct{}), faultOf: func(int) storeFault { return healthy }}
 }
 
-func (s *calledStore) put(kind, name string) {
+// put writes an object.
+func (s *countingStore) put(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -54,8 +55,8 @@
 	s.changed = make(chan struct{})
 }
 
-// since gives the objects of a kind that changed after a revision.
-func (s *calledStore) since(kind string, revision uint64) (wire.List, chan struct{}) {
+// since returns the objects of a kind that were written after a revision, and a channel that the next write closes.
+func (s *countingStore) since(kind string, revision uint64) (wire.List, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := wire.List{Version: s.revision}
@@ -67,23 +68,23 @@
 	return l, s.changed
 }
 
-// seenBy is the store as one instance reaches it.
-type seenBy struct {
-	*calledStore
+// instanceStore is the store as accessed by one instance.
+type instanceStore struct {
+	*countingStore
 	instance int
 }
 
-// call counts a call, and does to it what the trouble does.
-func (s seenBy) call(ctx context.Context) error {
+// call counts a call, and delays or fails it according to the instance's fault.
+func (s instanceStore) call(ctx context.Context) error {
 	s.mu.Lock()
 	s.calls++
-	t := s.of(s.instance)
+	fault := s.faultOf(s.instance)
 	s.mu.Unlock()
-	switch t {
-	case refuses:
+	switch fault {
+	case refusing:
 		time.Sleep(4 * time.Millisecond)
 		return objects.ErrUnavailable
-	case silent:
+	case unresponsive:
 		select {
 		case <-time.After(time.Second):
 		case <-ctx.Done():
@@ -97,7 +98,7 @@
 	return ctx.Err()
 }
 
-func (s seenBy) List(ctx context.Context, kind string) (wire.List, error) {
+func (s instanceStore) List(ctx context.Context, kind string) (wire.List, error) {
 	if err := s.call(ctx); err != nil {
 		return wire.List{}, err
 	}
@@ -105,7 +106,7 @@
 	return l, nil
 }
 
-func (s seenBy) Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error) {
+func (s instanceStore) Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error) {
 	if err := s.call(ctx); err != nil {
 		return wire.List{}, err
 	}
@@ -130,96 +131,104 @@
 	}
 }
 
-func (seenBy) Get(context.Context, objects.Key) (wire.Object, error) {
+func (instanceStore) Get(context.Context, objects.Key) (wire.Object, error) {
 	return wire.Object{}, objects.ErrNotFound
 }
-func (seenBy) Put(context.Context, objects.Write) (uint64, error) { return 0, objects.ErrUnavailable }
-func (seenBy) Delete(context.Context, objects.Key, uint64) error  { return objects.ErrUnavailable }
-func (emptyDecoder) Config(wire.Object) (*catalog.Config, error)  { return &catalog.Config{}, nil }
+func (instanceStore) Put(context.Context, objects.Write) (uint64, error) {
+	return 0, objects.ErrUnavailable
+}
+func (instanceStore) Delete(context.Context, objects.Key, uint64) error {
+	return objects.ErrUnavailable
+}
+func (emptyDecoder) Config(wire.Object) (*catalog.Config, error) { return &catalog.Config{}, nil }
 func (emptyDecoder) Upstream(wire.Object, time.Time) (*catalog.Upstream, error) {
 	return &catalog.Upstream{}, nil
 }
 
+// emptyDecoder decodes every object to an empty value.
 type emptyDecoder struct{}
 
-// told is a fleet of followers that one dispatcher tells: it names the readers, and passes proofs and changes on as
-// sessions would, some ms later.
-type told struct {
-	store     *calledStore
+// dispatchedFleet is a fleet of followers that are attached to one dispatcher. The dispatcher chooses the readers, and
+// forwards proofs and changes a few ms later, as sessions would.
+type dispatchedFleet struct {
+	store     *countingStore
 	followers []*Follower
 	readers   readers.Selector
 	start     time.Time
 	changes   chan Change
 }
 
-func startTold(ctx context.Context, n int) *told {
-	f := &told{store: newCalledStore(), start: time.Now(), changes: make(chan Change, 1<<16)}
+// startFleet runs n followers and their dispatcher until ctx ends.
+func startFleet(ctx context.Context, n int) *dispatchedFleet {
+	f := &dispatchedFleet{store: newCountingStore(), start: time.Now(), changes: make(chan Change, 1<<16)}
 	for i := range n {
-		one := New(Deps{
-			Store: seenBy{f.store, i}, Kinds: Kinds{Config: "c", Upstreams: "u", DomainsOut: "o", ConfigName: "main"},
+		follower := New(Deps{
+			Store: instanceStore{f.store, i}, Kinds: Kinds{Config: "c", Upstreams: "u", DomainsOut: "o", ConfigName: "main"},
 			Decoder: emptyDecoder{}, Log: hclog.NewNullLogger(),
 		})
-		one.ShareReads(func(c Change, own bool) {
+		follower.ShareReads(func(c Change, own bool) {
 			if own {
 				f.changes <- c
 			}
 		})
-		f.followers = append(f.followers, one)
-		go one.Run(ctx)
+		f.followers = append(f.followers, follower)
+		go follower.Run(ctx)
 	}
 	go f.dispatch(ctx)
 	return f
 }
 
-func (f *told) dispatch(ctx context.Context) {
-	var all []readers.Candidate
+// dispatch forwards the changes that readers report to all followers, and sends heartbeats until ctx ends.
+func (f *dispatchedFleet) dispatch(ctx context.Context) {
+	var candidates []readers.Candidate
 	for i := range f.followers {
-		all = append(all, readers.Candidate{ID: fleet.InstanceID(fmt.Sprint(i)), Domain: fleet.DomainID(fmt.Sprint(i % 5))})
+		candidates = append(candidates, readers.Candidate{ID: fleet.InstanceID(fmt.Sprint(i)), Domain: fleet.DomainID(fmt.Sprint(i % 5))})
 	}
-	beat := time.NewTicker(100 * time.Millisecond)
-	defer beat.Stop()
+	heartbeats := time.NewTicker(100 * time.Millisecond)
+	defer heartbeats.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case c := <-f.changes:
 			time.Sleep(2 * time.Millisecond)
-			for _, one := range f.followers {
-				one.ApplyChange(c)
+			for _, follower := range f.followers {
+				follower.ApplyChange(c)
 			}
-		case <-beat.C:
-			f.beat(all)
+		case <-heartbeats.C:
+			f.heartbeat(candidates)
 		}
 	}
 }
 
-func (f *told) beat(all []readers.Candidate) {
+// heartbeat assigns the roles and forwards the readers' proofs. A follower that is behind gets a full copy.
+func (f *dispatchedFleet) heartbeat(candidates []readers.Candidate) {
 	now := decide.Instant(time.Since(f.start)) + 1
-	chosen := f.readers.Choose(now, all)
-	for i, one := range f.followers {
+	chosen := f.readers.Choose(now, candidates)
+	for i, follower := range f.followers {
 		role := Receiver
-		if at := slices.Index(chosen, all[i].ID); at >= 0 {
+		if at := slices.Index(chosen, candidates[i].ID); at >= 0 {
 			role = FirstReader + Role(at)
 		}
-		one.SetRole(role)
-		reads := one.ReaderProofs()
-		if reads == nil {
+		follower.SetRole(role)
+		proofs := follower.ReaderProofs()
+		if proofs == nil {
 			continue
 		}
 		report := readers.Report{ProofAge: time.Hour}
-		for _, p := range reads {
+		for _, p := range proofs {
 			report.FailingFor = max(report.FailingFor, p.FailingFor)
 			if p.Known {
 				report.ProofAge = min(report.ProofAge, p.Age)
 			}
 		}
-		f.readers.HandleReport(now, all[i].ID, report)
-		for _, p := range reads {
+		f.readers.HandleReport(now, candidates[i].ID, report)
+		for _, p := range proofs {
 			p.FailingFor = f.readers.OutageDuration(now)
 			for _, other := range f.followers {
 				if other.ApplyProof(p) {
-					if whole, ok := one.FullCopy(p.Kind); ok {
-						other.ApplyChange(whole)
+					if full, ok := follower.FullCopy(p.Kind); ok {
+						other.ApplyChange(full)
 					}
 				}
 			}
@@ -227,91 +236,94 @@
 	}
 }
 
-// spent gives the calls of the fleet in a time.
-func (f *told) spent(long time.Duration) int {
+// callsWithin returns the number of store calls that the fleet makes during d.
+func (f *dispatchedFleet) callsWithin(d time.Duration) int {
 	f.store.mu.Lock()
 	before := f.store.calls
 	f.store.mu.Unlock()
-	time.Sleep(long)
+	time.Sleep(d)
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
 	return f.store.calls - before
 }
 
-func (s *calledStore) trouble(of func(instance int) trouble) {
+// setFault sets the fault of each instance's calls.
+func (s *countingStore) setFault(faultOf func(instance int) storeFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.of = of
+	s.faultOf = faultOf
 }
 
-// The store is paid for by the call, and its rate is shared: when it turned a third of the instances away, or was down,
-// each instance that heard nothing read four kinds by itself, and the calls grew with the fleet just when the store
-// could bear least. They stay under a bound that does not grow with the instances.
-func TestCallsDontGrowWithTheFleet(t *testing.T) {
+// Calls to the store are paid for, and its rate limit is shared. Guards against instances that each read the four kinds
+// by themselves while they receive nothing, as when the store refuses a third of the instances or is down: the calls
+// would grow with the fleet just when the store can serve the fewest. They must stay below a bound that doesn't depend
+// on the number of instances.
+func TestStoreCallsDoNotGrowWithFleet(t *testing.T) {
 	const (
-		steady   = 6.0             // calls a second
-		storm    = 3*12.0 + steady // while three kinds change all the time: each reader waits between its reads
-		troubled = 12.0
+		healthyBound  = 6.0                   // calls per second
+		changingBound = 3*12.0 + healthyBound // three kinds change continuously; each reader waits between its reads
+		faultyBound   = 12.0
 	)
-	third := func(how func() trouble) func(int) trouble {
-		return func(i int) trouble { return pick(i%3 == 0, how()) }
+	forThird := func(fault func() storeFault) func(int) storeFault {
+		return func(i int) storeFault { return faultIf(i%3 == 0, fault()) }
 	}
 	cases := []struct {
-		name  string
-		bound float64
-		of    func(int) trouble
-		storm bool
+		name     string
+		bound    float64
+		faultOf  func(int) storeFault
+		changing bool
 	}{
-		{"quiet", steady, nil, false},
-		{"changes", storm, nil, true},
-		{"down", troubled, func(int) trouble { return refuses }, false},
-		{"silent", troubled, func(int) trouble { return silent }, false},
-		{"slow", steady, func(int) trouble { return slow }, false},
-		{"a third is turned away", troubled, third(func() trouble { return refuses }), false},
-		{"a third hears nothing", troubled, third(func() trouble { return silent }), false},
+		{"quiet", healthyBound, nil, false},
+		{"changes", changingBound, nil, true},
+		{"down", faultyBound, func(int) storeFault { return refusing }, false},
+		{"silent", faultyBound, func(int) storeFault { return unresponsive }, false},
+		{"slow", healthyBound, func(int) storeFault { return slow }, false},
+		{"a third is refused", faultyBound, forThird(func() storeFault { return refusing }), false},
+		{"a third gets no answer", faultyBound, forThird(func() storeFault { return unresponsive }), false},
 	}
 	for _, n := range modelSizes {
 		for _, c := range cases {
 			t.Run(fmt.Sprint(c.name, "/", n), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(context.Background())
-					defer time.Sleep(time.Minute) // until all has ended
+					defer time.Sleep(time.Minute) // until all goroutines have ended
 					defer cancel()
-					f := startTold(ctx, n)
+					f := startFleet(ctx, n)
 					f.store.put("c", "main")
 					f.store.put("u", "w1")
 					time.Sleep(5 * time.Second)
-					if c.of != nil {
-						f.store.trouble(c.of)
+					if c.faultOf != nil {
+						f.store.setFault(c.faultOf)
 					}
-					if c.storm {
-						go f.storm(ctx)
+					if c.changing {
+						go f.writeContinuously(ctx)
 					}
-					const long = 10 * time.Second
-					rate := float64(f.spent(long)) / long.Seconds()
-					t.Logf("%.1f calls a second", rate)
+					const window = 10 * time.Second
+					rate := float64(f.callsWithin(window)) / window.Seconds()
+					t.Logf("%.1f calls per second", rate)
 					if rate > c.bound {
-						t.Errorf("%.1f calls a second, allowed %.0f", rate, c.bound)
+						t.Errorf("%.1f calls per second, allowed %.0f", rate, c.bound)
 					}
-					f.store.trouble(func(int) trouble { return fine })
+					f.store.setFault(func(int) storeFault { return healthy })
 					f.store.put("c", "main")
 					time.Sleep(1500 * time.Millisecond)
-					f.mustBeCurrent(t)
+					f.checkCurrent(t)
 				})
 			})
 		}
 	}
 }
 
-func pick(bad bool, t trouble) trouble {
-	if bad {
-		return t
+// faultIf returns the fault if faulty is set, and healthy otherwise.
+func faultIf(faulty bool, fault storeFault) storeFault {
+	if faulty {
+		return fault
 	}
-	return fine
+	return healthy
 }
 
-// storm changes three kinds, fifty times a second.
-func (f *told) storm(ctx context.Context) {
+// writeContinuously writes an object of each of three kinds fifty times a second.
+func (f *dispatchedFleet) writeContinuously(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, kind := range []string{"c", "u", "o"} {
 			f.store.put(kind, "main")
@@ -320,15 +332,15 @@
 	}
 }
 
-// mustBeCurrent checks that every instance has the newest configuration.
-func (f *told) mustBeCurrent(t *testing.T) {
+// checkCurrent checks that every instance has the current configuration, or one at most 60 revisions older.
+func (f *dispatchedFleet) checkCurrent(t *testing.T) {
 	t.Helper()
 	l, _ := f.store.since("c", 0)
 	newest := l.Objects[len(l.Objects)-1].Version
-	for i, one := range f.followers {
-		c, ok := one.FullCopy("c")
+	for i, follower := range f.followers {
+		c, ok := follower.FullCopy("c")
 		if !ok || len(c.Objects) != 1 || c.Objects[0].Version+60 < newest {
-			t.Fatalf("instance %d has the configuration of %v, the newest is %d", i, c.Objects, newest)
+			t.Fatalf("instance %d has configuration %v, the current version is %d", i, c.Objects, newest)
 		}
 	}
 }
--- a/internal/watch/config_test.go
+++ b/internal/watch/config_test.go
@@ -11,7 +11,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// versionDecoder reads configurations that say nothing but their version.
+// versionDecoder decodes configurations that consist of their version only.
 type versionDecoder struct{ emptyDecoder }
 
 func (versionDecoder) Config(o wire.Object) (*catalog.Config, error) {
@@ -19,9 +19,9 @@
 	return &catalog.Config{Version: version}, err
 }
 
-// A revoked key works again: an older configuration is written later, as an operator's tool that is behind does, or comes
-// in a copy of the store from before. The newest version that was in force stays.
-func TestAnOlderConfigurationIsKeptOut(t *testing.T) {
+// Guards against a revoked API key that is accepted again: an older configuration is written later, as by an operator's
+// tool that is behind, or arrives in an outdated copy of the store. The highest version that was in force must stay.
+func TestOlderConfigurationIsRejected(t *testing.T) {
 	is := is.New(t)
 	f := New(Deps{Kinds: Kinds{Config: "c", ConfigName: "main", Upstreams: "u", DomainsOut: "o"}, Decoder: versionDecoder{}, Log: hclog.NewNullLogger()})
 	for i, c := range []struct{ version, inForce string }{{"5", "5"}, {"4", "5"}, {"5", "5"}, {"nonsense", "5"}, {"6", "6"}, {"1", "6"}} {
@@ -31,6 +31,6 @@
 		}})
 		is.Equal(strconv.FormatUint(f.Snapshot().Config.Version, 10), c.inForce)
 	}
-	f.ApplyChange(Change{Kind: "c", Full: true, To: 9}) // the object is gone
+	f.ApplyChange(Change{Kind: "c", Full: true, To: 9}) // the object is deleted
 	is.Equal(f.Snapshot().Config.Version, uint64(6))
 }
--- a/internal/watch/departures.go
+++ b/internal/watch/departures.go
@@ -7,60 +7,67 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// maxDepartures bounds the departures that are kept; the one that was noted first goes first.
+// maxDepartures bounds the number of departures that are kept. The oldest one is evicted first.
 const maxDepartures = 10_000
 
-// departures are upstreams' processes that leave by another word than the store's: their own answers, or that of another
-// process at their address. It is final: whatever the store says later of such a process is older, however late it comes. They
-// outlive the upstream's entry, which can lapse while the store is away and come back as it was.
+// departures records upstream processes that are known to be leaving from a source other than the store: from their own
+// answers, or from the answer of another process at their address. A departure is final for its process. What the store
+// says later about that process is older information, however late it arrives. A departure outlives the upstream's
+// entry, because the entry can lapse while the store is unavailable and then be restored unchanged.
 type departures struct {
-	noted map[fleet.Process]time.Time
+	markedAt map[fleet.Process]time.Time // when each process was marked
 }
 
-func newDepartures() *departures { return &departures{noted: map[fleet.Process]time.Time{}} }
+// newDepartures returns an empty set of departures.
+func newDepartures() *departures { return &departures{markedAt: map[fleet.Process]time.Time{}} }
 
+// has reports whether the process of the upstream is marked as leaving.
 func (d *departures) has(u *catalog.Upstream) bool {
-	if len(d.noted) == 0 {
+	if len(d.markedAt) == 0 {
 		return false
 	}
-	_, ok := d.noted[u.Process()]
+	_, ok := d.markedAt[u.Process()]
 	return ok
 }
 
-// note takes that a process leaves, and tells whether that is new.
-func (d *departures) note(p fleet.Process, now time.Time) bool {
-	if _, known := d.noted[p]; known {
+// mark records that a process is leaving, and reports whether this wasn't known before.
+func (d *departures) mark(p fleet.Process, now time.Time) bool {
+	if _, known := d.markedAt[p]; known {
 		return false
 	}
-	if len(d.noted) >= maxDepartures {
-		d.forgetFirst()
+	if len(d.markedAt) >= maxDepartures {
+		d.evictOldest()
 	}
-	d.noted[p] = now
+	d.markedAt[p] = now
 	return true
 }
 
-func (d *departures) forgetFirst() {
-	var first fleet.Process
-	var at time.Time
-	for p, noted := range d.noted {
-		if at.IsZero() || noted.Before(at) {
-			first, at = p, noted
+// evictOldest removes the departure that was marked first.
+func (d *departures) evictOldest() {
+	var oldest fleet.Process
+	var oldestAt time.Time
+	for p, at := range d.markedAt {
+		if oldestAt.IsZero() || at.Before(oldestAt) {
+			oldest, oldestAt = p, at
 		}
 	}
-	delete(d.noted, first)
+	delete(d.markedAt, oldest)
 }
 
-// forgetUnnamed drops the departure of an upstream whose start isn't known, as its entry is gone: another process under its
-// id could not be told from it.
-func (d *departures) forgetUnnamed(id fleet.UpstreamID) { delete(d.noted, fleet.Process{ID: id}) }
+// removeWithoutStartTime removes the departure of an upstream whose start time is unknown. It is called when the
+// upstream's entry is gone: another process under the same id couldn't be distinguished from the one that left.
+func (d *departures) removeWithoutStartTime(id fleet.UpstreamID) {
+	delete(d.markedAt, fleet.Process{ID: id})
+}
 
-// Left notes that a process leaves, which can be known before the store says so: it gets no new work. by is the instance that
-// found out. It tells whether that is news here.
+// MarkLeaving records that a process is leaving, which can be known before the store says so. The process gets no new
+// work. The sign states how this was detected, and by is the instance that detected it. MarkLeaving reports whether the
+// departure wasn't known to this instance before.
 func (f *Follower) MarkLeaving(p fleet.Process, sign string, by fleet.InstanceID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if !f.left.note(p, now) {
+	if !f.departures.mark(p, now) {
 		return false
 	}
 	f.log.Info("upstream leaves by its own answer", "upstream", p.ID, "born", p.StartTime, "sign", sign, "heard_by", by)
@@ -68,15 +75,15 @@
 	return true
 }
 
-// Departures gives the processes that leave and that the store has as staying.
+// Departures returns the processes that are marked as leaving while the store doesn't list them as leaving.
 func (f *Follower) Departures() []fleet.Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var all []fleet.Process
-	for p := range f.left.noted {
+	var leaving []fleet.Process
+	for p := range f.departures.markedAt {
 		if u := f.upstreams[p.ID]; u != nil && u.Process() == p && !u.Leaving {
-			all = append(all, p)
+			leaving = append(leaving, p)
 		}
 	}
-	return all
+	return leaving
 }
--- a/internal/watch/join.go
+++ b/internal/watch/join.go
@@ -14,30 +14,32 @@
 	"github.com/damaskshelf/damaskshelf/internal/wait"
 )
 
-// joinPause is the pause after a failed attempt to join.
-const joinPause = 250 * time.Millisecond
+// joinRetryDelay is the delay after a failed attempt to join.
+const joinRetryDelay = 250 * time.Millisecond
 
-// Join keeps trying to write self among the instances until it stands there or ctx ends. An entry of an
-// earlier incarnation under the same id is replaced.
+// Join writes the entry of this instance to the store and retries until that succeeds or ctx ends. It replaces the
+// entry of an earlier incarnation under the same id.
 func Join(ctx context.Context, s objects.Store, self catalog.Member, log hclog.Logger) {
 	for {
-		err := put(ctx, s, self)
+		err := putMember(ctx, s, self)
 		if err == nil {
 			log.Info("joined", "instance", self.ID, "incarnation", self.Incarnation)
 			return
 		}
-		log.Debug("not joined yet", "error", err)
-		if !wait.For(ctx, joinPause) {
+		log.Debug("joining failed; retrying", "error", err)
+		if !wait.For(ctx, joinRetryDelay) {
 			return
 		}
 	}
 }
 
+// memberKey returns the key of an instance's entry.
 func memberKey(m *catalog.Member) objects.Key {
 	return objects.Key{Kind: KindMembers, Name: string(m.ID)}
 }
 
-func put(ctx context.Context, s objects.Store, self catalog.Member) error {
+// putMember writes the entry of this instance once. If another entry exists under the id, it is replaced.
+func putMember(ctx context.Context, s objects.Store, self catalog.Member) error {
 	value, err := encodeMember(&self)
 	if err != nil {
 		return fmt.Errorf("encode instance: %w", err)
@@ -53,7 +55,7 @@
 	return err
 }
 
-// Leave removes self from the instances if the entry is still its own.
+// Leave deletes the entry of this instance if it still belongs to this incarnation.
 func Leave(ctx context.Context, s objects.Store, self catalog.Member) error {
 	o, err := s.Get(ctx, memberKey(&self))
 	if errors.Is(err, objects.ErrNotFound) {
@@ -69,7 +71,7 @@
 	return s.Delete(ctx, memberKey(&self), o.Version)
 }
 
-// Remove removes an instance's entry if it is still the one at that revision.
+// Remove deletes the entry of an instance if it hasn't changed since m was read.
 func Remove(ctx context.Context, s objects.Store, m *catalog.Member) error {
 	err := s.Delete(ctx, memberKey(m), m.Revision)
 	if errors.Is(err, objects.ErrNotFound) {
--- a/internal/watch/member.go
+++ b/internal/watch/member.go
@@ -10,7 +10,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// memberMessage is the value of an instance's object.
+// memberMessage is the JSON value of an instance's entry in the store.
 type memberMessage struct {
 	Addr        string  `json:"peer_addr"`
 	Incarnation uint64  `json:"incarnation"`
@@ -19,13 +19,14 @@
 	LinkMbps    float64 `json:"link_mbps"`
 }
 
+// decodeMember decodes an instance's entry. An error names the instance and the invalid field.
 func decodeMember(o wire.Object) (*catalog.Member, error) {
 	var m memberMessage
 	if err := json.Unmarshal(o.Value, &m); err != nil {
 		return nil, fmt.Errorf("instance %q at revision %d: %w", o.Name, o.Version, err)
 	}
 	if _, err := netip.ParseAddrPort(m.Addr); err != nil {
-		return nil, fmt.Errorf("instance %q at revision %d: peer_addr %q is no IP and port", o.Name, o.Version, m.Addr)
+		return nil, fmt.Errorf("instance %q at revision %d: peer_addr %q is not an IP address and port", o.Name, o.Version, m.Addr)
 	}
 	return &catalog.Member{
 		ID: fleet.InstanceID(o.Name), Addr: m.Addr, Incarnation: m.Incarnation,
@@ -33,6 +34,7 @@
 	}, nil
 }
 
+// encodeMember encodes an instance's entry.
 func encodeMember(m *catalog.Member) ([]byte, error) {
 	return json.Marshal(memberMessage{Addr: m.Addr, Incarnation: m.Incarnation, Domain: string(m.Domain), CPUShare: m.CPUShare, LinkMbps: m.LinkMbps})
 }
--- a/internal/watch/model_test.go
+++ b/internal/watch/model_test.go
@@ -10,19 +10,20 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// event is a change of the modelled store: the version that an object got, or its removal.
+// event is a change in the modelled store: a new version of an object, or its removal.
 type event struct {
 	name    string
 	version uint64
 	removed bool
 }
 
-// modelStore is the store: its revision counts its events.
+// modelStore models the store. Its revision is the number of its events.
 type modelStore struct{ log []event }
 
+// revision returns the current revision.
 func (s *modelStore) revision() uint64 { return uint64(len(s.log)) }
 
-// at gives the objects as of a revision.
+// at returns the versions of the objects as of a revision, by name.
 func (s *modelStore) at(revision uint64) map[string]uint64 {
 	all := map[string]uint64{}
 	for _, e := range s.log[:revision] {
@@ -35,7 +36,7 @@
 	return all
 }
 
-// since gives what a watch from one revision to another answers: the last event of each object.
+// since returns the answer of a watch that covers the revisions after from, up to to: the last event of each object.
 func (s *modelStore) since(from, to uint64) wire.List {
 	last := map[string]event{}
 	for _, e := range s.log[from:to] {
@@ -52,6 +53,7 @@
 	return l
 }
 
+// list returns all objects as of a revision.
 func (s *modelStore) list(revision uint64) wire.List {
 	l := wire.List{Version: revision}
 	for name, version := range s.at(revision) {
@@ -60,111 +62,116 @@
 	return l
 }
 
-// modelFleet is a few copies that read the store and tell each other, over links that lose, double and reorder.
+// modelFleet is a few copies that read the store and send each other their changes, over links that lose, duplicate and
+// reorder messages.
 type modelFleet struct {
-	store   modelStore
-	copies  []*mirror
-	now     time.Time
-	reading []func() // the answer on its way to each copy; nil: none
-	sent    []Change // on their way to whoever gets them
-	seen    []map[string]sighting
+	store        modelStore
+	copies       []*replica
+	now          time.Time
+	pendingReads []func()                   // for each copy, applies the answer of its pending read; nil: no read is pending
+	messages     []Change                   // in transit; any copy may receive them
+	lastSeen     []map[string]observedState // for each copy, by object name
 }
 
-// sighting is what a copy last held of an object.
-type sighting struct {
+// observedState is the last state of an object in a copy.
+type observedState struct {
 	version uint64
-	gone    bool
+	deleted bool
 }
 
-func (f *modelFleet) told(c Change) {
+// send puts a change in transit unless it is empty.
+func (f *modelFleet) send(c Change) {
 	if !c.empty() {
-		f.sent = append(f.sent, c)
+		f.messages = append(f.messages, c)
 	}
 }
 
+// step executes one random step of the model on a random copy.
 func (f *modelFleet) step(t *rapid.T) {
 	i := rapid.IntRange(0, len(f.copies)-1).Draw(t, "copy")
-	m, now := f.copies[i], f.now
+	r, now := f.copies[i], f.now
 	switch rapid.SampledFrom([]string{"put", "remove", "list", "watch", "answer", "answer", "tell", "tell", "lose", "forget", "outage", "expire"}).Draw(t, "step") {
 	case "put":
 		name := fmt.Sprint("o", rapid.IntRange(0, 3).Draw(t, "object"))
 		f.store.log = append(f.store.log, event{name: name, version: f.store.revision() + 1})
 	case "remove":
 		name := fmt.Sprint("o", rapid.IntRange(0, 3).Draw(t, "object"))
-		if _, there := f.store.at(f.store.revision())[name]; there {
+		if _, exists := f.store.at(f.store.revision())[name]; exists {
 			f.store.log = append(f.store.log, event{name: name, removed: true})
 		}
 	case "list":
 		l := f.store.list(f.store.revision())
-		f.reading[i] = func() { f.told(m.replace(l, now)) }
+		f.pendingReads[i] = func() { f.send(r.applyList(l, now)) }
 	case "watch":
-		if m.known {
-			l := f.store.since(m.revision, f.store.revision())
-			f.reading[i] = func() { f.told(m.follow(l, now)) }
+		if r.known {
+			l := f.store.since(r.revision, f.store.revision())
+			f.pendingReads[i] = func() { f.send(r.applyWatch(l, now)) }
 		}
 	case "answer":
-		if f.reading[i] != nil {
-			f.reading[i]()
-			f.reading[i] = nil
-		}
-	case "tell": // a message stays on its way: it may come again, or to another copy
-		if len(f.sent) > 0 {
-			if c, ok := m.offer(f.sent[rapid.IntRange(0, len(f.sent)-1).Draw(t, "message")], now); ok {
-				f.told(c)
+		if f.pendingReads[i] != nil {
+			f.pendingReads[i]()
+			f.pendingReads[i] = nil
+		}
+	case "tell": // a message stays in transit, so it may arrive again or at another copy
+		if len(f.messages) > 0 {
+			if c, ok := r.applyChange(f.messages[rapid.IntRange(0, len(f.messages)-1).Draw(t, "message")], now); ok {
+				f.send(c)
 			}
 		}
 	case "lose":
-		if len(f.sent) > 0 {
-			f.sent = f.sent[1:]
-		}
-	case "forget": // the store dropped its history: the next read is a list
-		m.known, f.reading[i] = false, nil
-	case "outage": // is over: entries may have lapsed
-		m.returned = now
-	case "expire": // some time goes by
+		if len(f.messages) > 0 {
+			f.messages = f.messages[1:]
+		}
+	case "forget": // the store has dropped its history, so the next read is a list
+		r.known, f.pendingReads[i] = false, nil
+	case "outage": // an outage ends, during which entries may have lapsed
+		r.availableSince = now
+	case "expire": // time passes
 		f.now = now.Add(lapseGrace / 2)
-		f.told(m.expire(f.now))
+		f.send(r.endGracePeriods(f.now))
 	}
 }
 
-// check tells what a copy believes wrongly.
+// check fails the test if an object of a copy has returned to an earlier state, or if a copy lacks something.
 func (f *modelFleet) check(t *rapid.T) {
-	for i, m := range f.copies {
-		for name, o := range m.objects {
-			was := f.seen[i][name]
-			if o.Version < was.version || was.gone && o.Version == was.version {
-				t.Fatalf("copy %d went back: %s is at %d and was at %d, gone: %v", i, name, o.Version, was.version, was.gone)
+	for i, r := range f.copies {
+		for name, o := range r.objects {
+			last := f.lastSeen[i][name]
+			if o.Version < last.version || last.deleted && o.Version == last.version {
+				t.Fatalf("copy %d went back: %s is at version %d after version %d, deleted: %t", i, name, o.Version, last.version, last.deleted)
 			}
-			f.seen[i][name] = sighting{version: o.Version}
+			f.lastSeen[i][name] = observedState{version: o.Version}
 		}
-		for name, was := range f.seen[i] {
-			if _, there := m.objects[name]; !there {
-				f.seen[i][name] = sighting{version: was.version, gone: true}
+		for name, last := range f.lastSeen[i] {
+			if _, exists := r.objects[name]; !exists {
+				f.lastSeen[i][name] = observedState{version: last.version, deleted: true}
 			}
 		}
-		if m.known {
-			f.checkWhole(t, i, m)
+		if r.known {
+			f.checkComplete(t, i, r)
 		}
 	}
 }
 
-// checkWhole tells what a copy lacks of the state as of the revision that it claims.
-func (f *modelFleet) checkWhole(t *rapid.T, i int, m *mirror) {
-	then := f.store.at(m.revision)
-	for name, version := range then {
-		if o, there := m.objects[name]; there && o.Version < version || !there && !f.removedAfter(name, version) {
-			t.Fatalf("copy %d claims revision %d and lacks %s at %d", i, m.revision, name, version)
+// checkComplete fails the test if a copy differs from the store's state as of the copy's revision, other than by newer
+// changes and lapsing objects.
+func (f *modelFleet) checkComplete(t *rapid.T, i int, r *replica) {
+	stored := f.store.at(r.revision)
+	for name, version := range stored {
+		if o, exists := r.objects[name]; exists && o.Version < version || !exists && !f.removedAfter(name, version) {
+			t.Fatalf("copy %d is at revision %d and lacks %s at version %d", i, r.revision, name, version)
 		}
 	}
-	for name, o := range m.objects {
-		_, there := then[name]
-		_, lapses := m.lapsing[name]
-		if !there && !lapses && o.Version <= m.revision {
-			t.Fatalf("copy %d claims revision %d and holds %s at %d, which is gone", i, m.revision, name, o.Version)
+	for name, o := range r.objects {
+		_, exists := stored[name]
+		_, lapsing := r.lapsing[name]
+		if !exists && !lapsing && o.Version <= r.revision {
+			t.Fatalf("copy %d is at revision %d and holds %s at version %d, which is deleted", i, r.revision, name, o.Version)
 		}
 	}
 }
 
+// removedAfter reports whether the object was removed after the version was written.
 func (f *modelFleet) removedAfter(name string, version uint64) bool {
 	for _, e := range f.store.log[version:] {
 		if e.name == name && e.removed {
@@ -174,33 +181,37 @@
 	return false
 }
 
-// A revoked key works again, or a leaving upstream gets work: the copies of the store disagree. Whatever the
-// order in which reads are answered and messages come, are lost or come twice, a copy never goes back, lacks
-// nothing of the revision that it claims, and equals the store once it has read it.
+// Guards against copies of the store that disagree, so that a revoked API key is accepted again or a leaving upstream
+// gets work. Reads are answered and messages arrive in any order, and messages are lost and duplicated. A copy must
+// never return to an earlier state, must include everything up to its revision, and must equal the store once it has
+// read it.
 func TestCopiesNeverGoBack(t *testing.T) { checkCopies(t, false) }
 
-// The fleet sends to upstreams that are gone for the rest of the day. The same holds where entries that lapsed in an outage
-// are kept for a while: each copy knows which they are, and drops them when the while is over.
+// The same with entries that lapsed during an outage and are kept for a grace period. Guards against a copy that never
+// removes a lapsed entry, so that the fleet keeps sending to upstreams that are gone: each copy knows which entries
+// have lapsed, and removes them at the end of the grace period.
 func TestCopiesWithLapsedEntriesNeverGoBack(t *testing.T) { checkCopies(t, true) }
 
+// checkCopies checks random steps on three copies. The grace argument states whether they keep lapsed entries for a
+// grace period.
 func checkCopies(t *testing.T, grace bool) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &modelFleet{now: time.Now()}
 		for range 3 {
-			f.copies = append(f.copies, newMirror("k", grace))
-			f.seen = append(f.seen, map[string]sighting{})
+			f.copies = append(f.copies, newReplica("k", grace))
+			f.lastSeen = append(f.lastSeen, map[string]observedState{})
 		}
-		f.reading = make([]func(), len(f.copies))
+		f.pendingReads = make([]func(), len(f.copies))
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			f.step(t)
 			f.check(t)
 		}
-		for i, m := range f.copies {
-			m.replace(f.store.list(f.store.revision()), f.now)
+		for i, r := range f.copies {
+			r.applyList(f.store.list(f.store.revision()), f.now)
 			f.check(t)
-			m.expire(f.now.Add(2 * lapseGrace))
-			if want := f.store.at(f.store.revision()); len(m.objects) != len(want) {
-				t.Fatalf("copy %d holds %d objects, and the store %d", i, len(m.objects), len(want))
+			r.endGracePeriods(f.now.Add(2 * lapseGrace))
+			if want := f.store.at(f.store.revision()); len(r.objects) != len(want) {
+				t.Fatalf("copy %d holds %d objects, the store %d", i, len(r.objects), len(want))
 			}
 		}
 	})
--- a/internal/watch/publish.go
+++ b/internal/watch/publish.go
@@ -10,125 +10,135 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// bulk is how many changes of entries of one kind are logged one by one; of more at once only their number is: an
-// instance that starts before thousands of upstreams would spend its first second on writing lines.
-const bulk = 8
+// maxLoggedChanges is how many changes of the entries of one kind are logged individually at a time. If there are more,
+// only the total is logged for the rest: an instance that starts in a fleet of thousands of upstreams would otherwise
+// spend its first second on writing log lines.
+const maxLoggedChanges = 8
 
-// publish stores a snapshot with what has changed of a kind; mu is held. Parts of other kinds are shared with the
-// last one: building all of it anew for each change takes a weak processor's time with thousands of upstreams.
+// publish stores a snapshot that includes the changed copy of a kind. The parts of other kinds are shared with the
+// previous snapshot: to rebuild everything on each change would keep a weak processor busy with thousands of upstreams.
+// mu is held.
 func (f *Follower) publish(kind string, now time.Time) {
 	k := f.deps.Kinds
 	s := f.snapshot.Load()
 	switch kind {
 	case k.Config:
-		f.readConfig()
+		f.applyConfig()
 		s = s.WithConfig(f.config)
 	case k.Upstreams:
-		s = s.WithUpstreams(f.readUpstreams(now), f.mirrors[k.Upstreams].revision)
+		s = s.WithUpstreams(f.decodeUpstreams(now), f.replicas[k.Upstreams].revision)
 	case k.DomainsOut:
-		s = s.WithDomainsOut(f.readOut())
+		s = s.WithDomainsOut(f.readDomainsOut())
 	case KindMembers:
-		s = s.WithMembers(f.readMembers())
+		s = s.WithMembers(f.decodeMembers())
 	}
 	f.snapshot.Store(s)
 }
 
-func (f *Follower) readOut() map[fleet.DomainID]bool {
+// readDomainsOut returns the failure domains that are out of service.
+func (f *Follower) readDomainsOut() map[fleet.DomainID]bool {
 	out := map[fleet.DomainID]bool{}
-	for name := range f.mirrors[f.deps.Kinds.DomainsOut].objects {
+	for name := range f.replicas[f.deps.Kinds.DomainsOut].objects {
 		out[fleet.DomainID(name)] = true
 	}
-	f.logOut(out)
+	f.logDomainsOut(out)
 	return out
 }
 
-// bulkLog writes the first lines of many of one sort, and then their number.
-type bulkLog struct {
-	log  hclog.Logger
-	what string
-	n    int
+// changeLog logs the first maxLoggedChanges of a batch of changes individually, and then the total.
+type changeLog struct {
+	log     hclog.Logger
+	objects string // what kind of objects change, for the log line with the total
+	count   int    // number of changes so far
 }
 
-func (b *bulkLog) info(msg string, fields ...any) {
-	if b.n++; b.n <= bulk {
-		b.log.Info(msg, fields...)
+// info counts a change and logs it unless too many are logged already.
+func (l *changeLog) info(msg string, fields ...any) {
+	if l.count++; l.count <= maxLoggedChanges {
+		l.log.Info(msg, fields...)
 	}
 }
 
-func (b *bulkLog) end(total int) {
-	if b.n > bulk {
-		b.log.Info("more changes at once", "of", b.what, "changes", b.n, "not_logged", b.n-bulk, "known", total)
+// end logs the number of changes if some weren't logged individually. The total is the number of objects known now.
+func (l *changeLog) end(total int) {
+	if l.count > maxLoggedChanges {
+		l.log.Info("more changes at once", "of", l.objects, "changes", l.count, "not_logged", l.count-maxLoggedChanges, "known", total)
 	}
 }
 
-// readConfig puts a newer configuration in force. A lower version is a stale read; it never replaces one
-// that was in force.
-func (f *Follower) readConfig() {
-	o, ok := f.mirrors[f.deps.Kinds.Config].objects[f.deps.Kinds.ConfigName]
-	if !ok || o.Version == f.tried {
+// applyConfig puts a newer configuration in force. A configuration whose version isn't higher than that of the one in
+// force comes from a stale read and is ignored.
+func (f *Follower) applyConfig() {
+	o, ok := f.replicas[f.deps.Kinds.Config].objects[f.deps.Kinds.ConfigName]
+	if !ok || o.Version == f.triedRevision {
 		return
 	}
-	f.tried = o.Version
+	f.triedRevision = o.Version
 	c, err := f.deps.Decoder.Config(o)
 	if err != nil {
-		f.log.Error("configuration can't be read: the last one stays in force", "revision", o.Version, "error", err)
+		f.log.Error("configuration can't be decoded; the last one stays in force", "revision", o.Version, "error", err)
 		return
 	}
 	if f.config != nil && c.Version <= f.config.Version {
-		f.log.Warn("configuration is not newer: kept out", "version", c.Version, "in_force", f.config.Version)
+		f.log.Warn("configuration is not newer than the one in force; ignored", "version", c.Version, "in_force", f.config.Version)
 		return
 	}
 	f.config = c
 	f.log.Info("configuration in force", "version", c.Version, "revision", c.Revision)
 }
 
-func (f *Follower) readUpstreams(now time.Time) []*catalog.Upstream {
-	entries := f.mirrors[f.deps.Kinds.Upstreams].objects
-	all := make([]*catalog.Upstream, 0, len(entries))
-	log := &bulkLog{log: f.log, what: "upstreams"}
-	defer func() { log.end(len(all)) }()
+// decodeUpstreams returns the upstreams of the current entries, and logs the upstreams whose entries have appeared,
+// changed or gone.
+func (f *Follower) decodeUpstreams(now time.Time) []*catalog.Upstream {
+	entries := f.replicas[f.deps.Kinds.Upstreams].objects
+	upstreams := make([]*catalog.Upstream, 0, len(entries))
+	log := &changeLog{log: f.log, objects: "upstreams"}
+	defer func() { log.end(len(upstreams)) }()
 	for name, o := range entries {
-		if u := f.readUpstream(name, o, now, log); u != nil {
-			all = append(all, u)
+		if u := f.decodeUpstream(name, o, now, log); u != nil {
+			upstreams = append(upstreams, u)
 		}
 	}
 	for id := range f.upstreams {
 		if _, ok := entries[string(id)]; !ok {
 			log.info("upstream gone", "upstream", id)
 			delete(f.upstreams, id)
-			f.left.forgetUnnamed(id)
+			f.departures.removeWithoutStartTime(id)
 		}
 	}
-	return all
+	return upstreams
 }
 
-// readUpstream gives the decoded entry, decoding it only when it changed: its cold time counts from then.
-func (f *Follower) readUpstream(name string, o wire.Object, now time.Time, log *bulkLog) *catalog.Upstream {
+// decodeUpstream returns the upstream of an entry, marked as leaving if a departure is recorded for its process. An
+// entry is decoded only if it has changed, because the remaining cold time of an upstream counts from then. An entry
+// that can't be decoded yields nil.
+func (f *Follower) decodeUpstream(name string, o wire.Object, now time.Time, log *changeLog) *catalog.Upstream {
 	id := fleet.UpstreamID(name)
-	old := f.upstreams[id]
-	if old == nil || old.Revision != o.Version {
+	current := f.upstreams[id]
+	if current == nil || current.Revision != o.Version {
 		u, err := f.deps.Decoder.Upstream(o, now)
 		if err != nil {
-			if f.spoiled[name] != o.Version {
-				f.spoiled[name] = o.Version
-				f.log.Warn("entry names no upstream", "error", err)
+			if f.undecodable[name] != o.Version {
+				f.undecodable[name] = o.Version
+				f.log.Warn("upstream entry can't be decoded", "error", err)
 			}
 			delete(f.upstreams, id)
 			return nil
 		}
-		logUpstream(log, old, u)
+		logUpstream(log, current, u)
 		f.upstreams[id] = u
-		old = u
+		current = u
 	}
-	if !old.Leaving && f.left.has(old) {
-		leaving := *old
+	if !current.Leaving && f.departures.has(current) {
+		leaving := *current
 		leaving.Leaving = true
 		return &leaving
 	}
-	return old
+	return current
 }
 
-func logUpstream(log *bulkLog, old, u *catalog.Upstream) {
+// logUpstream logs a new upstream, or an upstream whose address, start time or leaving state has changed.
+func logUpstream(log *changeLog, old, u *catalog.Upstream) {
 	switch {
 	case old == nil:
 		log.info("upstream found", "upstream", u.ID, "service", u.Service, "addr", u.Addr, "domain", u.Domain,
@@ -139,7 +149,8 @@
 	}
 }
 
-func (f *Follower) logOut(out map[fleet.DomainID]bool) {
+// logDomainsOut logs which failure domains were taken out of service and which were restored.
+func (f *Follower) logDomainsOut(out map[fleet.DomainID]bool) {
 	old := f.snapshot.Load().DomainsOut
 	for d := range out {
 		if !old[d] {
@@ -153,25 +164,27 @@
 	}
 }
 
-func (f *Follower) readMembers() []*catalog.Member {
-	entries := f.mirrors[KindMembers].objects
-	all := make([]*catalog.Member, 0, len(entries))
-	log := &bulkLog{log: f.log, what: "instances"}
-	defer func() { log.end(len(all)) }()
+// decodeMembers returns the instances of the current entries, and logs the instances whose entries have appeared or
+// gone.
+func (f *Follower) decodeMembers() []*catalog.Member {
+	entries := f.replicas[KindMembers].objects
+	members := make([]*catalog.Member, 0, len(entries))
+	log := &changeLog{log: f.log, objects: "instances"}
+	defer func() { log.end(len(members)) }()
 	for name, o := range entries {
 		id := fleet.InstanceID(name)
 		m := f.members[id]
 		if m == nil || m.Revision != o.Version {
 			d, err := decodeMember(o)
 			if err != nil {
-				f.log.Warn("entry names no instance", "error", err)
+				f.log.Warn("instance entry can't be decoded", "error", err)
 				continue
 			}
 			m = d
 			f.members[id] = m
 			log.info("instance found", "instance", m.ID, "addr", m.Addr, "incarnation", m.Incarnation)
 		}
-		all = append(all, m)
+		members = append(members, m)
 	}
 	for id := range f.members {
 		if _, ok := entries[string(id)]; !ok {
@@ -179,5 +192,5 @@
 			delete(f.members, id)
 		}
 	}
-	return all
+	return members
 }
--- a/internal/watch/race_off_test.go
+++ b/internal/watch/race_off_test.go
@@ -2,5 +2,5 @@
 
 package watch
 
-// modelSizes are the fleets of the model.
+// modelSizes are the fleet sizes that the model runs with.
 var modelSizes = []int{30, 100, 300, 930}
--- a/internal/watch/race_on_test.go
+++ b/internal/watch/race_on_test.go
@@ -2,5 +2,5 @@
 
 package watch
 
-// modelSizes are the fleets of the model under the race detector, which bounds the goroutines of a process.
+// modelSizes are the fleet sizes that the model runs with under the race detector, which limits the number of goroutines.
 var modelSizes = []int{30, 100}
--- a/internal/watch/read.go
+++ b/internal/watch/read.go
@@ -10,37 +10,38 @@
 )
 
 const (
-	// configWait is the wait of a watch for configurations where the users give them no time to be in force. A watch
-	// that waits is no proof that nothing has changed: one that hears nothing while the store drops its history
-	// answers only at its end.
-	configWait = 800 * time.Millisecond
-	// waitShare is the part of the time in which a configuration must be in force that its watch waits: a watch that
-	// hears nothing, a lost answer and a list fit into it.
-	waitShare = 0.4
-	// leastWait and mostWait bound that wait.
-	leastWait = 200 * time.Millisecond
-	mostWait  = 2 * time.Second
-	// fleetWait is the wait of the watches for upstreams and failure domains, whose bounds are longer.
+	// defaultConfigWait is how long a watch for configurations waits if ConfigWithin isn't set. A pending watch
+	// doesn't prove that nothing has changed: if the store drops its history meanwhile and reports no change, the
+	// watch returns only at the end of its wait.
+	defaultConfigWait = 800 * time.Millisecond
+	// configWaitFraction is the fraction of ConfigWithin that a watch for configurations waits. A watch that
+	// reports nothing, a lost answer and a list fit into ConfigWithin.
+	configWaitFraction = 0.4
+	// minConfigWait and maxConfigWait bound that wait.
+	minConfigWait = 200 * time.Millisecond
+	maxConfigWait = 2 * time.Second
+	// fleetWait is how long the watches for upstreams and failure domains wait. Their changes are allowed more time
+	// to take effect than a configuration.
 	fleetWait = 2 * time.Second
-	// membersWait is the wait of the watch for instances, on which nothing safe depends.
+	// membersWait is how long the watch for instances waits. No safety guarantee depends on the instances.
 	membersWait = 8 * time.Second
-	// secondShare is by how much the second reader waits longer than the first.
-	secondShare = 4
-	// proofWait is the wait of a watch that is to prove that nothing has changed.
+	// secondReaderFactor is how many times longer than the first reader the second reader waits.
+	secondReaderFactor = 4
+	// proofWait is the wait of a watch that is only needed as proof that nothing has changed.
 	proofWait = time.Millisecond
-	// firstPause and longestPause bound the pause after a failed read, which doubles.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 800 * time.Millisecond
+	// minBackoff and maxBackoff bound the delay after a failed read. The delay doubles with each failure in a row.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
 )
 
-// follow reads a kind whenever it is this instance's part to, until ctx ends.
-func (f *Follower) follow(ctx context.Context, kind string) {
-	pause := time.Duration(0)
-	for wait.For(ctx, pause) {
+// readLoop reads a kind from the store whenever this instance has to, until ctx ends.
+func (f *Follower) readLoop(ctx context.Context, kind string) {
+	delay := time.Duration(0)
+	for wait.For(ctx, delay) {
 		began := time.Now()
-		if !f.reading(kind, began) {
-			pause = 0
-			if !f.rest(ctx, f.untilLook(kind, began)) {
+		if !f.shouldRead(kind, began) {
+			delay = 0
+			if !f.waitIdle(ctx, f.recheckDelay(kind, began)) {
 				return
 			}
 			continue
@@ -48,149 +49,150 @@
 		err := f.read(ctx, kind)
 		switch {
 		case err == nil:
-			pause = max(0, f.spacing()-time.Since(began))
+			delay = max(0, f.minSpacing()-time.Since(began))
 		case errors.Is(err, objects.ErrTooOld):
 			f.log.Info("store forgot its history: listing again", "kind", kind)
-			f.forget(kind)
-			pause = 0
+			f.relist(kind)
+			delay = 0
 		default:
-			pause = min(max(f.firstPause(), 2*pause), longestPause)
+			delay = min(max(f.firstBackoff(), 2*delay), maxBackoff)
 		}
 	}
 }
 
-// spacing is the least time between two reads that bring changes.
-func (f *Follower) spacing() time.Duration {
+// minSpacing returns the least time from the start of a successful read to the start of the next one.
+func (f *Follower) minSpacing() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.role == SecondReader && f.led {
-		return secondSpacing
+	if f.role == SecondReader && f.readsSucceed {
+		return secondReaderSpacing
 	}
-	return spacing
+	return readSpacing
 }
 
-// firstPause is the pause after the first failed read. Where others have failed for long, another one that has its turn
-// does not begin anew with short pauses.
-func (f *Follower) firstPause() time.Duration {
+// firstBackoff returns the delay after the first failed read. During a long outage, an instance that newly becomes a
+// reader doesn't start with short delays again.
+func (f *Follower) firstBackoff() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.failing.IsZero() && time.Since(f.failing) > longestPause {
-		return longestPause
+	if !f.outageSince.IsZero() && time.Since(f.outageSince) > maxBackoff {
+		return maxBackoff
 	}
-	return firstPause
+	return minBackoff
 }
 
-// untilLook is when a loop that doesn't read looks again.
-func (f *Follower) untilLook(kind string, now time.Time) time.Duration {
+// recheckDelay returns how long a loop that doesn't read waits before it checks again whether it has to.
+func (f *Follower) recheckDelay(kind string, now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if left := f.started.Add(f.joinDelay).Sub(now); kind == KindMembers && left > 0 {
 		return left
 	}
-	return lookEvery
+	return recheckInterval
 }
 
-// read lists the kind, or waits for its changes, once.
+// read lists the kind or waits for changes of it, once.
 func (f *Follower) read(ctx context.Context, kind string) error {
-	longest := f.wait(kind)
+	maxWait := f.watchWait(kind)
 	began := time.Now()
 	f.mu.Lock()
-	m := f.mirrors[kind]
-	known, revision := m.known, m.revision
-	m.due = began
+	r := f.replicas[kind]
+	known, revision := r.known, r.revision
+	r.readDue = began
 	if known {
-		m.due = began.Add(longest)
+		r.readDue = began.Add(maxWait)
 	}
 	f.mu.Unlock()
 	if !known {
 		l, err := f.deps.Store.List(ctx, kind)
-		return f.took(kind, l, true, began, err)
+		return f.readDone(kind, l, true, began, err)
 	}
-	reading, stop := f.breakable(ctx)
+	readCtx, stop := f.interruptible(ctx)
 	defer stop()
-	l, err := f.deps.Store.Watch(reading, kind, revision, longest)
-	if err != nil && reading.Err() != nil && ctx.Err() == nil {
-		return nil // broken off for a new one
+	l, err := f.deps.Store.Watch(readCtx, kind, revision, maxWait)
+	if err != nil && readCtx.Err() != nil && ctx.Err() == nil {
+		return nil // interrupted; the next read replaces it
 	}
-	return f.took(kind, l, false, began, err)
+	return f.readDone(kind, l, false, began, err)
 }
 
-// wait is how long a watch of the kind waits now.
-func (f *Follower) wait(kind string) time.Duration {
-	doubtful := f.Untrusted()
+// watchWait returns how long a watch of the kind waits now.
+func (f *Follower) watchWait(kind string) time.Duration {
+	untrusted := f.Untrusted()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if doubtful || f.shares && !f.led {
-		return proofWait // only the proof is wanted
+	if untrusted || f.sharesReads && !f.readsSucceed {
+		return proofWait // only the proof is needed
 	}
-	longest := fleetWait
+	maxWait := fleetWait
 	switch kind {
 	case f.deps.Kinds.Config:
-		longest = configWait
+		maxWait = defaultConfigWait
 		if within := f.deps.ConfigWithin; within > 0 {
-			longest = min(mostWait, max(leastWait, time.Duration(float64(within)*waitShare)))
+			maxWait = min(maxConfigWait, max(minConfigWait, time.Duration(float64(within)*configWaitFraction)))
 		}
 	case KindMembers:
-		longest = membersWait
+		maxWait = membersWait
 	}
 	if f.role == SecondReader {
-		longest *= secondShare
+		maxWait *= secondReaderFactor
 	}
-	return longest
+	return maxWait
 }
 
-// breakable gives a context that also ends when reads are broken off.
-func (f *Follower) breakable(ctx context.Context) (context.Context, func()) {
+// interruptible returns a context that ends with ctx or when reads are interrupted, and a function that releases it.
+func (f *Follower) interruptible(ctx context.Context) (context.Context, func()) {
 	f.mu.Lock()
-	breaks := f.breaks
+	interrupt := f.interrupt
 	f.mu.Unlock()
-	reading, cancel := context.WithCancel(ctx)
+	readCtx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		select {
-		case <-breaks:
+		case <-interrupt:
 			cancel()
 		case <-done:
 		}
 	}()
-	return reading, func() {
+	return readCtx, func() {
 		close(done)
 		cancel()
 	}
 }
 
-// breakReads ends the watches under way: their answers would prove too little too late.
-func (f *Follower) breakReads() {
+// interruptReads ends the pending watches. After a pause a proof is needed at once, while the answer of a pending watch
+// may take seconds and may date from before the end of the pause.
+func (f *Follower) interruptReads() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	close(f.breaks)
-	f.breaks = make(chan struct{})
-	f.wake()
+	close(f.interrupt)
+	f.interrupt = make(chan struct{})
+	f.wakeLoops()
 }
 
-// forget makes the next read of the kind a list.
-func (f *Follower) forget(kind string) {
+// relist makes the next read of the kind a list.
+func (f *Follower) relist(kind string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.mirrors[kind].known = false
+	f.replicas[kind].known = false
 }
 
-// wake has the loops look whether they are to read; mu is held.
-func (f *Follower) wake() {
-	close(f.woken)
-	f.woken = make(chan struct{})
+// wakeLoops makes idle loops check again whether they have to read. mu is held.
+func (f *Follower) wakeLoops() {
+	close(f.recheck)
+	f.recheck = make(chan struct{})
 }
 
-// rest waits for d, or until who reads what may have changed; false: ctx ended.
-func (f *Follower) rest(ctx context.Context, d time.Duration) bool {
+// waitIdle waits for d, or until wakeLoops is called. It returns false if ctx has ended.
+func (f *Follower) waitIdle(ctx context.Context, d time.Duration) bool {
 	f.mu.Lock()
-	woken := f.woken
+	recheck := f.recheck
 	f.mu.Unlock()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-woken:
+	case <-recheck:
 	case <-ctx.Done():
 	}
 	return ctx.Err() == nil
--- a/internal/watch/relay.go
+++ b/internal/watch/relay.go
@@ -8,137 +8,144 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// Role is an instance's part in reading the store. Few instances read it and tell the others: every call is paid for
-// and counts against a rate that all share, so that the calls must not grow with the fleet.
+// Role is an instance's role in reading the store. Only a few instances read it and report changes to the others: every
+// call is paid for and counts against a rate limit that all instances share, so the number of calls must not grow with
+// the fleet.
 type Role uint8
 
-// The roles.
+// Roles.
 const (
-	Unattached   Role = iota // no dispatcher has given it a part yet
-	Receiver                 // it reads nothing: the dispatcher tells it
-	FirstReader              // it reads, and tells
-	SecondReader             // the same, with longer waits: for the time in which the first is cut off and not known to be
+	Unattached   Role = iota // no dispatcher has assigned a role yet
+	Receiver                 // doesn't read; it receives changes from the dispatcher
+	FirstReader              // reads the store and reports changes
+	SecondReader             // the same with longer waits; covers the time until a failure of the first is detected
 )
 
 const (
-	// joinTime is the longest wait of a starting instance to be told the other instances before it lists them. All
-	// may start at one moment: each waits for a part of it that it draws.
-	joinTime = 300 * time.Millisecond
-	// aloneTime is how long an instance without a dispatcher waits before it reads the other kinds by itself: as soon
-	// as it knows itself as a member it is its own dispatcher, and a reader.
-	aloneTime = time.Second
-	// spacing is the least time between two reads of a kind that bring changes: a lone change is seen at once, and of
-	// many in quick succession some at a time. The second reader's is longer.
-	spacing       = 100 * time.Millisecond
-	secondSpacing = 500 * time.Millisecond
-	// lookEvery is how often an instance that doesn't read looks whether it must; a change of its role wakes it.
-	lookEvery = 500 * time.Millisecond
-	// hangTime is how much longer than its wait a read may take: a slow store answers after fifty times the usual.
-	hangTime = 500 * time.Millisecond
+	// maxJoinDelay bounds how long a starting instance waits to receive the other instances from a dispatcher
+	// before it lists them itself. The delay is random, because all instances may start at the same moment.
+	maxJoinDelay = 300 * time.Millisecond
+	// unattachedDelay is how long an instance without a dispatcher waits before it reads the kinds other than the
+	// instances by itself. Usually it doesn't come to that: as soon as the instance finds its own entry among the
+	// instances, it is its own dispatcher and so a reader.
+	unattachedDelay = time.Second
+	// readSpacing is the least time from the start of a successful read of a kind to the start of the next one. A
+	// single change is received at once, and changes in quick succession are received several at a time. The second
+	// reader's spacing is longer.
+	readSpacing         = 100 * time.Millisecond
+	secondReaderSpacing = 500 * time.Millisecond
+	// recheckInterval is how often an instance that doesn't read checks whether it has to. A change of its role
+	// triggers the check at once.
+	recheckInterval = 500 * time.Millisecond
+	// hangTimeout is how much longer than its wait a read may take before it counts as failing. A slow store
+	// answers after fifty times the usual time.
+	hangTimeout = 500 * time.Millisecond
 )
 
-// Proof says as of when an instance's copy of a kind was the store's newest.
+// Proof states that an instance's copy of a kind was current at some moment.
 type Proof struct {
 	Kind       string
-	Known      bool
-	Revision   uint64 // as of which the copy is whole
-	LastChange uint64 // revision of its last change
-	Age        time.Duration
-	FailingFor time.Duration // how long the readers have failed to read it; 0: they don't
+	Known      bool          // the instance has a copy of the kind
+	Revision   uint64        // the copy includes every change up to this revision
+	LastChange uint64        // revision of the last change that modified the copy
+	Age        time.Duration // time since the copy was current
+	FailingFor time.Duration // how long the readers have failed to read the kind; 0: they succeed
 }
 
-// SetRole gives the instance its part in reading the store.
-func (f *Follower) SetRole(r Role) {
+// SetRole sets the instance's role in reading the store.
+func (f *Follower) SetRole(role Role) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if r == f.role {
+	if role == f.role {
 		return
 	}
-	f.log.Info("part in reading the store", "role", r, "before", f.role)
-	if !f.role.IsReader() || !r.IsReader() {
-		f.led = false
-		for _, m := range f.mirrors {
-			m.failed = time.Time{} // others read from now on, or this one anew
+	f.log.Info("part in reading the store", "role", role, "before", f.role)
+	if !f.role.IsReader() || !role.IsReader() {
+		f.readsSucceed = false
+		for _, r := range f.replicas {
+			r.failedSince = time.Time{} // other instances read from now on, or this one starts afresh
 		}
 	}
-	if r == Unattached {
-		f.unattached = time.Now()
+	if role == Unattached {
+		f.unattachedSince = time.Now()
 	}
-	f.role = r
-	f.wake()
+	f.role = role
+	f.wakeLoops()
 }
 
-// Reads tells whether an instance with the role reads the store.
+// IsReader reports whether an instance with the role reads the store.
 func (r Role) IsReader() bool { return r == FirstReader || r == SecondReader }
 
-// String gives the role as it stands in log lines.
+// String returns the role as it appears in log lines.
 func (r Role) String() string {
 	return [...]string{"unattached", "told", "first_reader", "second_reader"}[r]
 }
 
-// Role is the instance's part in reading the store.
+// Role returns the instance's role in reading the store.
 func (f *Follower) Role() Role {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.role
 }
 
-// reading tells whether this instance reads the kind from the store now. While reads fail, one kind alone is tried:
-// the others would fail with it, and each call counts.
-func (f *Follower) reading(kind string, now time.Time) bool {
-	if !f.shares {
+// shouldRead reports whether this instance has to read the kind from the store now. Until a read succeeds, only the
+// first kind is tried: reads of the other kinds would fail too, and every call counts against the rate limit.
+func (f *Follower) shouldRead(kind string, now time.Time) bool {
+	if !f.sharesReads {
 		return true
 	}
-	awake, doubts := f.awake()
+	resumedAt, recent := f.resumedAt()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if kind != f.lead() && !f.led {
+	if kind != f.firstKind() && !f.readsSucceed {
 		return false
 	}
-	if doubts && f.unproven(kind, awake) {
+	if recent && f.unproven(kind, resumedAt) {
 		return true // the dispatcher's next proof may be seconds away, and nothing is sent until then
 	}
 	switch f.role {
 	case Receiver:
 		return false
 	case Unattached:
-		return f.readingAlone(kind, now)
+		return f.shouldReadUnattached(kind, now)
 	}
 	return true
 }
 
-// lead is the kind that is read first: without a dispatcher the others' addresses are wanted most.
-func (f *Follower) lead() string {
+// firstKind returns the kind that is read first. An instance without a dispatcher needs the addresses of the other
+// instances most. mu is held.
+func (f *Follower) firstKind() string {
 	if f.role == Unattached {
 		return KindMembers
 	}
 	return f.deps.Kinds.Config
 }
 
-// readingAlone tells whether an instance without a dispatcher reads the kind; mu is held.
-func (f *Follower) readingAlone(kind string, now time.Time) bool {
+// shouldReadUnattached reports whether an instance without a dispatcher has to read the kind. mu is held.
+func (f *Follower) shouldReadUnattached(kind string, now time.Time) bool {
 	switch {
 	case kind != KindMembers:
-		return now.Sub(f.unattached) > aloneTime
-	case f.mirrors[kind].known:
-		return now.Sub(f.unattached) > joinTime
+		return now.Sub(f.unattachedSince) > unattachedDelay
+	case f.replicas[kind].known:
+		return now.Sub(f.unattachedSince) > maxJoinDelay
 	default:
 		return now.Sub(f.started) >= f.joinDelay
 	}
 }
 
-// ListNow has a starting instance list the others at once: one of them has found it, and takes it for the dispatcher.
+// ListMembersNow makes a starting instance list the other instances at once. It is called when one of them has
+// connected to this instance because it considers it the dispatcher.
 func (f *Follower) ListMembersNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.joinDelay > 0 {
 		f.joinDelay = 0
-		f.wake()
+		f.wakeLoops()
 	}
 }
 
-// Reads gives how new what this instance reads from the store itself is, and how long it has failed to; nil: it reads
-// nothing.
+// ReaderProofs returns the proofs of every kind if this instance is a reader, and nil otherwise. FailingFor is how long
+// its own reads have failed.
 func (f *Follower) ReaderProofs() []Proof {
 	now := time.Now()
 	f.mu.Lock()
@@ -146,112 +153,115 @@
 	if !f.role.IsReader() {
 		return nil
 	}
-	all := f.proofs(now)
-	for i := range all {
-		all[i].FailingFor = f.mirrors[all[i].Kind].failingFor(now)
+	proofs := f.proofs(now)
+	for i := range proofs {
+		proofs[i].FailingFor = f.replicas[proofs[i].Kind].failingFor(now)
 	}
-	return all
+	return proofs
 }
 
-// Proofs gives the proofs of every kind.
+// Proofs returns the proofs of every kind, sorted by kind.
 func (f *Follower) Proofs() []Proof {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.proofs(time.Now())
 }
 
-// proofs gives the proofs of every kind, in the order of their names; mu is held.
+// proofs implements Proofs; mu is held.
 func (f *Follower) proofs(now time.Time) []Proof {
-	all := make([]Proof, 0, len(f.mirrors))
-	for kind, m := range f.mirrors {
-		p := Proof{Kind: kind, Known: m.known, Revision: m.revision, LastChange: m.latest, Age: now.Sub(m.proven)}
-		if !f.failing.IsZero() {
-			p.FailingFor = now.Sub(f.failing)
+	proofs := make([]Proof, 0, len(f.replicas))
+	for kind, r := range f.replicas {
+		p := Proof{Kind: kind, Known: r.known, Revision: r.revision, LastChange: r.lastChange, Age: now.Sub(r.provenAt)}
+		if !f.outageSince.IsZero() {
+			p.FailingFor = now.Sub(f.outageSince)
 		}
-		all = append(all, p)
+		proofs = append(proofs, p)
 	}
-	slices.SortFunc(all, func(a, b Proof) int { return strings.Compare(a.Kind, b.Kind) })
-	return all
+	slices.SortFunc(proofs, func(a, b Proof) int { return strings.Compare(a.Kind, b.Kind) })
+	return proofs
 }
 
-// Prove takes another instance's proof. behind tells that its copy is newer than this one.
+// ApplyProof applies the proof of another instance to this instance's copy, and records how long the readers have been
+// failing. It reports whether this copy is behind, so that it needs the other's changes.
 func (f *Follower) ApplyProof(p Proof) (behind bool) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.mirrors[p.Kind]
-	if m == nil || !p.Known {
+	r := f.replicas[p.Kind]
+	if r == nil || !p.Known {
 		return false
 	}
-	if !m.known || m.revision < p.LastChange {
+	if !r.known || r.revision < p.LastChange {
 		return true
 	}
-	if m.revision <= p.Revision {
-		m.revision = p.Revision
-		m.prove(now.Add(-p.Age))
+	if r.revision <= p.Revision {
+		r.revision = p.Revision
+		r.recordProof(now.Add(-p.Age))
 	}
 	if p.FailingFor > 0 {
-		f.failed(now.Add(-p.FailingFor))
+		f.recordOutage(now.Add(-p.FailingFor))
 	} else {
-		f.regained(now)
+		f.endOutage(now)
 	}
 	return false
 }
 
-// failed takes since when nobody can read the store; mu is held.
-func (f *Follower) failed(since time.Time) {
-	if f.failing.IsZero() {
-		f.failing = since
+// recordOutage records since when no instance has been able to read the store, unless an outage is recorded already. mu
+// is held.
+func (f *Follower) recordOutage(since time.Time) {
+	if f.outageSince.IsZero() {
+		f.outageSince = since
 	}
 }
 
-// regained takes that the store is read again, here or by those who tell; mu is held. Whoever reads it next knows from
-// it that entries may have lapsed unseen.
-func (f *Follower) regained(now time.Time) {
-	if !f.failing.IsZero() && now.Sub(f.failing) > outage {
-		for _, m := range f.mirrors {
-			m.returned = now
+// endOutage records that the store is read again, by this instance or by the readers that report to it. After an outage
+// of more than minOutage, every copy notes the time, so that this instance knows that entries may have lapsed unseen if
+// it becomes a reader next. mu is held.
+func (f *Follower) endOutage(now time.Time) {
+	if !f.outageSince.IsZero() && now.Sub(f.outageSince) > minOutage {
+		for _, r := range f.replicas {
+			r.availableSince = now
 		}
 	}
-	f.failing = time.Time{}
+	f.outageSince = time.Time{}
 }
 
-// Offer takes a change that another instance made to its copy. missing tells that changes before it are
-// missing here: all of the kind is needed.
+// ApplyChange applies a change that another instance made to its copy. It reports whether this copy lacks changes that
+// precede it, in which case a full copy of the kind is needed.
 func (f *Follower) ApplyChange(in Change) (missing bool) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.mirrors[in.Kind]
-	if m == nil {
+	r := f.replicas[in.Kind]
+	if r == nil {
 		return false
 	}
-	c, ok := m.offer(in, now)
+	c, ok := r.applyChange(in, now)
 	if ok {
-		f.changed(c, false, now)
+		f.publishChange(c, false, now)
 	}
 	return !ok
 }
 
-// Object gives an object as the copy holds it.
+// Object returns an object from the copy of its kind.
 func (f *Follower) Object(kind, name string) (wire.Object, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.mirrors[kind]
-	if m == nil || !m.known {
+	r := f.replicas[kind]
+	if r == nil || !r.known {
 		return wire.Object{}, false
 	}
-	o, ok := m.objects[name]
+	o, ok := r.objects[name]
 	return o, ok
 }
 
-// Whole gives all of a kind; ok is false while it isn't known.
+// FullCopy returns all objects of a kind as a change. ok is false if no copy of the kind is known yet.
 func (f *Follower) FullCopy(kind string) (c Change, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.mirrors[kind]
-	if m == nil || !m.known {
+	r := f.replicas[kind]
+	if r == nil || !r.known {
 		return Change{}, false
 	}
-	return m.whole(), true
+	return r.fullCopy(), true
 }
--- /dev/null
+++ b/internal/watch/replica.go
@@ -0,0 +1,334 @@
+package watch
+
+import (
+	"slices"
+	"time"
+
+	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
+)
+
+const (
+	// lapseGrace is how long an entry that vanished during an outage of the store still counts as present. Entries
+	// lapse while their upstreams can't renew them. According to the platform, the entries of running upstreams are
+	// back about two seconds after the store is available again, and an upstream whose entry isn't back by then is
+	// gone.
+	lapseGrace = 2 * time.Second
+	// minOutage is the shortest unavailability of the store during which entries may lapse unseen. It is below the
+	// time after which the platform removes the entry of an unresponsive upstream, and longer than one lost call
+	// takes.
+	minOutage = time.Second
+)
+
+// Change is the difference of a kind's objects between two revisions of the store, or a full copy of them. It is
+// immutable once created.
+type Change struct {
+	Kind       string
+	Full       bool   // Objects are all objects of the kind
+	From       uint64 // revision of the preceding change; the change applies to copies as of this revision or later
+	To         uint64 // revision of the store after the change
+	Objects    []wire.Object
+	Deleted    []string
+	Lapsing    []string // deleted from the store as of To, but still treated as present for lapseGrace
+	EmptySpans []Span   // no existing object has a revision within these spans
+}
+
+// Span is the range of revisions after After, up to and including Through.
+type Span struct{ After, Through uint64 }
+
+// contains reports whether the revision is within the span.
+func (s Span) contains(revision uint64) bool { return s.After < revision && revision <= s.Through }
+
+// empty reports whether the change contains no objects, deletions, grace periods or empty spans, and isn't a full copy.
+func (c *Change) empty() bool {
+	return !c.Full && len(c.Objects) == 0 && len(c.Deleted) == 0 && len(c.Lapsing) == 0 && len(c.EmptySpans) == 0
+}
+
+// Merge returns a single change that has the effect of c followed by next.
+func (c Change) Merge(next Change) Change {
+	if next.Full {
+		return next
+	}
+	merged := Change{Kind: c.Kind, Full: c.Full, From: c.From, To: max(c.To, next.To), EmptySpans: slices.Concat(c.EmptySpans, next.EmptySpans)}
+	deleted := make(map[string]bool, len(next.Deleted))
+	for _, name := range next.Deleted {
+		deleted[name] = true
+	}
+	later := make(map[string]bool, len(next.Objects))
+	for _, o := range next.Objects {
+		later[o.Name] = true
+	}
+	for _, o := range c.Objects {
+		if !later[o.Name] && !deleted[o.Name] {
+			merged.Objects = append(merged.Objects, o)
+		}
+	}
+	merged.Objects = append(merged.Objects, next.Objects...)
+	for _, name := range c.Lapsing {
+		if !later[name] && !deleted[name] {
+			merged.Lapsing = append(merged.Lapsing, name)
+		}
+	}
+	merged.Lapsing = append(merged.Lapsing, next.Lapsing...)
+	for _, name := range c.Deleted {
+		if !later[name] && !deleted[name] {
+			merged.Deleted = append(merged.Deleted, name)
+		}
+	}
+	if !c.Full {
+		merged.Deleted = append(merged.Deleted, next.Deleted...)
+	}
+	return merged
+}
+
+// replica is this instance's copy of the objects of one kind, as of a revision of the store. It is not safe for
+// concurrent use.
+type replica struct {
+	kind           string
+	objects        map[string]wire.Object
+	deletedAt      map[string]uint64 // by name: highest revision as of which the object was known to be deleted
+	revision       uint64            // the copy includes every change up to this revision
+	lastChange     uint64            // revision of the last change that modified the copy
+	known          bool              // a full list has been applied
+	provenAt       time.Time         // latest moment at which the copy is known to have been current
+	failedSince    time.Time         // first failed read since the last successful one; zero: none
+	readDue        time.Time         // when the pending read should have returned; zero: no read is pending
+	availableSince time.Time         // when reads succeeded again after the last outage; zero: no outage yet
+	lapsing        map[string]lapse  // by name: objects that are within their grace period
+	keepsLapsed    bool              // entries that vanish during an outage are kept for lapseGrace
+}
+
+// lapse describes an object that is deleted from the store as of a revision and still treated as present until a
+// moment.
+type lapse struct {
+	revision uint64
+	until    time.Time
+}
+
+// newReplica returns an empty copy. keepsLapsed states whether entries that vanish during an outage are kept for
+// lapseGrace.
+func newReplica(kind string, keepsLapsed bool) *replica {
+	return &replica{
+		kind: kind, keepsLapsed: keepsLapsed,
+		objects: map[string]wire.Object{}, deletedAt: map[string]uint64{}, lapsing: map[string]lapse{},
+	}
+}
+
+// readFailed records a failed read.
+func (r *replica) readFailed(now time.Time) {
+	if r.failedSince.IsZero() {
+		r.failedSince = now
+	}
+}
+
+// readSucceeded records a successful read. The copy is proven to have been current when the read began.
+func (r *replica) readSucceeded(began, now time.Time) {
+	if !r.failedSince.IsZero() && now.Sub(r.failedSince) > minOutage {
+		r.availableSince = now
+	}
+	r.failedSince = time.Time{}
+	r.recordProof(began)
+}
+
+// failingFor returns how long reads of the kind have been failing or hanging; 0 means that they succeed.
+func (r *replica) failingFor(now time.Time) time.Duration {
+	if !r.failedSince.IsZero() {
+		return now.Sub(r.failedSince)
+	}
+	if !r.readDue.IsZero() && now.Sub(r.readDue) > hangTimeout {
+		return now.Sub(r.readDue)
+	}
+	return 0
+}
+
+// recordProof records that the copy was current at a moment.
+func (r *replica) recordProof(at time.Time) {
+	if at.After(r.provenAt) {
+		r.provenAt = at
+	}
+}
+
+// applyList applies a full list read from the store and returns what it changed. A list older than the copy is a stale
+// read and changes nothing.
+func (r *replica) applyList(l wire.List, now time.Time) Change {
+	c := Change{Kind: r.kind, From: r.lastChange, To: l.Version}
+	if r.known && l.Version < r.revision {
+		c.To = r.revision
+		return c
+	}
+	listed := make(map[string]bool, len(l.Objects))
+	for _, o := range l.Objects {
+		listed[o.Name] = true
+		r.setObject(&c, o)
+	}
+	for name := range r.objects {
+		if !listed[name] {
+			r.removedFromStore(&c, name, l.Version, now)
+		}
+	}
+	return r.finishFullList(c)
+}
+
+// applyWatch applies the changes that a watch of the store returned, and returns what they changed.
+func (r *replica) applyWatch(l wire.List, now time.Time) Change {
+	c := Change{Kind: r.kind, From: r.lastChange, To: max(r.revision, l.Version)}
+	for _, o := range l.Objects {
+		r.setObject(&c, o)
+	}
+	for _, name := range l.Deleted {
+		r.removedFromStore(&c, name, l.Version, now)
+	}
+	r.revision = c.To
+	r.recordChange(&c)
+	return c
+}
+
+// applyChange applies a change that another instance made to its copy, and returns what it changed in this one. ok is
+// false if this copy lacks changes that precede it.
+func (r *replica) applyChange(in Change, now time.Time) (c Change, ok bool) {
+	c = Change{Kind: r.kind, From: r.lastChange, To: max(r.revision, in.To)}
+	if !in.Full && (!r.known || r.revision < in.From) {
+		return c, false
+	}
+	if in.Full && in.To < r.revision {
+		return c, r.known // older than this copy, so it may hold objects that have been deleted since
+	}
+	r.clearEmptySpans(&c, in)
+	listed := map[string]bool{}
+	for _, o := range in.Objects {
+		listed[o.Name] = true
+		r.setObject(&c, o)
+	}
+	for _, name := range in.Lapsing {
+		r.startGrace(&c, name, lapse{in.To, now.Add(lapseGrace)})
+	}
+	for _, name := range in.Deleted {
+		r.remove(&c, name, in.To)
+	}
+	if in.Full {
+		for name := range r.objects {
+			if !listed[name] {
+				r.remove(&c, name, in.To)
+			}
+		}
+		return r.finishFullList(c), true
+	}
+	r.revision = c.To
+	r.recordChange(&c)
+	return c, true
+}
+
+// fullCopy returns the whole copy as a change. Its From is the revision of the last change that modified the copy.
+func (r *replica) fullCopy() Change {
+	c := Change{Kind: r.kind, Full: true, From: r.lastChange, To: r.revision}
+	for _, o := range r.objects {
+		c.Objects = append(c.Objects, o)
+	}
+	for name := range r.lapsing {
+		c.Lapsing = append(c.Lapsing, name)
+	}
+	return c
+}
+
+// finishFullList completes a change that was made from a full list, and returns the change to pass on. That is normally
+// a full copy. The list doesn't show objects that were created and deleted between the copy's revision and the list's,
+// but the copy of another instance, as of a revision in between, may hold such an object. If the list changed nothing
+// here, no existing object has a revision in between, and an empty span is enough.
+func (r *replica) finishFullList(c Change) Change {
+	before := r.revision
+	r.revision = c.To
+	if r.known && c.empty() {
+		if c.To > before {
+			r.lastChange = c.To
+			c.EmptySpans = []Span{{After: before, Through: c.To}}
+		}
+		return c
+	}
+	r.known = true
+	r.lastChange = c.To
+	return r.fullCopy()
+}
+
+// clearEmptySpans removes the objects whose revision is within one of the empty spans of a change.
+func (r *replica) clearEmptySpans(c *Change, in Change) {
+	for _, span := range in.EmptySpans {
+		for name, o := range r.objects {
+			if span.contains(o.Version) {
+				r.remove(c, name, span.Through)
+			}
+		}
+	}
+	c.EmptySpans = in.EmptySpans
+}
+
+// setObject stores an object unless the copy has newer information about its name. Two readers of the store can deliver
+// their results in any order. The one that is behind must not restore an object whose deletion the other has seen, or
+// one that was deleted before this copy's first list.
+func (r *replica) setObject(c *Change, o wire.Object) {
+	old, held := r.objects[o.Name]
+	if o.Version <= r.deletedAt[o.Name] || !held && r.known && o.Version <= r.revision {
+		return
+	}
+	if l, lapsing := r.lapsing[o.Name]; lapsing && o.Version <= l.revision {
+		return // this version precedes the deletion
+	}
+	delete(r.lapsing, o.Name)
+	if held && old.Version >= o.Version {
+		return
+	}
+	r.objects[o.Name] = o
+	c.Objects = append(c.Objects, o)
+}
+
+// removedFromStore records that the store has no such object as of a revision. Within lapseGrace after an outage, an
+// object of a replica that keeps lapsed entries starts its grace period. Any other object is removed at once.
+func (r *replica) removedFromStore(c *Change, name string, revision uint64, now time.Time) {
+	if _, held := r.objects[name]; held && r.keepsLapsed && now.Sub(r.availableSince) < lapseGrace {
+		r.startGrace(c, name, lapse{revision, r.availableSince.Add(lapseGrace)})
+		return
+	}
+	r.remove(c, name, revision)
+}
+
+// startGrace records that an object is deleted as of a revision, and keeps it for the grace period. Every copy ends the
+// grace period by itself. If that depended on the instance that read the store, the other instances would keep the
+// object until the next full list whenever that instance has stopped.
+func (r *replica) startGrace(c *Change, name string, l lapse) {
+	o, held := r.objects[name]
+	if _, lapsing := r.lapsing[name]; lapsing || !held || o.Version > l.revision {
+		return
+	}
+	r.lapsing[name] = l
+	c.Lapsing = append(c.Lapsing, name)
+}
+
+// remove deletes an object as of a revision. The deletion of an object that this copy doesn't hold is passed on too,
+// because a copy that is behind may hold it.
+func (r *replica) remove(c *Change, name string, revision uint64) {
+	o, held := r.objects[name]
+	if held && o.Version > revision || !held && revision <= r.deletedAt[name] {
+		return
+	}
+	r.deletedAt[name] = max(r.deletedAt[name], revision)
+	delete(r.objects, name)
+	delete(r.lapsing, name)
+	c.Deleted = append(c.Deleted, name)
+}
+
+// endGracePeriods removes the objects whose grace period has ended.
+func (r *replica) endGracePeriods(now time.Time) Change {
+	c := Change{Kind: r.kind, From: r.lastChange, To: r.revision}
+	for name, l := range r.lapsing {
+		if !now.Before(l.until) {
+			r.remove(&c, name, l.revision)
+		}
+	}
+	r.recordChange(&c)
+	return c
+}
+
+// recordChange sets lastChange if the change isn't empty.
+func (r *replica) recordChange(c *Change) {
+	if !c.empty() {
+		r.lastChange = c.To
+	}
+}
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,6 +1,8 @@
-// Package watch follows the store: configuration, upstreams, failure domains that are taken out, and the
-// other instances. It publishes a catalog.Snapshot whenever one of them changes. What can't be read is
-// logged and leaves the last good state in force.
+// Package watch keeps a copy of the store's objects that requests depend on: the configuration, the upstreams, the
+// failure domains that are out of service, and the other instances. It publishes a catalog.Snapshot whenever one of
+// them changes. While the store can't be read, the last known state stays in force. An object that can't be decoded is
+// logged: a configuration is ignored, so that the last valid one stays in force, and an entry of an upstream or
+// instance is left out.
 package watch
 
 import (
@@ -20,144 +22,149 @@
 	"github.com/damaskshelf/damaskshelf/internal/wait"
 )
 
-// KindMembers is the kind of the instances' own objects.
+// KindMembers is the kind of the instances' own entries.
 const KindMembers = "damaskshelf-instances"
 
-// Kinds are the store's kinds that operators and upstreams write.
+// Kinds names the store's kinds that operators and upstreams write.
 type Kinds struct {
 	Config     string
-	ConfigName string // of the one object that holds the newest configuration
-	Upstreams  string // an object each, named by the upstream's id
-	DomainsOut string // an object for each failure domain that is taken out
+	ConfigName string // name of the object that holds the current configuration
+	Upstreams  string // one object per upstream, named by the upstream's id
+	DomainsOut string // one object per failure domain that is out of service
 }
 
-// Decoder reads the store's objects. An error names the object, field and value at fault.
+// Decoder decodes the store's objects. An error names the object, the field and the invalid value.
 type Decoder interface {
 	Config(o wire.Object) (*catalog.Config, error)
-	// Upstream reads an entry that came at now.
+	// Upstream decodes an entry that was received at now.
 	Upstream(o wire.Object, now time.Time) (*catalog.Upstream, error)
 }
 
 const (
-	// answerTime is how long a slow answer of the store is on its way.
-	answerTime = 20 * time.Millisecond
-	// expiry is how often lapsed entries are looked for.
-	expiry = 100 * time.Millisecond
+	// maxAnswerLatency is how long a slow answer of the store takes to arrive.
+	maxAnswerLatency = 20 * time.Millisecond
+	// expiryInterval is how often the copies are checked for ended grace periods, and the process for a pause.
+	expiryInterval = 100 * time.Millisecond
 )
 
-// Deps are what a Follower works with.
+// Deps holds what a Follower depends on.
 type Deps struct {
 	Store   objects.Store
 	Kinds   Kinds
 	Decoder Decoder
 	Log     hclog.Logger
-	// ConfigWithin is the time in which a configuration must be in force; 0: not said.
+	// ConfigWithin is the time within which a new configuration must be in force; 0: not set.
 	ConfigWithin time.Duration
 }
 
-// Follower follows the store, by reading it or by what other instances that read it tell.
+// Follower keeps this instance's copies of the store current, by reading the store or from the changes that other
+// instances report. It is safe for concurrent use.
 type Follower struct {
-	deps       Deps
-	log        hclog.Logger
-	started    time.Time
-	snapshot   atomic.Pointer[catalog.Snapshot]
-	doubt      *doubt
-	joinDelay  time.Duration            // guarded by mu: how long it waits to be told the other instances
-	shares     bool                     // it is one of several that share the reading
-	tellChange func(c Change, own bool) // nil: it shares with nobody
-
-	mu        sync.Mutex
-	mirrors   map[string]*mirror                     // guarded by mu
-	config    *catalog.Config                        // guarded by mu: the highest version seen
-	tried     uint64                                 // guarded by mu: revision of the last configuration looked at
-	upstreams map[fleet.UpstreamID]*catalog.Upstream // guarded by mu: decoded entries
-	members   map[fleet.InstanceID]*catalog.Member   // guarded by mu
-	spoiled   map[string]uint64                      // guarded by mu: revision of entries that can't be read
-	left      *departures                            // guarded by mu: upstreams that leave by another word than the store's
-	breaks    chan struct{}                          // guarded by mu: closed when reads under way are to end
-	failing   time.Time                              // guarded by mu: since when nobody can read the store; zero: somebody can
-	role      Role                                   // guarded by mu
-	led       bool                                   // guarded by mu: a read has succeeded in this role, and none failed since
-	woken     chan struct{}                          // guarded by mu: closed when who reads what may have changed
-	// unattached is since when there has been no dispatcher.
-	unattached time.Time // guarded by mu
+	deps        Deps
+	log         hclog.Logger
+	started     time.Time
+	snapshot    atomic.Pointer[catalog.Snapshot]
+	pauses      *pauseDetector
+	joinDelay   time.Duration            // guarded by mu: delay before a starting instance lists the others
+	sharesReads bool                     // this instance shares the reading of the store with others
+	onChange    func(c Change, own bool) // nil: changes aren't reported
+
+	mu            sync.Mutex
+	replicas      map[string]*replica                    // guarded by mu: by kind
+	config        *catalog.Config                        // guarded by mu: in force
+	triedRevision uint64                                 // guarded by mu: of the last configuration that was decoded
+	upstreams     map[fleet.UpstreamID]*catalog.Upstream // guarded by mu: decoded entries
+	members       map[fleet.InstanceID]*catalog.Member   // guarded by mu: decoded entries
+	undecodable   map[string]uint64                      // guarded by mu: revisions of entries that can't be decoded
+	departures    *departures                            // guarded by mu
+	interrupt     chan struct{}                          // guarded by mu: closed to end pending reads
+	outageSince   time.Time                              // guarded by mu: since when no instance can read the store; zero: no outage
+	role          Role                                   // guarded by mu
+	readsSucceed  bool                                   // guarded by mu: a read has succeeded in this role and none has failed since
+	recheck       chan struct{}                          // guarded by mu: closed to wake idle read loops
+	// unattachedSince is when the instance last had a dispatcher, or its start. It is valid while the role is
+	// Unattached.
+	unattachedSince time.Time // guarded by mu
 }
 
-// New gives a Follower that knows nothing yet.
+// New returns a Follower with empty copies.
 func New(d Deps) *Follower {
 	k := d.Kinds
 	now := time.Now()
 	f := &Follower{
-		deps: d, log: d.Log.Named("watch"), started: now, unattached: now, doubt: newDoubt(), joinDelay: rand.N(joinTime),
-		mirrors: map[string]*mirror{
-			k.Config: newMirror(k.Config, false), k.Upstreams: newMirror(k.Upstreams, true),
-			k.DomainsOut: newMirror(k.DomainsOut, false), KindMembers: newMirror(KindMembers, false),
+		deps: d, log: d.Log.Named("watch"), started: now, unattachedSince: now, pauses: newPauseDetector(), joinDelay: rand.N(maxJoinDelay),
+		replicas: map[string]*replica{
+			k.Config: newReplica(k.Config, false), k.Upstreams: newReplica(k.Upstreams, true),
+			k.DomainsOut: newReplica(k.DomainsOut, false), KindMembers: newReplica(KindMembers, false),
 		},
-		upstreams: map[fleet.UpstreamID]*catalog.Upstream{},
-		members:   map[fleet.InstanceID]*catalog.Member{},
-		spoiled:   map[string]uint64{},
-		left:      newDepartures(),
-		breaks:    make(chan struct{}),
-		woken:     make(chan struct{}),
+		upstreams:   map[fleet.UpstreamID]*catalog.Upstream{},
+		members:     map[fleet.InstanceID]*catalog.Member{},
+		undecodable: map[string]uint64{},
+		departures:  newDepartures(),
+		interrupt:   make(chan struct{}),
+		recheck:     make(chan struct{}),
 	}
 	f.snapshot.Store(catalog.NewSnapshot(nil, nil, nil, nil, 0))
 	return f
 }
 
-// Share makes the Follower one of several that share the reading of the store. It is called before Run; alone
-// a Follower reads everything. changed is called, under the Follower's lock, with each change of its copies; own
-// tells that it was read from the store here.
-func (f *Follower) ShareReads(changed func(c Change, own bool)) {
-	f.shares, f.tellChange = true, changed
+// ShareReads makes the Follower share the reading of the store with other instances. Without it the Follower reads
+// everything itself. It must be called before Run. onChange is called with each change of the copies while the
+// Follower's lock is held; own states that this instance read the change from the store.
+func (f *Follower) ShareReads(onChange func(c Change, own bool)) {
+	f.sharesReads, f.onChange = true, onChange
 }
 
-// Snapshot gives what is known now; never nil.
+// Snapshot returns the current snapshot; it is never nil.
 func (f *Follower) Snapshot() *catalog.Snapshot { return f.snapshot.Load() }
 
-// Run follows every kind until ctx ends.
+// Run keeps the copies of every kind current until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	var all sync.WaitGroup
-	for kind := range f.mirrors {
-		all.Go(func() { f.follow(ctx, kind) })
+	var wg sync.WaitGroup
+	for kind := range f.replicas {
+		wg.Go(func() { f.readLoop(ctx, kind) })
 	}
-	all.Go(func() { f.expire(ctx) })
-	all.Wait()
+	wg.Go(func() { f.expireLoop(ctx) })
+	wg.Wait()
 }
 
-// took takes the outcome of a read into the kind's mirror, and publishes what changed.
-func (f *Follower) took(kind string, l wire.List, whole bool, began time.Time, err error) error {
+// readDone applies the result of a read to the copy of the kind and publishes what changed. full states that the result
+// is a list and not the answer of a watch.
+func (f *Follower) readDone(kind string, l wire.List, full bool, began time.Time, err error) error {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.mirrors[kind]
-	m.due = time.Time{}
+	r := f.replicas[kind]
+	r.readDue = time.Time{}
 	if err != nil {
 		if !errors.Is(err, objects.ErrTooOld) && !errors.Is(err, context.Canceled) {
-			f.lost(kind, m, now, err)
+			f.readFailed(kind, r, now, err)
 		}
 		return err
 	}
-	if !m.failed.IsZero() {
-		f.log.Info("store regained", "kind", kind, "away", now.Sub(m.failed).Round(time.Millisecond))
+	if !r.failedSince.IsZero() {
+		f.log.Info("store regained", "kind", kind, "away", now.Sub(r.failedSince).Round(time.Millisecond))
 	}
-	f.regained(now)
-	if !f.led {
-		f.led = true
-		f.wake()
+	f.endOutage(now)
+	if !f.readsSucceed {
+		f.readsSucceed = true
+		f.wakeLoops()
 	}
-	if !whole {
-		// A watch's answer is as of its return, also when it saw nothing, and of no moment before its call.
-		began = later(began, now.Add(-answerTime))
+	if !full {
+		// The answer of a watch reflects the store at the time it was sent, even if it contains no change, and
+		// never a time before the call.
+		began = later(began, now.Add(-maxAnswerLatency))
 	}
-	m.succeed(began, now)
-	if whole {
-		f.changed(m.replace(l, now), true, now)
+	r.readSucceeded(began, now)
+	if full {
+		f.publishChange(r.applyList(l, now), true, now)
 	} else {
-		f.changed(m.follow(l, now), true, now)
+		f.publishChange(r.applyWatch(l, now), true, now)
 	}
 	return nil
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -165,35 +172,37 @@
 	return b
 }
 
-// changed passes a change of a copy on and publishes it; mu is held.
-func (f *Follower) changed(c Change, own bool, now time.Time) {
+// publishChange publishes a change of a copy and reports it to onChange. mu is held.
+func (f *Follower) publishChange(c Change, own bool, now time.Time) {
 	if c.empty() {
 		return
 	}
 	f.publish(c.Kind, now)
-	if f.tellChange != nil {
-		f.tellChange(c, own)
+	if f.onChange != nil {
+		f.onChange(c, own)
 	}
 }
 
-func (f *Follower) lost(kind string, m *mirror, now time.Time, err error) {
-	if m.failed.IsZero() {
-		f.log.Warn("store lost: the last known state stays in force", "kind", kind, "revision", m.revision, "error", err)
+// readFailed records and logs that a read of a kind failed. mu is held.
+func (f *Follower) readFailed(kind string, r *replica, now time.Time, err error) {
+	if r.failedSince.IsZero() {
+		f.log.Warn("store lost: the last known state stays in force", "kind", kind, "revision", r.revision, "error", err)
 	}
-	m.fail(now)
-	f.failed(now)
-	f.led = false
+	r.readFailed(now)
+	f.recordOutage(now)
+	f.readsSucceed = false
 }
 
-func (f *Follower) expire(ctx context.Context) {
-	for wait.For(ctx, expiry) {
-		if paused := f.doubt.notice(); paused > 0 {
+// expireLoop checks for pauses of the process and for ended grace periods until ctx ends.
+func (f *Follower) expireLoop(ctx context.Context) {
+	for wait.For(ctx, expiryInterval) {
+		if paused := f.pauses.tick(); paused > 0 {
 			f.log.Warn("process was paused: nothing is sent until what is known is proven", "for", paused)
-			f.breakReads()
+			f.interruptReads()
 		}
 		now := time.Now()
 		f.mu.Lock()
-		f.changed(f.mirrors[f.deps.Kinds.Upstreams].expire(now), true, now)
+		f.publishChange(f.replicas[f.deps.Kinds.Upstreams].endGracePeriods(now), true, now)
 		f.mu.Unlock()
 	}
 }
