--- a/internal/follow/calls.go
+++ b/internal/follow/calls.go
@@ -19,68 +19,74 @@
 const (
 	// readTimeout bounds a read of the configuration.
 	readTimeout = 2 * time.Second
-	// listRowBytes is about the size of one row of the instance list on the wire, and listBytes what an
-	// instance spends on reading the list, a second: a larger list is read more rarely.
-	listRowBytes = 180
-	listBytes    = 12 << 10
+	// listRowBytes is the approximate size of one row of the instance list on the wire. listBytesPerSecond is the
+	// bandwidth that an instance spends on reading the list, so that a larger list is read less often.
+	listRowBytes       = 180
+	listBytesPerSecond = 12 << 10
 )
 
-// call starts a call that an effect asks for; its outcome is an event. The node bounds how many are out:
-// one heartbeat a peer, two pulls and a round of bootstrap, one read and one watch. mu is held.
-func (f *Follower) call(e relay.Effect) {
-	ctx := f.work
+// startCall starts a call that an effect requests and passes its result to the node as an event. The node bounds the
+// number of calls in flight: one heartbeat per peer, two pulls and a round of bootstrap, one read and one watch. mu is
+// held.
+func (f *Follower) startCall(e relay.Effect) {
+	ctx := f.callCtx
 	if ctx == nil || ctx.Err() != nil {
 		return
 	}
 	switch e := e.(type) {
 	case relay.SendHeartbeat:
-		f.calls.Go(func() { f.heartbeat(ctx, e) })
+		f.calls.Go(func() { f.sendHeartbeat(ctx, e) })
 	case relay.PullConfig:
-		f.calls.Go(func() { f.pull(ctx, e) })
+		f.calls.Go(func() { f.pullConfig(ctx, e) })
 	case relay.ReadStore:
-		f.calls.Go(func() { f.read(ctx, e) })
+		f.calls.Go(func() { f.readConfig(ctx, e) })
 	case relay.WatchStore:
-		f.calls.Go(func() { f.watch(ctx, e) })
+		f.calls.Go(func() { f.watchConfig(ctx, e) })
 	}
 }
 
-func (f *Follower) heartbeat(ctx context.Context, e relay.SendHeartbeat) {
-	began := time.Now()
+// sendHeartbeat sends a heartbeat to a peer and handles the reply.
+func (f *Follower) sendHeartbeat(ctx context.Context, e relay.SendHeartbeat) {
+	start := time.Now()
 	d, err := f.client.Heartbeat(ctx, e.To.PeerAddr, e.Digest)
 	switch {
 	case err != nil:
 		f.deps.Log.Debug("heartbeat failed", "peer", e.To.ID, "error", err)
 	case f.deps.OnPeerListVersion != nil:
-		f.deps.OnPeerListVersion(d.ListVersion, began)
+		f.deps.OnPeerListVersion(d.ListVersion, start)
 	}
-	f.handle(func(now decide.Instant) []relay.Effect { return f.node.HeartbeatDone(now, e, d, err == nil) })
+	f.handleEvent(func(now decide.Instant) []relay.Effect { return f.node.HeartbeatDone(now, e, d, err == nil) })
 }
 
-func (f *Follower) pull(ctx context.Context, e relay.PullConfig) {
+// pullConfig requests a newer configuration from a peer.
+func (f *Follower) pullConfig(ctx context.Context, e relay.PullConfig) {
 	c, err := f.client.Pull(ctx, e.From.PeerAddr, e.Above)
 	if err != nil {
 		f.deps.Log.Debug("pull failed", "peer", e.From.ID, "error", err)
 	}
-	f.handle(func(now decide.Instant) []relay.Effect { return f.node.PullDone(now, e, c, err == nil) })
+	f.handleEvent(func(now decide.Instant) []relay.Effect { return f.node.PullDone(now, e, c, err == nil) })
 }
 
-func (f *Follower) read(ctx context.Context, e relay.ReadStore) {
+// readConfig reads the configuration from the store.
+func (f *Follower) readConfig(ctx context.Context, e relay.ReadStore) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	o, err := f.deps.Store.Get(ctx, ConfigKey)
 	c, answer := f.storeAnswer(o, err)
-	f.handle(func(now decide.Instant) []relay.Effect { return f.node.ReadDone(now, e, c, answer) })
+	f.handleEvent(func(now decide.Instant) []relay.Effect { return f.node.ReadDone(now, e, c, answer) })
 }
 
-func (f *Follower) watch(ctx context.Context, e relay.WatchStore) {
+// watchConfig watches the store for a newer configuration.
+func (f *Follower) watchConfig(ctx context.Context, e relay.WatchStore) {
 	l, err := f.deps.Store.Watch(ctx, ConfigKey.Kind, e.Above, e.Wait)
 	c, answer := f.watchAnswer(l, err)
-	f.handle(func(now decide.Instant) []relay.Effect { return f.node.WatchDone(now, e, c, answer) })
+	f.handleEvent(func(now decide.Instant) []relay.Effect { return f.node.WatchDone(now, e, c, answer) })
 }
 
+// watchAnswer converts the result of a watch for the node.
 func (f *Follower) watchAnswer(l wire.List, err error) (relay.Config, relay.StoreAnswer) {
 	if errors.Is(err, objects.ErrTooOld) {
-		return relay.Config{}, relay.StoreAbsent // the watcher's own reads find what the watch no longer has
+		return relay.Config{}, relay.StoreAbsent // the watcher's regular reads find what the watch no longer has
 	}
 	for _, o := range l.Objects {
 		if o.Name == ConfigKey.Name {
@@ -93,16 +99,18 @@
 	return relay.Config{}, relay.StoreAbsent
 }
 
+// storeAnswer converts the result of reading the configuration's object for the node. A configuration newer than the
+// current one is packed for peers.
 func (f *Follower) storeAnswer(o wire.Object, err error) (relay.Config, relay.StoreAnswer) {
 	if errors.Is(err, objects.ErrNotFound) {
 		return relay.Config{}, relay.StoreAbsent
 	}
 	if err != nil {
-		f.deps.Log.Debug("configuration not read", "error", err)
+		f.deps.Log.Debug("configuration read failed", "error", err)
 		return relay.Config{}, relay.StoreFailed
 	}
 	if o.Version <= f.Config().Version {
-		return relay.Config{Version: o.Version}, relay.StoreFound // known: not worth packing
+		return relay.Config{Version: o.Version}, relay.StoreFound // not newer, so it isn't packed
 	}
 	packed, err := peer.Pack(o.Value)
 	if err != nil {
@@ -115,7 +123,7 @@
 // pollList reads the instance list until ctx ends.
 func (f *Follower) pollList(ctx context.Context) {
 	r := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	failures, known := 0, 1
+	failures, instanceCount := 0, 1
 	for ctx.Err() == nil {
 		l, err := f.deps.Instances.Instances(ctx)
 		if err != nil {
@@ -123,27 +131,28 @@
 			if failures == 1 {
 				f.deps.Log.Warn("instance list lost", "error", err)
 			}
-			wait.For(ctx, storebudget.Backoff(r, failures, known))
+			wait.For(ctx, storebudget.Backoff(r, failures, instanceCount))
 			continue
 		}
 		if failures > 0 {
 			f.deps.Log.Info("instance list back", "version", l.Version)
 		}
-		failures, known = 0, f.takeList(l)
-		wait.For(ctx, storebudget.ReadInterval(len(l.Instances)*listRowBytes, f.deps.ListInterval, listBytes))
+		failures, instanceCount = 0, f.applyList(l)
+		wait.For(ctx, storebudget.ReadInterval(len(l.Instances)*listRowBytes, f.deps.ListInterval, listBytesPerSecond))
 	}
 }
 
-// takeList gives the number of entry instances.
-func (f *Follower) takeList(l wire.InstanceList) int {
-	all := instances(l)
+// applyList applies an instance list and returns the number of damaskshelf instances in it.
+func (f *Follower) applyList(l wire.InstanceList) int {
+	instances := entryInstances(l)
 	f.deps.Keeper.SetInstances(l)
-	f.handle(func(now decide.Instant) []relay.Effect { return f.node.UpdateInstances(now, l.Version, all) })
+	f.handleEvent(func(now decide.Instant) []relay.Effect { return f.node.UpdateInstances(now, l.Version, instances) })
 	f.client.Keep(f.peerAddrs())
-	f.forgetBoots(l)
-	return len(all)
+	f.pruneBootIDs(l)
+	return len(instances)
 }
 
+// peerAddrs returns the addresses of the current peers.
 func (f *Follower) peerAddrs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -154,17 +163,17 @@
 	return addrs
 }
 
-// forgetBoots drops what is known of upstreams that the list no longer shows.
-func (f *Follower) forgetBoots(l wire.InstanceList) {
+// pruneBootIDs removes the boot ids of upstreams that are no longer in the instance list.
+func (f *Follower) pruneBootIDs(l wire.InstanceList) {
 	listed := make(map[fleet.UpstreamID]bool, len(l.Instances))
 	for _, i := range l.Instances {
 		listed[fleet.UpstreamID(i.ID)] = true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id := range f.boots {
+	for id := range f.bootIDs {
 		if !listed[id] {
-			delete(f.boots, id)
+			delete(f.bootIDs, id)
 		}
 	}
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,6 +1,6 @@
-// Package follow keeps the view in step with the fleet: it is the shell of decide/relay. It polls the
-// instance list, reads and watches the configuration, exchanges heartbeats with peers, and tells the path
-// of a request whether this instance may send new work.
+// Package follow keeps the fleet view current. It drives the state machine of decide/relay: it polls the instance list,
+// reads and watches the configuration, exchanges heartbeats with peers, and reports to the request path whether this
+// instance may send new work.
 package follow
 
 import (
@@ -26,52 +26,54 @@
 	"github.com/damaskshelf/damaskshelf/internal/peer"
 )
 
-// ConfigKey names the one object that holds the configuration.
+// ConfigKey is the key of the single object that holds the configuration.
 var ConfigKey = objects.Key{Kind: "config", Name: "current"}
 
-// Deps are what a Follower works with.
+// Deps holds what a Follower depends on.
 type Deps struct {
-	Self              fleet.Instance // PeerAddr is not needed
+	Self              fleet.Instance // PeerAddr may be empty
 	Store             objects.Store
 	Instances         objects.Instances
 	Keeper            *keeper.Keeper
-	ListInterval      time.Duration // between reads of the instance list
-	HeartbeatInterval time.Duration // between heartbeats to one peer
+	ListInterval      time.Duration // time between reads of the instance list
+	HeartbeatInterval time.Duration // time between heartbeats to the same peer
 	Log               hclog.Logger
-	// PeerList is told the version of the instance list that a peer went by, not before at. May be nil.
+	// OnPeerListVersion is called with the version of the instance list that a peer reported, and the start of the
+	// exchange. The peer used that version no earlier. May be nil.
 	OnPeerListVersion func(version uint64, at time.Time)
 }
 
-// Follower follows the fleet and feeds a Keeper. It is safe for concurrent use.
+// Follower keeps a Keeper current with the fleet's configuration, instance list and leaving upstreams. It is safe for
+// concurrent use.
 type Follower struct {
-	deps   Deps
-	start  time.Time // of the monotonic clock
-	server *peer.Server
-	client *peer.Client
-	guard  *pause.Guard
-	calls  sync.WaitGroup
-	listen net.Listener
+	deps     Deps
+	start    time.Time // origin of the clock that now returns
+	server   *peer.Server
+	client   *peer.Client
+	guard    *pause.Guard
+	calls    sync.WaitGroup // running calls
+	listener net.Listener
 
-	ready   atomic.Bool
-	trusted atomic.Int64 // instant after which no new work may be sent
-	lost    atomic.Int64 // instant at which trust ends or ended
-	config  atomic.Pointer[relay.Config]
-	alien   atomic.Uint64 // version of a configuration that this program can't read; 0: none
+	ready        atomic.Bool                  // the node has a configuration to serve with
+	trustedUntil atomic.Int64                 // instant after which no new work may be sent; 0: not trusted
+	trustEnd     atomic.Int64                 // instant at which trust ends or last ended; 0: no trust yet
+	config       atomic.Pointer[relay.Config] // the newest one, also if it is unreadable
+	unreadable   atomic.Uint64                // version of a configuration that this program can't decode; 0: none
 
-	mu    sync.Mutex
-	node  *relay.Node                 // guarded by mu
-	work  context.Context             // guarded by mu; of the calls, set by Run
-	signs []relay.LeavingSign         // guarded by mu
-	boots map[fleet.UpstreamID]string // guarded by mu: as the upstreams tell themselves
+	mu      sync.Mutex
+	node    *relay.Node                 // guarded by mu
+	callCtx context.Context             // guarded by mu: context of the calls; nil while Run isn't running
+	signs   []relay.LeavingSign         // guarded by mu: sorted by upstream
+	bootIDs map[fleet.UpstreamID]string // guarded by mu: as reported by the upstreams
 }
 
-// New gives a Follower that knows nothing yet.
+// New returns a Follower without a configuration or instance list.
 func New(d Deps) (*Follower, error) {
 	d.Log = d.Log.Named("follow")
-	f := &Follower{deps: d, start: time.Now(), client: peer.NewClient(), boots: map[fleet.UpstreamID]string{}}
+	f := &Follower{deps: d, start: time.Now(), client: peer.NewClient(), bootIDs: map[fleet.UpstreamID]string{}}
 	server, err := peer.NewServer(f)
 	if err != nil {
-		return nil, fmt.Errorf("peers' server: %w", err)
+		return nil, fmt.Errorf("create peer server: %w", err)
 	}
 	f.server = server
 	r := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -81,15 +83,15 @@
 	return f, nil
 }
 
-// now is the monotonic clock that the decisions are driven by.
+// now returns the monotonic time since the Follower was created.
 func (f *Follower) now() decide.Instant { return decide.Instant(time.Since(f.start)) }
 
-// Usable gives nil, or why this instance may not send new work now. The path of a request asks it at the
-// moment of dispatch: an answer of some time ago is worth nothing after a pause.
+// Usable returns nil if this instance may send new work now, and otherwise an error that states why not. The request
+// path must call it at the moment of dispatch, because an earlier result is not valid after a pause.
 func (f *Follower) Usable() error {
 	v := f.deps.Keeper.View()
-	if alien := f.alien.Load(); alien != 0 {
-		return fault.New(fault.NotReady, "configuration version %d is not readable by this program", alien)
+	if version := f.unreadable.Load(); version != 0 {
+		return fault.New(fault.NotReady, "configuration version %d is not readable by this program", version)
 	}
 	if !f.ready.Load() || v.ConfigVersion == 0 {
 		return fault.New(fault.NotReady, "no configuration yet")
@@ -101,143 +103,149 @@
 	if gap, reason := f.guard.Check(now); reason == pause.Paused {
 		return fault.New(fault.StaleInstance, "paused for %s", gap.Round(time.Millisecond))
 	}
-	if trusted := decide.Instant(f.trusted.Load()); trusted.Before(now) {
-		return fault.New(fault.StaleInstance, "heard neither peer nor store since %s", age(now, trusted))
+	if trustedUntil := decide.Instant(f.trustedUntil.Load()); trustedUntil.Before(now) {
+		return fault.New(fault.StaleInstance, "no contact with peers or the store: %s", describeUntrusted(now, trustedUntil))
 	}
 	return nil
 }
 
-// regainTime is how long trust that has just ended may take to come back before callers are turned away: a
-// heartbeat that waits its interval, fails, and is sent to another peer fits in.
-const regainTime = time.Second
+// regainTimeout is how long an instance waits to regain trust after it has ended, before it rejects requests. A
+// heartbeat that waits for its interval, fails and is sent again to another peer fits in.
+const regainTimeout = time.Second
 
-// Regaining tells whether an instance that is stale became so within regainTime, after a pause or a failure
-// of the network: one exchange makes it usable again. One that stays cut off longer is not regaining.
+// Regaining reports whether an instance that isn't trusted lost its trust less than regainTimeout ago, after a pause or
+// a network failure, so that one exchange makes it usable again. An instance that stays isolated for longer isn't
+// regaining trust.
 func (f *Follower) Regaining() bool {
 	now := f.now()
 	if _, reason := f.guard.Check(now); reason == pause.Paused {
-		return true // its end is now
+		return true // the pause ends now
 	}
-	lost := decide.Instant(f.lost.Load())
-	return lost != 0 && now.Sub(lost) < regainTime
+	trustEnd := decide.Instant(f.trustEnd.Load())
+	return trustEnd != 0 && now.Sub(trustEnd) < regainTimeout
 }
 
-func age(now, trusted decide.Instant) string {
-	if trusted == 0 {
-		return "the start or a pause"
+// describeUntrusted states since when the instance has been without trust, for an error message.
+func describeUntrusted(now, trustedUntil decide.Instant) string {
+	if trustedUntil == 0 {
+		return "none since the start or a pause"
 	}
-	return now.Sub(trusted).Round(time.Millisecond).String() + " past the bound"
+	return now.Sub(trustedUntil).Round(time.Millisecond).String() + " since trust ended"
 }
 
-// Listen binds the peers' listener.
+// Listen opens the listener for peers.
 func (f *Follower) Listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	f.listen = l
+	f.listener = l
 	return nil
 }
 
-// Addr is where peers connect.
-func (f *Follower) Addr() string { return f.listen.Addr().String() }
+// Addr returns the address of the listener for peers.
+func (f *Follower) Addr() string { return f.listener.Addr().String() }
 
-// Close closes the peers' listener of a Follower that was not run.
-func (f *Follower) Close() error { return f.listen.Close() }
+// Close closes the listener of a Follower that was not run.
+func (f *Follower) Close() error { return f.listener.Close() }
 
-// Run follows the fleet until ctx ends, and returns when nothing of it runs any more.
+// Run keeps the Keeper current until ctx ends. It returns once all calls and goroutines that it started have ended.
 func (f *Follower) Run(ctx context.Context) {
 	f.mu.Lock()
-	f.work = ctx
+	f.callCtx = ctx
 	f.mu.Unlock()
 	f.calls.Go(func() { f.serve(ctx) })
 	f.calls.Go(func() { f.pollList(ctx) })
 	tick := time.NewTicker(relay.TickInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		f.handle(func(now decide.Instant) []relay.Effect { return f.node.Tick(now) })
+		f.handleEvent(func(now decide.Instant) []relay.Effect { return f.node.Tick(now) })
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
 		}
 	}
 	f.mu.Lock()
-	f.work = nil // no call starts any more
+	f.callCtx = nil // no call starts after this
 	f.mu.Unlock()
 	f.calls.Wait()
 	f.client.Close()
 }
 
+// serve serves peers until ctx ends.
 func (f *Follower) serve(ctx context.Context) {
-	if err := f.server.Serve(ctx, f.listen); err != nil && ctx.Err() == nil {
+	if err := f.server.Serve(ctx, f.listener); err != nil && ctx.Err() == nil {
 		f.deps.Log.Error("peers' listener ended", "error", err)
 	}
 }
 
-// handle runs one event and carries out its effects. What the path of a request reads is published last:
-// trust never comes before the configuration that it vouches for.
-func (f *Follower) handle(event func(now decide.Instant) []relay.Effect) {
+// handleEvent passes one event to the node and applies the resulting effects. The state that the request path reads is
+// published last, so that the instance is never trusted before the configuration that this trust refers to is in force.
+func (f *Follower) handleEvent(event func(now decide.Instant) []relay.Effect) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
 	if _, reason := f.guard.Check(now); reason == pause.Paused {
-		f.forget(now)
+		f.endTrust(now)
 	}
-	f.carryOut(event(now))
+	f.applyEffects(event(now))
 }
 
-// forget ends the published trust at the end of a pause. The node's tick marks the guard before its effects
-// are carried out: a request in between would still find the trust of before the pause. mu is held.
-func (f *Follower) forget(now decide.Instant) {
-	f.trusted.Store(0)
-	f.lost.Store(int64(now))
+// endTrust ends the published trust when the process resumes from a pause. The node's tick updates the guard before the
+// effects are applied, so a request in between would otherwise find the trust from before the pause. mu is held.
+func (f *Follower) endTrust(now decide.Instant) {
+	f.trustedUntil.Store(0)
+	f.trustEnd.Store(int64(now))
 }
 
-// carryOut does the effects in order; mu is held.
-func (f *Follower) carryOut(effects []relay.Effect) {
+// applyEffects applies effects in order and then publishes readiness and trust. mu is held.
+func (f *Follower) applyEffects(effects []relay.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case relay.ApplyConfig:
-			f.putInForce(e.Config)
+			f.applyConfig(e.Config)
 		case relay.SetLeaving:
 			f.signs = e.Signs
 			f.applySigns()
 		case relay.Event:
-			f.log(e)
+			f.logEvent(e)
 		default:
-			f.call(e)
+			f.startCall(e)
 		}
 	}
 	f.ready.Store(f.node.Ready())
-	trusted := int64(f.node.TrustedUntil())
-	f.trusted.Store(trusted)
-	if trusted != 0 {
-		f.lost.Store(trusted)
+	trustedUntil := int64(f.node.TrustedUntil())
+	f.trustedUntil.Store(trustedUntil)
+	if trustedUntil != 0 {
+		f.trustEnd.Store(trustedUntil)
 	}
 }
 
-func (f *Follower) putInForce(c relay.Config) {
+// applyConfig decodes a configuration and puts it in force. If it can't be decoded, the instance isn't usable until a
+// readable one arrives. mu is held.
+func (f *Follower) applyConfig(c relay.Config) {
 	raw, err := peer.Unpack(c.Packed)
 	var cfg api.Config
 	if err == nil {
 		err = api.DecodeStrict(raw, &cfg)
 	}
-	f.config.Store(&c) // also when it is not readable here: others may be able to
+	f.config.Store(&c) // even if it is unreadable here, because peers may be able to read it
 	if err != nil {
-		// Working on by the version before would bring work to a domain that this one may take out.
-		f.alien.Store(c.Version)
+		// To continue with the previous version could send work to a failure domain that this version takes out
+		// of service.
+		f.unreadable.Store(c.Version)
 		f.deps.Log.Error("configuration is not readable", "version", c.Version, "error", err)
 		return
 	}
-	f.alien.Store(0)
+	f.unreadable.Store(0)
 	if f.deps.Keeper.SetConfig(c.Version, cfg) {
 		f.deps.Log.Info("configuration in force", "version", c.Version, "plan", cfg.PlanID,
 			"failure_domains_out", len(cfg.DomainsOut))
 	}
 }
 
-// log writes one line for one event.
-func (f *Follower) log(e relay.Event) {
+// logEvent logs an event of the node.
+func (f *Follower) logEvent(e relay.Event) {
 	pairs := []any{"reason", e.Reason}
 	if e.Peer != "" {
 		pairs = append(pairs, "peer", e.Peer)
@@ -261,77 +269,77 @@
 
 // Heartbeat implements peer.Handler.
 func (f *Follower) Heartbeat(d relay.Digest) relay.Digest {
-	var answer relay.Digest
-	f.handle(func(now decide.Instant) []relay.Effect {
+	var reply relay.Digest
+	f.handleEvent(func(now decide.Instant) []relay.Effect {
 		var effects []relay.Effect
-		answer, effects = f.node.HeartbeatReceived(now, d)
+		reply, effects = f.node.HeartbeatReceived(now, d)
 		return effects
 	})
-	return answer
+	return reply
 }
 
 // Config implements peer.Handler.
 func (f *Follower) Config() relay.Config { return *f.config.Load() }
 
-// Accepted takes a configuration whose write by this instance is known to have taken effect.
+// ConfigAccepted applies a configuration that this instance has successfully written to the store.
 func (f *Follower) ConfigAccepted(version uint64, raw []byte) {
 	packed, err := peer.Pack(raw)
 	if err != nil {
 		f.deps.Log.Error("configuration is not packed", "version", version, "error", err)
 		return
 	}
-	f.handle(func(now decide.Instant) []relay.Effect {
+	f.handleEvent(func(now decide.Instant) []relay.Effect {
 		return f.node.ConfigAccepted(now, relay.Config{Version: version, Packed: packed})
 	})
 }
 
-// OnLoad takes an upstream's own answer: its boot, and whether it is leaving.
+// OnLoad applies what an upstream reports in its own answer: its boot, and whether it is leaving.
 func (f *Follower) OnLoad(u *fleet.Upstream, boot string, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.boots[u.ID] != boot {
-		f.boots[u.ID] = boot
+	if f.bootIDs[u.ID] != boot {
+		f.bootIDs[u.ID] = boot
 		f.applySigns()
 	}
 	if leaving {
-		f.carryOut(f.node.UpstreamLeaving(f.now(), u.ID, boot))
+		f.applyEffects(f.node.UpstreamLeaving(f.now(), u.ID, boot))
 	}
 }
 
-// applySigns hands the upstreams that signs are about to the keeper; mu is held.
+// applySigns passes the upstreams to which a leaving sign applies to the Keeper. mu is held.
 func (f *Follower) applySigns() {
 	var ids []fleet.UpstreamID
 	for _, s := range f.signs { // sorted by upstream
 		same := len(ids) > 0 && ids[len(ids)-1] == s.Upstream
-		if !same && relay.IsLeaving(f.signs, s.Upstream, f.boots[s.Upstream]) {
+		if !same && relay.IsLeaving(f.signs, s.Upstream, f.bootIDs[s.Upstream]) {
 			ids = append(ids, s.Upstream)
 		}
 	}
 	f.deps.Keeper.SetLeaving(ids)
 }
 
-// InForce tells how many of the instances that this one hears, itself among them, have a configuration
-// version in force, and how many those are.
-func (f *Follower) CountInForce(version uint64) (have, of int) {
+// CountInForce returns how many instances have a configuration version in force, and how many instances are counted in
+// total. It counts this instance and those that it is in contact with.
+func (f *Follower) CountInForce(version uint64) (count, total int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	have, of = f.node.Members().CountInForce(f.now(), version)
+	count, total = f.node.Members().CountInForce(f.now(), version)
 	if f.node.Config().Version >= version {
-		have++
+		count++
 	}
-	return have, 1 + of
+	return count, 1 + total
 }
 
-// instances gives the entry instances of a list.
-func instances(l wire.InstanceList) []fleet.Instance {
-	var all []fleet.Instance
+// entryInstances returns the damaskshelf instances in an instance list.
+func entryInstances(l wire.InstanceList) []fleet.Instance {
+	var instances []fleet.Instance
 	for _, i := range l.Instances {
 		if i.Kind == wire.KindEntry && i.Peer != "" {
-			all = append(all, fleet.Instance{
+			instances = append(instances, fleet.Instance{
 				ID: fleet.InstanceID(i.ID), PeerAddr: i.Peer, Domain: fleet.DomainID(i.Domain),
 				Region: fleet.RegionID(i.Region), Leaving: i.State == wire.StateLeaving,
 			})
 		}
 	}
-	return all
+	return instances
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -27,64 +27,66 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var errDown = errors.New("store is down")
+var errStoreDown = errors.New("store is down")
 
-// store is a memory store that can be down, for one instance or for all.
-type store struct {
+// failingStore is a memory store that can be made unavailable to one instance or to all.
+type failingStore struct {
 	objects.Store
 	down *atomic.Bool
 }
 
-func (s store) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
+func (s failingStore) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
 	if s.down.Load() {
-		return wire.Object{}, errDown
+		return wire.Object{}, errStoreDown
 	}
 	return s.Store.Get(ctx, key)
 }
 
-func (s store) Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error) {
+func (s failingStore) Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error) {
 	if s.down.Load() {
-		return wire.List{}, errDown
+		return wire.List{}, errStoreDown
 	}
 	return s.Store.Watch(ctx, kind, version, wait)
 }
 
-// list is an instance list that tests change.
-type list struct {
-	mu  sync.Mutex
-	now wire.InstanceList
+// instanceList is an instance list that tests modify.
+type instanceList struct {
+	mu      sync.Mutex
+	current wire.InstanceList
 }
 
-func (l *list) Instances(context.Context) (wire.InstanceList, error) {
+func (l *instanceList) Instances(context.Context) (wire.InstanceList, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now, nil
+	return l.current, nil
 }
 
-func (l *list) add(i wire.Instance) {
+func (l *instanceList) add(i wire.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.now.Version++
-	l.now.Instances = append(append([]wire.Instance(nil), l.now.Instances...), i)
+	l.current.Version++
+	l.current.Instances = append(append([]wire.Instance(nil), l.current.Instances...), i)
 }
 
+// instance is a Follower that runs, with its Keeper and its access to the store.
 type instance struct {
 	*follow.Follower
 	keeper *keeper.Keeper
-	down   atomic.Bool // the store, as this instance sees it
+	down   atomic.Bool // the store is unavailable to this instance
 	stop   func()
 }
 
+// fixture is a fleet of instances that share one store and one instance list.
 type fixture struct {
-	t      *testing.T
-	memory *memory.Store
-	list   *list
-	all    []*instance
+	t         *testing.T
+	memory    *memory.Store
+	list      *instanceList
+	instances []*instance
 }
 
-// newFixture starts n instances in three failure domains, and one engine in the list.
+// newFixture starts n instances in three failure domains, and lists them and one engine.
 func newFixture(t *testing.T, n int) *fixture {
-	f := &fixture{t: t, memory: memory.New(), list: &list{}}
+	f := &fixture{t: t, memory: memory.New(), list: &instanceList{}}
 	f.list.add(wire.Instance{ID: "engine-1", Kind: wire.KindEngine, Domain: "north", State: wire.StateLive})
 	for i := range n {
 		f.start(fmt.Sprint("entry-", i), []string{"north", "mid", "south"}[i%3])
@@ -92,17 +94,19 @@
 	return f
 }
 
+// start starts an instance.
 func (f *fixture) start(id, domain string) *instance {
 	x := &instance{keeper: keeper.New(nil)}
-	return f.run(x, id, domain)
+	return f.startInstance(x, id, domain)
 }
 
-func (f *fixture) run(x *instance, id, domain string) *instance {
+// startInstance runs x as a new instance and adds it to the list. The test's cleanup stops it.
+func (f *fixture) startInstance(x *instance, id, domain string) *instance {
 	f.t.Helper()
 	var err error
 	x.Follower, err = follow.New(follow.Deps{
 		Self:  fleet.Instance{ID: fleet.InstanceID(id), Domain: fleet.DomainID(domain)},
-		Store: store{Store: f.memory, down: &x.down}, Instances: f.list, Keeper: x.keeper,
+		Store: failingStore{Store: f.memory, down: &x.down}, Instances: f.list, Keeper: x.keeper,
 		ListInterval: 20 * time.Millisecond, HeartbeatInterval: 50 * time.Millisecond, Log: hclog.NewNullLogger(),
 	})
 	if err != nil {
@@ -122,21 +126,21 @@
 		<-done
 	})
 	f.t.Cleanup(x.stop)
-	f.all = append(f.all, x)
+	f.instances = append(f.instances, x)
 	f.list.add(wire.Instance{ID: id, Kind: wire.KindEntry, Peer: x.Addr(), Domain: domain, State: wire.StateLive})
 	return x
 }
 
-// write makes the next version of the configuration, through one instance or past all of them.
-func (f *fixture) write(cfg api.Config, ifVersion uint64, through *instance) uint64 {
+// write writes the next version of the configuration, through an instance or, if via is nil, directly to the store.
+func (f *fixture) write(cfg api.Config, ifVersion uint64, via *instance) uint64 {
 	f.t.Helper()
 	raw, err := json.Marshal(cfg)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	var s objects.Store = f.memory
-	if through != nil {
-		s = follow.Announce(s, through.Follower)
+	if via != nil {
+		s = follow.Announce(s, via.Follower)
 	}
 	version, err := s.Put(context.Background(), objects.Write{Key: follow.ConfigKey, IfVersion: ifVersion, WriteID: "w", Value: raw})
 	if err != nil {
@@ -145,111 +149,116 @@
 	return version
 }
 
-// eventually fails the test when the condition does not come true in a time that no machine needs.
-func eventually(t *testing.T, what string, holds func() bool) {
+// waitFor fails the test if the condition doesn't become true within a generous time limit.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(30 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
 
-func (f *fixture) inForce(version uint64) {
+// waitInForce waits until every instance is usable and has the version in force.
+func (f *fixture) waitInForce(version uint64) {
 	f.t.Helper()
-	for _, x := range f.all {
-		eventually(f.t, "in force and usable", func() bool {
+	for _, x := range f.instances {
+		waitFor(f.t, "version in force and instance usable", func() bool {
 			return x.keeper.View().ConfigVersion == version && x.Usable() == nil
 		})
 	}
 }
 
-func TestNotReadyWithoutAConfiguration(t *testing.T) {
+// An instance that has read the instance list but no configuration must not be ready.
+func TestNotReadyWithoutConfiguration(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t, 3)
-	eventually(t, "list read", func() bool { return f.all[2].keeper.View().ListVersion > 0 })
-	for _, x := range f.all {
+	waitFor(t, "instance list read", func() bool { return f.instances[2].keeper.View().ListVersion > 0 })
+	for _, x := range f.instances {
 		is.True(fault.Is(x.Usable(), fault.NotReady))
 	}
-	f.inForce(f.write(api.Config{}, 0, nil))
+	f.waitInForce(f.write(api.Config{}, 0, nil))
 }
 
-// A configuration that one instance wrote comes in force on all, and marks the domain's upstreams.
-func TestAnAcceptedConfigurationIsInForceEverywhere(t *testing.T) {
+// A configuration that one instance has written must come into force on all instances, and its failure domains must be
+// out of service there.
+func TestAcceptedConfigurationIsAppliedByAllInstances(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t, 9) // more than an instance and its peers
 	first := f.write(api.Config{}, 0, nil)
-	f.inForce(first)
-	second := f.write(api.Config{DomainsOut: []string{"north"}}, first, f.all[3])
-	f.inForce(second)
-	for _, x := range f.all {
+	f.waitInForce(first)
+	second := f.write(api.Config{DomainsOut: []string{"north"}}, first, f.instances[3])
+	f.waitInForce(second)
+	for _, x := range f.instances {
 		is.True(x.keeper.View().Upstream("engine-1").DomainOut)
 	}
-	eventually(t, "told by peers", func() bool {
-		have, of := f.all[0].CountInForce(second)
-		return have == of && of > 1+member.DefaultFanout && of <= 9 // callers count beside peers
+	waitFor(t, "all reachable instances report the version", func() bool {
+		count, total := f.instances[0].CountInForce(second)
+		// Instances that call this one count as well as its own peers.
+		return count == total && total > 1+member.DefaultFanout && total <= 9
 	})
 }
 
-// The store is down and an instance is replaced: the new one has nothing, gets the configuration from its
-// peers, and serves.
-func TestANewInstanceStartsWhileTheStoreIsDown(t *testing.T) {
+// An instance is replaced while the store is unavailable. The new one has no state; it must get the configuration from
+// its peers and become usable.
+func TestNewInstanceStartsDuringStoreOutage(t *testing.T) {
 	f := newFixture(t, 3)
 	version := f.write(api.Config{}, 0, nil)
-	f.inForce(version)
-	for _, x := range f.all {
+	f.waitInForce(version)
+	for _, x := range f.instances {
 		x.down.Store(true)
 	}
 	x := &instance{keeper: keeper.New(nil)}
 	x.down.Store(true)
-	f.run(x, "entry-new", "mid")
-	f.inForce(version)
+	f.startInstance(x, "entry-new", "mid")
+	f.waitInForce(version)
 }
 
-// An upstream tells one instance that it is leaving; the others must stop sending to it before the list
-// says so, and send again to the upstream's next boot.
-func TestALeavingUpstreamIsLeftEverywhere(t *testing.T) {
+// An upstream reports to one instance that it is leaving. The others must stop sending to it before the list shows
+// this. The upstream must get work again after its next boot.
+func TestLeavingUpstreamGetsNoWorkFromAnyInstance(t *testing.T) {
 	f := newFixture(t, 6)
-	f.inForce(f.write(api.Config{}, 0, nil))
-	u := f.all[0].keeper.View().Upstream("engine-1")
-	f.all[0].OnLoad(u, "boot-1", true)
-	for _, x := range f.all {
-		eventually(t, "leaving", func() bool { return !x.keeper.View().Upstream("engine-1").AcceptsWork() })
+	f.waitInForce(f.write(api.Config{}, 0, nil))
+	u := f.instances[0].keeper.View().Upstream("engine-1")
+	f.instances[0].OnLoad(u, "boot-1", true)
+	for _, x := range f.instances {
+		waitFor(t, "upstream leaving", func() bool { return !x.keeper.View().Upstream("engine-1").AcceptsWork() })
 	}
-	f.all[4].OnLoad(u, "boot-2", false)
-	eventually(t, "taken up again", func() bool { return f.all[4].keeper.View().Upstream("engine-1").AcceptsWork() })
+	f.instances[4].OnLoad(u, "boot-2", false)
+	waitFor(t, "upstream accepts work again", func() bool { return f.instances[4].keeper.View().Upstream("engine-1").AcceptsWork() })
 }
 
-// An instance that neither peers nor the store answer must refuse new work, and take it up again when it
-// hears somebody.
-func TestACutOffInstanceRefuses(t *testing.T) {
+// An instance that reaches neither its peers nor the store must refuse new work, and accept it again once it is in
+// contact.
+func TestIsolatedInstanceRefusesWork(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t, 2)
-	f.inForce(f.write(api.Config{}, 0, nil))
-	lost, other := f.all[0], f.all[1]
-	lost.down.Store(true)
-	other.stop() // its only peer
-	eventually(t, "stale", func() bool { return fault.Is(lost.Usable(), fault.StaleInstance) })
-	eventually(t, "refuses at once", func() bool { return !lost.Regaining() })
-	is.True(fault.Is(lost.Usable(), fault.StaleInstance))
-	lost.down.Store(false)
-	eventually(t, "usable again", func() bool { return lost.Usable() == nil })
-}
-
-// During a rolling upgrade an accepted configuration has a field that this program does not know. Serving
-// on by the version before could bring work to a domain that the new one takes out.
-func TestAnUnreadableConfigurationIsNotServedPast(t *testing.T) {
+	f.waitInForce(f.write(api.Config{}, 0, nil))
+	isolated, peer := f.instances[0], f.instances[1]
+	isolated.down.Store(true)
+	peer.stop() // its only peer
+	waitFor(t, "isolated instance stale", func() bool { return fault.Is(isolated.Usable(), fault.StaleInstance) })
+	waitFor(t, "no longer regaining trust", func() bool { return !isolated.Regaining() })
+	is.True(fault.Is(isolated.Usable(), fault.StaleInstance))
+	isolated.down.Store(false)
+	waitFor(t, "instance usable again", func() bool { return isolated.Usable() == nil })
+}
+
+// During a rolling upgrade, an accepted configuration has a field that this program doesn't support. Guards against an
+// instance that continues with the previous version: it could send work to a failure domain that the new version takes
+// out of service.
+func TestUnreadableConfigurationStopsService(t *testing.T) {
 	f := newFixture(t, 3)
 	first := f.write(api.Config{}, 0, nil)
-	f.inForce(first)
+	f.waitInForce(first)
 	version, err := f.memory.Put(context.Background(), objects.Write{
 		Key: follow.ConfigKey, IfVersion: first, WriteID: "w", Value: []byte(`{"intent":{"models":null},"of_the_future":1}`),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range f.all {
-		eventually(t, "refuses", func() bool { return fault.Is(x.Usable(), fault.NotReady) })
+	for _, x := range f.instances {
+		waitFor(t, "instance not ready", func() bool { return fault.Is(x.Usable(), fault.NotReady) })
 	}
-	f.inForce(f.write(api.Config{}, version, nil))
+	f.waitInForce(f.write(api.Config{}, version, nil))
 }
--- a/internal/follow/regain_test.go
+++ b/internal/follow/regain_test.go
@@ -12,33 +12,35 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/relay"
 )
 
-// Guards against callers being turned away by an instance that wakes up, and against waits at one that is cut off.
-func TestTrustIsRegainedRightAfterItsEndOnly(t *testing.T) {
+// Guards against an instance that rejects requests right after it resumes, and against requests that wait at an
+// isolated one.
+func TestRegainingOnlyShortlyAfterTrustEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f, err := New(Deps{Log: hclog.NewNullLogger()})
 		is.NoErr(err)
-		is.True(!f.Regaining()) // it never was trusted
+		is.True(!f.Regaining()) // it was never trusted
 
 		time.Sleep(time.Minute)
 		f.guard.Tick(f.now())
-		f.lost.Store(int64(f.now()))
+		f.trustEnd.Store(int64(f.now()))
 		is.True(f.Regaining())
-		time.Sleep(regainTime)
+		time.Sleep(regainTimeout)
 		is.True(!f.Regaining())
 
-		// After a pause nothing of before is trusted, and its end counts, not the end of the trust of before.
+		// A pause ends the earlier trust. What counts is the time since its end,
+		// not when the earlier trust would have ended.
 		f.guard.Tick(f.now())
-		f.trusted.Store(int64(f.now().Add(time.Hour)))
+		f.trustedUntil.Store(int64(f.now().Add(time.Hour)))
 		time.Sleep(time.Minute)
 		is.True(f.Regaining())
-		f.handle(func(now decide.Instant) []relay.Effect {
+		f.handleEvent(func(now decide.Instant) []relay.Effect {
 			f.guard.Tick(now)
-			is.Equal(f.trusted.Load(), int64(0)) // before the guard lets requests pass
+			is.Equal(f.trustedUntil.Load(), int64(0)) // ended before the guard accepts requests again
 			return nil
 		})
 		is.True(f.Regaining())
-		time.Sleep(regainTime)
+		time.Sleep(regainTimeout)
 		f.guard.Tick(f.now())
 		is.True(!f.Regaining())
 	})
