--- a/cmd/damaskctl/session_test.go
+++ b/cmd/damaskctl/session_test.go
@@ -53,7 +53,7 @@
 			WeightRate: 1000, WeightBurst: 1000, Engine: engine.Config{Fencing: true},
 		},
 		Intent:  api.Intent{Models: []api.Model{{Name: "guidebot", Version: cluster.ModelVersion, Replicas: 6, Floor: 4, WeightGB: 40}}},
-		Execute: execute.Config{Tick: 20 * time.Millisecond, Lease: lease.Config{OrderDelay: 50 * time.Millisecond}},
+		Execute: execute.Config{TickInterval: 20 * time.Millisecond, Lease: lease.Config{OrderDelay: 50 * time.Millisecond}},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -32,7 +32,7 @@
 	for i := range s.entries {
 		l.Instances = append(l.Instances, platform.Instance{
 			ID: fmt.Sprintf("entry-%04d", i), Kind: platform.KindEntry, State: platform.StateLive,
-			Addr: fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250), Peer: fmt.Sprintf("10.0.%d.%d:8082", i/250, i%250),
+			Addr: fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250), PeerAddr: fmt.Sprintf("10.0.%d.%d:8082", i/250, i%250),
 			Domain: domain(i, s.domains), Region: "region-1",
 		})
 	}
@@ -40,7 +40,7 @@
 		l.Instances = append(l.Instances, platform.Instance{
 			ID: fmt.Sprintf("engine-%05d", i), Kind: platform.KindEngine, State: platform.StateLive,
 			Addr:   fmt.Sprintf("10.%d.%d.%d:8000", 1+i/62500, i/250%250, i%250),
-			Domain: domain(i, s.domains), Region: "region-1", Fencing: true, Memory: 400_000,
+			Domain: domain(i, s.domains), Region: "region-1", Fencing: true, KVCacheTokens: 400_000,
 		})
 	}
 	return l
@@ -247,7 +247,7 @@
 			b.ReportAllocs()
 			defer processorTime(b)()
 			for i := 0; b.Loop(); i++ {
-				k.SetServed("engine-00000", keeper.Served{Long: i%2 == 0})
+				k.SetServingState("engine-00000", keeper.ServingState{LongLane: i%2 == 0})
 			}
 		})
 	}
--- a/internal/execute/cost_test.go
+++ b/internal/execute/cost_test.go
@@ -57,7 +57,7 @@
 	view    *fleet.View
 	engines map[string]*quickEngine
 	members []*execute.Executor
-	seen    *execute.Seen // one for all, as if every instance had just read every engine
+	seen    *execute.ObservedModels // one for all, as if every instance had just read every engine
 }
 
 type quickEngine struct {
@@ -74,7 +74,7 @@
 		e.state.Orders = nil
 		e.next = upstream.Order{}
 	}
-	f.seen.Put(fleet.UpstreamID(addr), e.state.Loaded)
+	f.seen.Set(fleet.UpstreamID(addr), e.state.Loaded)
 	return e.state, nil
 }
 
@@ -91,7 +91,7 @@
 
 // newSizedFleet makes a fleet in which every model stands on a fifteenth of the engines.
 func newSizedFleet(instances, engines int) *sizedFleet {
-	f := &sizedFleet{calls: counted{Store: memory.New()}, engines: map[string]*quickEngine{}, seen: execute.NewSeen()}
+	f := &sizedFleet{calls: counted{Store: memory.New()}, engines: map[string]*quickEngine{}, seen: execute.NewObservedModels()}
 	var ups []*fleet.Upstream
 	var members []*fleet.Instance
 	for i := range engines {
@@ -109,11 +109,11 @@
 	ids := 0
 	for _, m := range members {
 		f.members = append(f.members, execute.New(execute.Deps{
-			Instance: m.ID, Incarnation: "1", Store: &f.calls, Engines: f, Seen: f.seen,
+			Instance: m.ID, Incarnation: "1", Store: &f.calls, Engines: f, Observed: f.seen,
 			View: func() *fleet.View { return f.view }, Now: func() decide.Instant { return f.now },
 			NewID: func() string { ids++; return fmt.Sprint("w", ids) },
-			Log:   hclog.NewNullLogger(), Record: discard{},
-			Config: execute.Config{Lease: leaseConfig, AtOnce: 1},
+			Log:   hclog.NewNullLogger(), Recorder: discard{},
+			Config: execute.Config{Lease: leaseConfig, Concurrency: 1},
 		}))
 	}
 	return f
@@ -200,7 +200,7 @@
 
 		before := *k
 		for range 12 { // a minute without a plan
-			f.now = f.now.Add(execute.DefaultIdle)
+			f.now = f.now.Add(execute.DefaultIdleInterval)
 			for _, x := range f.members {
 				x.Tick(context.Background())
 			}
--- a/internal/execute/execute.go
+++ b/internal/execute/execute.go
@@ -36,8 +36,8 @@
 }
 
 // Weights asks the weight store for transfer budget. It gives the time to wait where there is none.
-type Weights interface {
-	Take(ctx context.Context, model, version string, gigabytes int64) (wait time.Duration, err error)
+type WeightStore interface {
+	TakeBudget(ctx context.Context, model, version string, gigabytes int64) (wait time.Duration, err error)
 }
 
 // Recorder logs one placement decision. It is safe for concurrent use.
@@ -47,29 +47,29 @@
 
 // Config holds the executor's times. The zero value takes the defaults.
 type Config struct {
-	Lease  lease.Config
-	Tick   time.Duration // between two looks while a plan is worked off
-	Idle   time.Duration // between two looks at engines while none is
-	AtOnce int           // shards, and engines of a shard, worked on at the same time
+	Lease        lease.Config
+	TickInterval time.Duration // between two looks while a plan is worked off
+	IdleInterval time.Duration // between two looks at engines while none is
+	Concurrency  int           // shards, and engines of a shard, worked on at the same time
 }
 
 // Defaults of Config.
 const (
-	DefaultTTL        = 15 * time.Second
-	DefaultMargin     = time.Second
-	DefaultOrderDelay = 5 * time.Second
-	DefaultTick       = 500 * time.Millisecond
-	DefaultIdle       = 5 * time.Second
-	DefaultAtOnce     = 16
+	DefaultLeaseTTL     = 15 * time.Second
+	DefaultLeaseMargin  = time.Second
+	DefaultOrderDelay   = 5 * time.Second
+	DefaultTickInterval = 500 * time.Millisecond
+	DefaultIdleInterval = 5 * time.Second
+	DefaultConcurrency  = 16
 )
 
 func (c Config) withDefaults() Config {
-	orDefault(&c.Lease.TTL, DefaultTTL)
-	orDefault(&c.Lease.Margin, DefaultMargin)
+	orDefault(&c.Lease.TTL, DefaultLeaseTTL)
+	orDefault(&c.Lease.Margin, DefaultLeaseMargin)
 	orDefault(&c.Lease.OrderDelay, DefaultOrderDelay)
-	orDefault(&c.Tick, DefaultTick)
-	orDefault(&c.Idle, DefaultIdle)
-	orDefault(&c.AtOnce, DefaultAtOnce)
+	orDefault(&c.TickInterval, DefaultTickInterval)
+	orDefault(&c.IdleInterval, DefaultIdleInterval)
+	orDefault(&c.Concurrency, DefaultConcurrency)
 	return c
 }
 
@@ -86,14 +86,14 @@
 	Incarnation string // of this start of the instance
 	Store       objects.Store
 	Engines     Engines
-	Weights     Weights // nil: loads ask nobody
+	WeightStore WeightStore // nil: loads ask nobody
 	View        func() *fleet.View
-	Seen        *Seen       // what engines were last seen to have; nil: not known
-	Ready       func() bool // false: what the instance knows may be old; nil: always ready
+	Observed    *ObservedModels // what engines were last seen to have; nil: not known
+	Ready       func() bool     // false: what the instance knows may be old; nil: always ready
 	Now         func() decide.Instant
 	NewID       func() string
 	Log         hclog.Logger
-	Record      Recorder
+	Recorder    Recorder
 	Config      Config
 }
 
@@ -123,19 +123,19 @@
 // Run works until ctx ends, then gives its leases back.
 func (x *Executor) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := x.Config.Idle
+		pause := x.Config.IdleInterval
 		if x.Tick(ctx) {
-			pause = x.Config.Tick
+			pause = x.Config.TickInterval
 		}
 		// A plan that is confirmed during a long pause is noticed within a tick.
 		seen := x.View().Config.PlanID
-		for waited := time.Duration(0); waited < pause && ctx.Err() == nil && x.View().Config.PlanID == seen; waited += x.Config.Tick {
-			wait.For(ctx, min(x.Config.Tick, pause))
+		for waited := time.Duration(0); waited < pause && ctx.Err() == nil && x.View().Config.PlanID == seen; waited += x.Config.TickInterval {
+			wait.For(ctx, min(x.Config.TickInterval, pause))
 		}
 	}
 	last, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	x.Release(last)
+	x.ReleaseLeases(last)
 }
 
 const releaseTimeout = 2 * time.Second
@@ -147,8 +147,8 @@
 		return false
 	}
 	view := x.View()
-	if x.Seen != nil {
-		x.Seen.keep(view)
+	if x.Observed != nil {
+		x.Observed.keep(view)
 	}
 	mine := x.owned(view)
 	if len(mine) == 0 {
@@ -209,7 +209,7 @@
 
 // read lists the shards' records.
 func (x *Executor) read(ctx context.Context) error {
-	l, err := x.Store.List(ctx, Kind)
+	l, err := x.Store.List(ctx, ObjectKind)
 	if err != nil {
 		return err
 	}
@@ -231,8 +231,8 @@
 }
 
 // Release gives back the leases that are held, so that another instance need not wait them out.
-func (x *Executor) Release(ctx context.Context) {
-	each(x.Config.AtOnce, slices.Sorted(maps.Keys(x.shards)), func(n int) {
+func (x *Executor) ReleaseLeases(ctx context.Context) {
+	each(x.Config.Concurrency, slices.Sorted(maps.Keys(x.shards)), func(n int) {
 		s := x.shards[n]
 		if !s.lease.Valid(x.Now()) {
 			return
--- a/internal/execute/execute_test.go
+++ b/internal/execute/execute_test.go
@@ -52,7 +52,7 @@
 		party := rapid.SampledFrom(w.parties).Draw(w.t, "party")
 		party.tick()
 		if w.one(w.chaos.release) {
-			party.executor.Release(context.Background())
+			party.executor.ReleaseLeases(context.Background())
 		}
 		check()
 		w.sound()
@@ -95,7 +95,7 @@
 			}
 		}
 	}
-	l, err := w.store.List(context.Background(), execute.Kind)
+	l, err := w.store.List(context.Background(), execute.ObjectKind)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -200,11 +200,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w, p := simple(t, "2")
 		w.run(rapid.IntRange(1, 20).Draw(t, "steps"), nothing)
-		data, err := json.Marshal(execute.Stop{Plan: p.ID})
+		data, err := json.Marshal(execute.StoppedPlan{PlanID: p.ID})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := w.store.Put(context.Background(), objects.Write{Key: execute.StopKey, WriteID: "stop", Value: data}); err != nil {
+		if _, err := w.store.Put(context.Background(), objects.Write{Key: execute.StoppedPlanKey, WriteID: "stop", Value: data}); err != nil {
 			t.Fatal(err)
 		}
 		for _, party := range w.parties {
@@ -244,7 +244,7 @@
 			a.tick()
 		}
 		w.detain = 0
-		a.executor.Release(context.Background())
+		a.executor.ReleaseLeases(context.Background())
 		for range 100 {
 			w.advance(time.Duration(rapid.IntRange(10, 300).Draw(t, "ms")) * time.Millisecond)
 			b.tick()
@@ -281,7 +281,7 @@
 		w, p := simple(t, "2")
 		w.settle(p)
 		w.chaos.down = 1 // any call to the store would fail from here on
-		before, err := w.store.List(context.Background(), execute.Kind)
+		before, err := w.store.List(context.Background(), execute.ObjectKind)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -293,7 +293,7 @@
 				}
 			}
 		}
-		after, err := w.store.List(context.Background(), execute.Kind)
+		after, err := w.store.List(context.Background(), execute.ObjectKind)
 		if err != nil || after.Version != before.Version {
 			t.Fatalf("version %d became %d, %v", before.Version, after.Version, err)
 		}
@@ -309,8 +309,8 @@
 	for i := range 6900 {
 		used[execute.ShardOf(fmt.Sprint("engine-", i))]++
 	}
-	is.Equal(len(used), execute.Shards)
+	is.Equal(len(used), execute.ShardCount)
 	for _, n := range used {
-		is.True(n < 2*6900/execute.Shards) // no shard is twice the mean
+		is.True(n < 2*6900/execute.ShardCount) // no shard is twice the mean
 	}
 }
--- a/internal/execute/job.go
+++ b/internal/execute/job.go
@@ -66,8 +66,8 @@
 	lowest := j.verify() + 1
 	for shard, stages := range j.shards {
 		done := 0
-		if rec := r.shards[shard]; rec.Plan == j.plan.ID {
-			done = rec.Stage
+		if rec := r.shards[shard]; rec.PlanID == j.plan.ID {
+			done = rec.DoneStage
 		}
 		// A shard records only the stages in which it has steps, and the verification.
 		for done < j.stages && !stages[done+1] {
@@ -180,7 +180,7 @@
 	p := &api.Progress{Steps: len(j.plan.Steps), Stage: min(stage, j.stages), Stages: j.stages}
 	for _, s := range j.plan.Steps {
 		rec := r.shards[ShardOf(s.Upstream)]
-		if rec.Plan == j.plan.ID && rec.Stage >= s.Stage {
+		if rec.PlanID == j.plan.ID && rec.DoneStage >= s.Stage {
 			p.StepsDone++
 		}
 	}
--- a/internal/execute/round.go
+++ b/internal/execute/round.go
@@ -17,7 +17,7 @@
 func (x *Executor) workAll(ctx context.Context, view *fleet.View, mine []int, stage int) bool {
 	r := x.round(view, stage)
 	var busy atomic.Bool
-	each(x.Config.AtOnce, mine, func(n int) {
+	each(x.Config.Concurrency, mine, func(n int) {
 		if x.work(ctx, r, x.shards[n]) {
 			busy.Store(true)
 		}
@@ -51,8 +51,8 @@
 // without one, and so as not yet changed.
 func (x *Executor) loaded(u *fleet.Upstream) map[string]string {
 	l := make(map[string]string, len(u.Models))
-	if x.Seen != nil {
-		if loaded, seen := x.Seen.Loaded(u.ID); seen {
+	if x.Observed != nil {
+		if loaded, seen := x.Observed.Loaded(u.ID); seen {
 			for _, s := range loaded {
 				l[s.Model] = s.Version
 			}
@@ -108,7 +108,7 @@
 		}
 	}
 	var mine []int
-	for n := range Shards {
+	for n := range ShardCount {
 		if used[n] && rendezvous.Owner(shardName(n), members) == string(x.Instance) {
 			mine = append(mine, n)
 			x.addShard(n)
--- a/internal/execute/seen.go
+++ b/internal/execute/seen.go
@@ -8,23 +8,25 @@
 )
 
 // Seen keeps what each engine was last seen to have loaded. It is safe for concurrent use.
-type Seen struct {
+type ObservedModels struct {
 	mu      sync.RWMutex
 	engines map[fleet.UpstreamID][]wire.LoadedModel // guarded by mu; the slices are never changed
 }
 
 // NewSeen gives a Seen that knows no engine.
-func NewSeen() *Seen { return &Seen{engines: map[fleet.UpstreamID][]wire.LoadedModel{}} }
+func NewObservedModels() *ObservedModels {
+	return &ObservedModels{engines: map[fleet.UpstreamID][]wire.LoadedModel{}}
+}
 
 // Put takes what an engine has loaded; the slice must not be changed afterwards.
-func (s *Seen) Put(id fleet.UpstreamID, loaded []wire.LoadedModel) {
+func (s *ObservedModels) Set(id fleet.UpstreamID, loaded []wire.LoadedModel) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.engines[id] = loaded
 }
 
 // Loaded gives what an engine was last seen to have; not to be changed.
-func (s *Seen) Loaded(id fleet.UpstreamID) ([]wire.LoadedModel, bool) {
+func (s *ObservedModels) Loaded(id fleet.UpstreamID) ([]wire.LoadedModel, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	loaded, ok := s.engines[id]
@@ -32,7 +34,7 @@
 }
 
 // keep forgets the engines that the view no longer shows.
-func (s *Seen) keep(v *fleet.View) {
+func (s *ObservedModels) keep(v *fleet.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.engines {
--- a/internal/execute/shard.go
+++ b/internal/execute/shard.go
@@ -20,8 +20,8 @@
 type shard struct {
 	number  int
 	lease   *lease.Lease
-	record  Record // as it was last written or read
-	wanted  bool   // there is work that needs the lease
+	record  ShardRecord // as it was last written or read
+	wanted  bool        // there is work that needs the lease
 	engines map[fleet.UpstreamID]*engine
 }
 
@@ -83,14 +83,14 @@
 	if known, ok := x.last.shards[s.number]; ok && x.last.versions[s.number] > s.lease.IfVersion() {
 		rec = known
 	}
-	behind := x.job.records(s.number, stage) && (rec.Plan != x.job.plan.ID || rec.Stage < stage)
+	behind := x.job.records(s.number, stage) && (rec.PlanID != x.job.plan.ID || rec.DoneStage < stage)
 	s.wanted = !done || behind
 	if !done || !behind || !s.lease.Valid(x.Now()) {
 		return s.wanted
 	}
-	next := Record{Holder: x.self, Plan: x.job.plan.ID, Stage: stage, Config: s.record.Config}
+	next := ShardRecord{Holder: x.self, PlanID: x.job.plan.ID, DoneStage: stage, ConfigVersion: s.record.ConfigVersion}
 	if x.write(ctx, s, next) {
-		x.Log.Info("stage done", "plan", next.Plan, "shard", shardName(s.number), "stage", stage, "of", x.job.stages)
+		x.Log.Info("stage done", "plan", next.PlanID, "shard", shardName(s.number), "stage", stage, "of", x.job.stages)
 	}
 	return true
 }
@@ -99,10 +99,10 @@
 // all that is as it should be.
 func (x *Executor) concerned(u *fleet.Upstream, s *shard, stage int) bool {
 	id := string(u.ID)
-	if x.Seen == nil {
+	if x.Observed == nil {
 		return x.job.target[id] != nil
 	}
-	seen, known := x.Seen.Loaded(u.ID)
+	seen, known := x.Observed.Loaded(u.ID)
 	if !known {
 		return x.job.target[id] != nil
 	}
@@ -123,7 +123,7 @@
 		}
 		looks = append(looks, &look{upstream: u, engine: e})
 	}
-	each(x.Config.AtOnce, looks, func(l *look) {
+	each(x.Config.Concurrency, looks, func(l *look) {
 		l.state, l.err = x.Engines.State(ctx, l.upstream.Addr)
 	})
 	return looks
@@ -166,7 +166,7 @@
 // granted asks the weight store for the transfer that a load takes. A load is sent only after its grant,
 // so that the store's rate is never passed, whoever else loads.
 func (x *Executor) granted(ctx context.Context, l *look, o *wire.Order) bool {
-	if x.Weights == nil || o.Kind != api.StepLoad || o.Adapter != "" {
+	if x.WeightStore == nil || o.Kind != api.StepLoad || o.Adapter != "" {
 		return true
 	}
 	what := o.Model + "@" + o.Version
@@ -177,7 +177,7 @@
 	if x.Now().Before(decide.Instant(x.wait.Load())) {
 		return false
 	}
-	wait, err := x.Weights.Take(ctx, o.Model, o.Version, size)
+	wait, err := x.WeightStore.TakeBudget(ctx, o.Model, o.Version, size)
 	if err != nil {
 		x.Log.Warn("weight store did not answer", "upstream", l.upstream.ID, "model", o.Model, "error", err)
 		return false
@@ -197,7 +197,7 @@
 	}
 	l.engine.reason = reason
 	all := append([]any{"plan", x.job.plan.ID, "shard", s.number, "fence", s.lease.Fence()}, fields...)
-	x.Record.Record("place", string(l.upstream.ID), reason, all...)
+	x.Recorder.Record("place", string(l.upstream.ID), reason, all...)
 }
 
 // hold takes one step towards having the lease under a configuration version.
@@ -217,19 +217,19 @@
 	if effect != lease.Write {
 		return
 	}
-	if s.record.Config > config {
-		x.Log.Warn("configuration is behind the shard's", "shard", shardName(s.number), "have", config, "shard_has", s.record.Config)
+	if s.record.ConfigVersion > config {
+		x.Log.Warn("configuration is behind the shard's", "shard", shardName(s.number), "have", config, "shard_has", s.record.ConfigVersion)
 		return
 	}
 	held := s.lease.Valid(now)
 	rec := s.record
-	rec.Holder, rec.Config = x.self, config
+	rec.Holder, rec.ConfigVersion = x.self, config
 	if x.write(ctx, s, rec) && !held {
 		x.Log.Info("lease taken", "shard", shardName(s.number), "fence", s.lease.Fence(), "reason", string(reason))
 	}
 }
 
-func (s *shard) key() objects.Key { return objects.Key{Kind: Kind, Name: shardName(s.number)} }
+func (s *shard) key() objects.Key { return objects.Key{Kind: ObjectKind, Name: shardName(s.number)} }
 
 // reread reads the shard's object.
 func (x *Executor) reread(ctx context.Context, s *shard) bool {
@@ -242,7 +242,7 @@
 		x.Log.Warn("lease not read", "shard", shardName(s.number), "error", err)
 		return false
 	}
-	var rec Record
+	var rec ShardRecord
 	if err := json.Unmarshal(o.Value, &rec); err != nil {
 		x.Log.Error("lease is not readable", "shard", shardName(s.number), "error", err)
 		return false
@@ -256,7 +256,7 @@
 
 // write writes the shard's object under the lease's condition, and tells whether it is known to have
 // taken effect.
-func (x *Executor) write(ctx context.Context, s *shard, rec Record) bool {
+func (x *Executor) write(ctx context.Context, s *shard, rec ShardRecord) bool {
 	version, err := x.put(ctx, s, rec)
 	var conflict *objects.ConflictError
 	switch {
@@ -273,7 +273,7 @@
 	return false
 }
 
-func (x *Executor) put(ctx context.Context, s *shard, rec Record) (uint64, error) {
+func (x *Executor) put(ctx context.Context, s *shard, rec ShardRecord) (uint64, error) {
 	data, err := json.Marshal(rec)
 	if err != nil {
 		return 0, fmt.Errorf("encode lease: %w", err)
@@ -299,7 +299,7 @@
 }
 
 // Holds tells whether this instance may give orders to a shard's engines at this moment.
-func (x *Executor) Holds(shard int) bool {
+func (x *Executor) HoldsLease(shard int) bool {
 	s := x.shards[shard]
 	return s != nil && s.lease.Valid(x.Now())
 }
--- a/internal/execute/takeover_test.go
+++ b/internal/execute/takeover_test.go
@@ -30,7 +30,7 @@
 		for range 120 {
 			f.tick()
 		}
-		l, err := f.calls.Store.List(context.Background(), execute.Kind)
+		l, err := f.calls.Store.List(context.Background(), execute.ObjectKind)
 		is.NoErr(err)
 		progress, err := execute.Progress(p, l)
 		is.NoErr(err)
@@ -44,7 +44,7 @@
 	for _, x := range f.members {
 		busy = x.Tick(context.Background()) || busy
 	}
-	f.now = f.now.Add(execute.DefaultTick)
+	f.now = f.now.Add(execute.DefaultTickInterval)
 	return busy
 }
 
--- a/internal/execute/world_test.go
+++ b/internal/execute/world_test.go
@@ -79,7 +79,7 @@
 	executor *execute.Executor
 	config   api.Config
 	version  uint64 // of config
-	seen     *execute.Seen
+	seen     *execute.ObservedModels
 	snapshot wire.List
 }
 
@@ -92,11 +92,11 @@
 		})
 	}
 	for _, name := range []string{"a", "b"} {
-		p := &party{w: w, name: name, seen: execute.NewSeen(), offset: decide.Instant(rapid.Int64Range(0, 1e12).Draw(t, "offset"))}
+		p := &party{w: w, name: name, seen: execute.NewObservedModels(), offset: decide.Instant(rapid.Int64Range(0, 1e12).Draw(t, "offset"))}
 		p.executor = execute.New(execute.Deps{
-			Instance: fleet.InstanceID(name), Incarnation: "1", Store: p, Engines: p, Weights: p, View: p.view, Seen: p.seen,
+			Instance: fleet.InstanceID(name), Incarnation: "1", Store: p, Engines: p, WeightStore: p, View: p.view, Observed: p.seen,
 			Now: func() decide.Instant { return w.now + p.offset }, NewID: w.newID,
-			Log: hclog.NewNullLogger(), Record: discard{}, Config: execute.Config{Lease: leaseConfig, AtOnce: 1},
+			Log: hclog.NewNullLogger(), Recorder: discard{}, Config: execute.Config{Lease: leaseConfig, Concurrency: 1},
 		})
 		w.parties = append(w.parties, p)
 	}
@@ -131,7 +131,7 @@
 // tick lets the executor look, with what it has observed of the engines until now.
 func (p *party) tick() bool {
 	for _, e := range p.w.engines {
-		p.seen.Put(fleet.UpstreamID(e.id), e.state().Loaded)
+		p.seen.Set(fleet.UpstreamID(e.id), e.state().Loaded)
 	}
 	return p.executor.Tick(context.Background())
 }
@@ -303,7 +303,7 @@
 // Order implements execute.Engines. It notes orders that are given while the other may give them too.
 func (p *party) Order(_ context.Context, addr string, o upstream.Order) (upstream.OrderStatus, error) {
 	shard := execute.ShardOf(addr)
-	if p.other().executor.Holds(shard) {
+	if p.other().executor.HoldsLease(shard) {
 		p.w.overlaps = append(p.w.overlaps, fmt.Sprintf("%s orders %s while %s holds shard %d", p.name, o.ID, p.other().name, shard))
 	}
 	e := p.w.engine(addr)
@@ -324,7 +324,7 @@
 }
 
 // Take implements execute.Weights with a token bucket.
-func (p *party) Take(_ context.Context, _, _ string, gb int64) (time.Duration, error) {
+func (p *party) TakeBudget(_ context.Context, _, _ string, gb int64) (time.Duration, error) {
 	w := p.w
 	p.pause()
 	w.level = min(burst, w.level+rate*w.now.Sub(w.filled).Seconds())
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -33,7 +33,7 @@
 type Deps struct {
 	Self              fleet.Instance // PeerAddr may be empty
 	Store             objects.Store
-	Instances         objects.Instances
+	Instances         objects.InstanceLister
 	Keeper            *keeper.Keeper
 	ListInterval      time.Duration // time between reads of the instance list
 	HeartbeatInterval time.Duration // time between heartbeats to the same peer
@@ -334,9 +334,9 @@
 func entryInstances(l wire.InstanceList) []fleet.Instance {
 	var instances []fleet.Instance
 	for _, i := range l.Instances {
-		if i.Kind == wire.KindEntry && i.Peer != "" {
+		if i.Kind == wire.KindEntry && i.PeerAddr != "" {
 			instances = append(instances, fleet.Instance{
-				ID: fleet.InstanceID(i.ID), PeerAddr: i.Peer, Domain: fleet.DomainID(i.Domain),
+				ID: fleet.InstanceID(i.ID), PeerAddr: i.PeerAddr, Domain: fleet.DomainID(i.Domain),
 				Region: fleet.RegionID(i.Region), Leaving: i.State == wire.StateLeaving,
 			})
 		}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -127,7 +127,7 @@
 	})
 	f.t.Cleanup(x.stop)
 	f.instances = append(f.instances, x)
-	f.list.add(wire.Instance{ID: id, Kind: wire.KindEntry, Peer: x.Addr(), Domain: domain, State: wire.StateLive})
+	f.list.add(wire.Instance{ID: id, Kind: wire.KindEntry, PeerAddr: x.Addr(), Domain: domain, State: wire.StateLive})
 	return x
 }
 
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -13,9 +13,9 @@
 )
 
 // Served is what an engine says that it serves.
-type Served struct {
-	Models []string // sorted
-	Long   bool     // its role puts it in a long lane
+type ServingState struct {
+	Models   []string // sorted
+	LongLane bool     // its role puts it in a long lane
 }
 
 // Keeper holds the current View.
@@ -23,17 +23,17 @@
 	view atomic.Pointer[fleet.View]
 
 	mu      sync.Mutex
-	version uint64                      // guarded by mu: of config
-	config  api.Config                  // guarded by mu
-	list    wire.InstanceList           // guarded by mu
-	served  map[fleet.UpstreamID]Served // guarded by mu
-	leaving []fleet.UpstreamID          // guarded by mu: by signs other than the instance list
-	changed func(old, new *fleet.View)  // called under mu after each publication; may be nil
+	version uint64                            // guarded by mu: of config
+	config  api.Config                        // guarded by mu
+	list    wire.InstanceList                 // guarded by mu
+	served  map[fleet.UpstreamID]ServingState // guarded by mu
+	leaving []fleet.UpstreamID                // guarded by mu: by signs other than the instance list
+	changed func(old, new *fleet.View)        // called under mu after each publication; may be nil
 }
 
 // New gives a Keeper with an empty View. changed is called in order after each new View.
 func New(changed func(old, new *fleet.View)) *Keeper {
-	k := &Keeper{served: map[fleet.UpstreamID]Served{}, changed: changed}
+	k := &Keeper{served: map[fleet.UpstreamID]ServingState{}, changed: changed}
 	k.view.Store(fleet.NewView(0, api.Config{}, 0, nil, nil))
 	return k
 }
@@ -68,10 +68,10 @@
 }
 
 // SetServed takes what an engine says that it serves.
-func (k *Keeper) SetServed(id fleet.UpstreamID, s Served) {
+func (k *Keeper) SetServingState(id fleet.UpstreamID, s ServingState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if old, ok := k.served[id]; ok && slices.Equal(old.Models, s.Models) && old.Long == s.Long {
+	if old, ok := k.served[id]; ok && slices.Equal(old.Models, s.Models) && old.LongLane == s.LongLane {
 		return
 	}
 	k.served[id] = s
@@ -125,7 +125,7 @@
 
 func instance(i wire.Instance) *fleet.Instance {
 	return &fleet.Instance{
-		ID: fleet.InstanceID(i.ID), PeerAddr: i.Peer,
+		ID: fleet.InstanceID(i.ID), PeerAddr: i.PeerAddr,
 		Domain: fleet.DomainID(i.Domain), Region: fleet.RegionID(i.Region),
 		Leaving: i.State == wire.StateLeaving,
 	}
@@ -136,9 +136,9 @@
 	u := &fleet.Upstream{
 		ID: id, Addr: i.Addr,
 		Domain: fleet.DomainID(i.Domain), Region: fleet.RegionID(i.Region),
-		Service: i.Service, Fencing: i.Fencing, KVCacheTokens: i.Memory,
+		Service: i.Service, Fencing: i.Fencing, KVCacheTokens: i.KVCacheTokens,
 		Models:    k.served[id].Models,
-		LongLane:  k.served[id].Long,
+		LongLane:  k.served[id].LongLane,
 		Leaving:   i.State == wire.StateLeaving || slices.Contains(k.leaving, id),
 		DomainOut: slices.Contains(k.config.DomainsOut, i.Domain),
 	}
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -124,7 +124,7 @@
 	}
 	f.Nodes = append(f.Nodes, n)
 	f.Cluster.Instances.Register(platform.Instance{
-		ID: name, Kind: platform.KindEntry, Addr: n.CallersAddr(), Peer: n.PeersAddr(),
+		ID: name, Kind: platform.KindEntry, Addr: n.CallersAddr(), PeerAddr: n.PeersAddr(),
 		Domain: domain, Region: f.cfg.Cluster.Region, State: platform.StateLive,
 	})
 	return n, nil
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -47,7 +47,7 @@
 		upstream.New,
 		newRouter,
 		func() execute.Config { return o.Execute },
-		execute.NewSeen,
+		execute.NewObservedModels,
 		newExecutor,
 		newObserver,
 		newRetrier,
@@ -83,7 +83,7 @@
 }
 
 func newObserver(s api.Settings, c *upstream.Client, k *keeper.Keeper, r *route.Router, f *follow.Follower,
-	l *warm.Limits, seen *execute.Seen, log hclog.Logger) *observe.Observer {
+	l *warm.Limits, seen *execute.ObservedModels, log hclog.Logger) *observe.Observer {
 	reports := sink{Router: r, keeper: k, follower: f, limits: l, seen: seen}
 	return observe.New(c, k.View, reports, time.Duration(s.Intervals.LoadReport), log)
 }
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -27,17 +27,17 @@
 }
 
 func newExecutor(s api.Settings, cfg execute.Config, store objects.Store, weights *platformclient.Client, c *upstream.Client,
-	k *keeper.Keeper, f *follow.Follower, seen *execute.Seen, rec *explain.Recorder, log hclog.Logger, id idSource) *executor {
+	k *keeper.Keeper, f *follow.Follower, seen *execute.ObservedModels, rec *explain.Recorder, log hclog.Logger, id idSource) *executor {
 	start := time.Now()
 	return &executor{done: make(chan struct{}), Executor: execute.New(execute.Deps{
 		Instance: fleet.InstanceID(s.Instance), Incarnation: uuid.NewString(),
-		Store: store, Engines: c, Weights: weights, View: k.View, Seen: seen,
-		Ready:  func() bool { return f.Usable() == nil },
-		Now:    func() decide.Instant { return decide.Instant(time.Since(start)) },
-		NewID:  id,
-		Log:    log,
-		Record: rec,
-		Config: cfg,
+		Store: store, Engines: c, WeightStore: weights, View: k.View, Observed: seen,
+		Ready:    func() bool { return f.Usable() == nil },
+		Now:      func() decide.Instant { return decide.Instant(time.Since(start)) },
+		NewID:    id,
+		Log:      log,
+		Recorder: rec,
+		Config:   cfg,
 	})}
 }
 
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -18,7 +18,7 @@
 // newStore gives the object API within this instance's cut of the fleet's rates.
 func newStore(p *platformclient.Client, k *keeper.Keeper) objects.Store {
 	count := func() int { return len(k.View().Instances) }
-	return platformclient.NewBudgeted(p, storebudget.DefaultLimits, count)
+	return platformclient.NewBudgetedStore(p, storebudget.DefaultLimits, count)
 }
 
 func newFollower(s api.Settings, p *platformclient.Client, store objects.Store, k *keeper.Keeper, l *warm.Limits,
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -32,7 +32,7 @@
 			Models: []string{model}, Service: service, TimeScale: 10, Seed: 1, WeightRate: 40, WeightBurst: 80,
 			Engine: engine.Config{Fencing: fencing},
 		},
-		Execute: execute.Config{Tick: 20 * time.Millisecond, Idle: 200 * time.Millisecond, Lease: lease.Config{
+		Execute: execute.Config{TickInterval: 20 * time.Millisecond, IdleInterval: 200 * time.Millisecond, Lease: lease.Config{
 			TTL: 2 * time.Second, Margin: 200 * time.Millisecond, OrderDelay: 3 * orderLag,
 		}},
 	})
--- a/internal/node/sink.go
+++ b/internal/node/sink.go
@@ -22,7 +22,7 @@
 	keeper   *keeper.Keeper
 	follower *follow.Follower
 	limits   *warm.Limits
-	seen     *execute.Seen
+	seen     *execute.ObservedModels
 }
 
 var _ observe.Sink = sink{}
@@ -42,10 +42,10 @@
 
 // OnState takes what an engine serves.
 func (s sink) OnState(u *fleet.Upstream, st wire.EngineState) {
-	served := keeper.Served{Long: st.Role == roleLong}
+	served := keeper.ServingState{LongLane: st.Role == roleLong}
 	for _, l := range st.Loaded {
 		served.Models = append(served.Models, l.Model)
 	}
-	s.keeper.SetServed(u.ID, served)
-	s.seen.Put(u.ID, st.Loaded)
+	s.keeper.SetServingState(u.ID, served)
+	s.seen.Set(u.ID, st.Loaded)
 }
--- a/internal/node/warm.go
+++ b/internal/node/warm.go
@@ -28,7 +28,7 @@
 // listTap tells the limits of every read of the instance list: how fresh it is decides about slots, also
 // when nothing in it changed.
 type listTap struct {
-	list   objects.Instances
+	list   objects.InstanceLister
 	limits *warm.Limits
 }
 
--- a/internal/objects/call/call.go
+++ b/internal/objects/call/call.go
@@ -19,15 +19,15 @@
 )
 
 // Caller sends calls over kept connections. It is safe for concurrent use.
-type Caller struct {
+type Client struct {
 	http  *fasthttp.Client
 	conns *conns
 }
 
 // New gives a Caller; it connects on first use.
-func New() *Caller {
+func New() *Client {
 	open := &conns{open: map[*trackedConn]struct{}{}}
-	return &Caller{
+	return &Client{
 		conns: open,
 		http: &fasthttp.Client{
 			Dial:                open.dial,
@@ -45,7 +45,7 @@
 }
 
 // Close ends every call under way, waiting watches among them; later calls fail.
-func (c *Caller) Close() {
+func (c *Client) Close() {
 	c.conns.closeAll()
 	c.http.CloseIdleConnections()
 }
@@ -60,7 +60,7 @@
 }
 
 // Answer is a whole response; the body is the caller's.
-type Answer struct {
+type Response struct {
 	Status     int
 	Body       []byte
 	RetryAfter string // header, as it came
@@ -68,16 +68,16 @@
 
 // Do sends one call. An error that wraps objects.ErrUnavailable says that nothing was sent; after any other
 // error, the end of ctx included, the call may have taken effect.
-func (c *Caller) Do(ctx context.Context, q Request) (Answer, error) {
+func (c *Client) Do(ctx context.Context, q Request) (Response, error) {
 	if err := ctx.Err(); err != nil {
-		return Answer{}, fmt.Errorf("%w: %w", objects.ErrUnavailable, err)
+		return Response{}, fmt.Errorf("%w: %w", objects.ErrUnavailable, err)
 	}
 	deadline := time.Now().Add(q.Timeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
 	type outcome struct {
-		answer Answer
+		answer Response
 		err    error
 	}
 	done := make(chan outcome, 1)
@@ -90,11 +90,11 @@
 	case o := <-done:
 		return o.answer, o.err
 	case <-ctx.Done():
-		return Answer{}, fmt.Errorf("%s %s: %w", q.Method, q.URL, ctx.Err())
+		return Response{}, fmt.Errorf("%s %s: %w", q.Method, q.URL, ctx.Err())
 	}
 }
 
-func (c *Caller) send(q Request, deadline time.Time) (Answer, error) {
+func (c *Client) send(q Request, deadline time.Time) (Response, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -106,11 +106,11 @@
 	req.SetBody(q.Body)
 	if err := c.http.DoDeadline(req, resp, deadline); err != nil {
 		if errors.Is(err, fasthttp.ErrDialTimeout) || isDial(err) {
-			return Answer{}, fmt.Errorf("%w: %w", objects.ErrUnavailable, err)
+			return Response{}, fmt.Errorf("%w: %w", objects.ErrUnavailable, err)
 		}
-		return Answer{}, fmt.Errorf("%s %s: %w", q.Method, q.URL, err)
+		return Response{}, fmt.Errorf("%s %s: %w", q.Method, q.URL, err)
 	}
-	return Answer{
+	return Response{
 		Status: resp.StatusCode(), Body: append([]byte(nil), resp.Body()...),
 		RetryAfter: string(resp.Header.Peek(fasthttp.HeaderRetryAfter)),
 	}, nil
--- a/internal/objects/client/budget.go
+++ b/internal/objects/client/budget.go
@@ -21,7 +21,7 @@
 // Budgeted is a store whose calls keep to this instance's cut of the fleet's rates. A call over the cut
 // waits a moment; while the store is lost, calls but for the probes fail at once with ErrUnavailable, and
 // nothing of them is sent.
-type Budgeted struct {
+type BudgetedStore struct {
 	store     objects.Store
 	instances func() int
 	start     time.Time
@@ -40,28 +40,28 @@
 	Failed  uint64 // sent, and found the store unavailable
 }
 
-var _ objects.Store = (*Budgeted)(nil)
+var _ objects.Store = (*BudgetedStore)(nil)
 
 // NewBudgeted gives a budgeted store; instances tells how many share the limits.
-func NewBudgeted(s objects.Store, limits storebudget.Limits, instances func() int) *Budgeted {
-	return &Budgeted{
+func NewBudgetedStore(s objects.Store, limits storebudget.Limits, instances func() int) *BudgetedStore {
+	return &BudgetedStore{
 		store: s, instances: instances, start: time.Now(),
 		budget: storebudget.New(0, limits, instances()),
 		rand:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
-func (b *Budgeted) now() decide.Instant { return decide.Instant(time.Since(b.start)) }
+func (b *BudgetedStore) now() decide.Instant { return decide.Instant(time.Since(b.start)) }
 
 // Counts gives the calls since the start.
-func (b *Budgeted) Counts() Counts {
+func (b *BudgetedStore) Counts() Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.counts
 }
 
 // take waits for the right to one call.
-func (b *Budgeted) take(ctx context.Context, c storebudget.Call) error {
+func (b *BudgetedStore) take(ctx context.Context, c storebudget.Call) error {
 	deadline := time.Now().Add(longestWait)
 	for {
 		reason, pause := b.ask(c)
@@ -78,7 +78,7 @@
 	}
 }
 
-func (b *Budgeted) ask(c storebudget.Call) (decide.Reason, time.Duration) {
+func (b *BudgetedStore) ask(c storebudget.Call) (decide.Reason, time.Duration) {
 	n := b.instances()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,7 +95,7 @@
 	return reason, wait
 }
 
-func (b *Budgeted) refused() {
+func (b *BudgetedStore) refused() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts.Refused++
@@ -103,7 +103,7 @@
 
 // done takes a call's outcome. An answer of any kind shows that the store is there; a caller that gave
 // up shows nothing, and frees the probe as a failure would.
-func (b *Budgeted) done(err error) {
+func (b *BudgetedStore) done(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var conflict *objects.ConflictError
@@ -119,7 +119,7 @@
 }
 
 // Get implements objects.Store.
-func (b *Budgeted) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
+func (b *BudgetedStore) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
 	if err := b.take(ctx, storebudget.Read); err != nil {
 		return wire.Object{}, err
 	}
@@ -129,7 +129,7 @@
 }
 
 // List implements objects.Store.
-func (b *Budgeted) List(ctx context.Context, kind string) (wire.List, error) {
+func (b *BudgetedStore) List(ctx context.Context, kind string) (wire.List, error) {
 	if err := b.take(ctx, storebudget.Read); err != nil {
 		return wire.List{}, err
 	}
@@ -139,7 +139,7 @@
 }
 
 // Watch implements objects.Store.
-func (b *Budgeted) Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error) {
+func (b *BudgetedStore) Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error) {
 	if err := b.take(ctx, storebudget.Read); err != nil {
 		return wire.List{}, err
 	}
@@ -149,7 +149,7 @@
 }
 
 // Put implements objects.Store.
-func (b *Budgeted) Put(ctx context.Context, w objects.Write) (uint64, error) {
+func (b *BudgetedStore) Put(ctx context.Context, w objects.Write) (uint64, error) {
 	if err := b.take(ctx, storebudget.Write); err != nil {
 		return 0, err
 	}
@@ -159,7 +159,7 @@
 }
 
 // Delete implements objects.Store.
-func (b *Budgeted) Delete(ctx context.Context, key objects.Key, ifVersion uint64) error {
+func (b *BudgetedStore) Delete(ctx context.Context, key objects.Key, ifVersion uint64) error {
 	if err := b.take(ctx, storebudget.Write); err != nil {
 		return err
 	}
--- a/internal/objects/client/budget_test.go
+++ b/internal/objects/client/budget_test.go
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	ctx, key := context.Background(), objects.Key{Kind: "k", Name: "n"}
 	s := &lost{Store: memory.New()}
-	b := client.NewBudgeted(s, storebudget.DefaultLimits, func() int { return 1 })
+	b := client.NewBudgetedStore(s, storebudget.DefaultLimits, func() int { return 1 })
 	_, err := b.Get(ctx, key)
 	is.True(errors.Is(err, objects.ErrNotFound))
 	s.set(true)
@@ -75,7 +75,7 @@
 func TestAnswersAreNoOutage(t *testing.T) {
 	is := is.New(t)
 	ctx, key := context.Background(), objects.Key{Kind: "k", Name: "n"}
-	b := client.NewBudgeted(memory.New(), storebudget.DefaultLimits, func() int { return 1 })
+	b := client.NewBudgetedStore(memory.New(), storebudget.DefaultLimits, func() int { return 1 })
 	_, err := b.Put(ctx, objects.Write{Key: key, WriteID: "w", Value: []byte(`1`)})
 	is.NoErr(err)
 	for range 20 {
--- a/internal/objects/client/client.go
+++ b/internal/objects/client/client.go
@@ -28,7 +28,7 @@
 	objects   string
 	instances string
 	weights   string
-	calls     *call.Caller
+	calls     *call.Client
 	list      atomic.Pointer[wire.InstanceList] // as last read; not to be changed
 }
 
@@ -48,8 +48,8 @@
 }
 
 var (
-	_ objects.Store     = (*Client)(nil)
-	_ objects.Instances = (*Client)(nil)
+	_ objects.Store          = (*Client)(nil)
+	_ objects.InstanceLister = (*Client)(nil)
 )
 
 // Close ends every call under way, waiting watches among them; later calls fail.
@@ -67,7 +67,7 @@
 }
 
 // decode reads the 200 answer of a read of u into out.
-func decode(u string, a call.Answer, out any) error {
+func decode(u string, a call.Response, out any) error {
 	switch a.Status {
 	case fasthttp.StatusOK:
 		if err := json.Unmarshal(a.Body, out); err != nil {
@@ -148,10 +148,10 @@
 	return err
 }
 
-func writeAnswer(key objects.Key, a call.Answer) (uint64, error) {
+func writeAnswer(key objects.Key, a call.Response) (uint64, error) {
 	switch a.Status {
 	case fasthttp.StatusOK, fasthttp.StatusCreated:
-		var w wire.Written
+		var w wire.WriteResult
 		if err := json.Unmarshal(a.Body, &w); err != nil {
 			return 0, fmt.Errorf("decode answer to write of %s: %w", key, err)
 		}
@@ -175,7 +175,7 @@
 	q := call.Request{Method: fasthttp.MethodGet, URL: c.instances + wire.PathInstances, Timeout: callTimeout}
 	known := c.list.Load()
 	if known != nil {
-		q.Headers = [][2]string{{fasthttp.HeaderIfNoneMatch, wire.InstancesTag(known.Version)}}
+		q.Headers = [][2]string{{fasthttp.HeaderIfNoneMatch, wire.InstancesETag(known.Version)}}
 	}
 	a, err := c.calls.Do(ctx, q)
 	if err != nil {
--- a/internal/objects/client/client_test.go
+++ b/internal/objects/client/client_test.go
@@ -28,7 +28,7 @@
 
 	req, err := http.NewRequest(http.MethodGet, "http://"+s.Addr()+wire.PathInstances, nil)
 	is.NoErr(err)
-	req.Header.Set("If-None-Match", wire.InstancesTag(first.Version))
+	req.Header.Set("If-None-Match", wire.InstancesETag(first.Version))
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	is.NoErr(err)
 	_ = resp.Body.Close()
--- a/internal/objects/client/weights.go
+++ b/internal/objects/client/weights.go
@@ -17,7 +17,7 @@
 
 // Take asks the weight store for the transfer budget of one load. A wait above zero means that there is
 // none before it is over. After an error the budget may have been taken.
-func (c *Client) Take(ctx context.Context, model, version string, gigabytes int64) (wait time.Duration, err error) {
+func (c *Client) TakeBudget(ctx context.Context, model, version string, gigabytes int64) (wait time.Duration, err error) {
 	u := fmt.Sprintf("%s/weights/%s/%s?gb=%d", c.weights, url.PathEscape(model), url.PathEscape(version), gigabytes)
 	a, err := c.calls.Do(ctx, call.Request{Method: fasthttp.MethodPost, URL: u, Timeout: callTimeout})
 	if err != nil {
--- a/internal/objects/conformance/conformance.go
+++ b/internal/objects/conformance/conformance.go
@@ -242,14 +242,14 @@
 func settle(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	w := objects.Write{Key: key("a"), WriteID: "w1", Value: json.RawMessage(`1`)}
-	_, err := objects.Settle(ctx, s, w)
+	_, err := objects.ResolveWrite(ctx, s, w)
 	conflict(t, err, 0, "") // it did not take effect
 	v, err := s.Put(ctx, w)
 	is.NoErr(err)
-	got, err := objects.Settle(ctx, s, w)
+	got, err := objects.ResolveWrite(ctx, s, w)
 	is.NoErr(err)
 	is.Equal(got, v)
 	other := put(t, s, key("a"), v, "w2", `2`)
-	_, err = objects.Settle(ctx, s, w)
+	_, err = objects.ResolveWrite(ctx, s, w)
 	conflict(t, err, other, "w2")
 }
--- a/internal/objects/conformance/conformance_test.go
+++ b/internal/objects/conformance/conformance_test.go
@@ -36,6 +36,6 @@
 // The budget of one instance of nine lets through what the suite does.
 func TestBudgetedClientAgainstTheStandIn(t *testing.T) {
 	conformance.Run(t, func(t *testing.T) objects.Store {
-		return patient{client.NewBudgeted(dial(t), storebudget.DefaultLimits, func() int { return 9 })}
+		return patient{client.NewBudgetedStore(dial(t), storebudget.DefaultLimits, func() int { return 9 })}
 	})
 }
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -65,14 +65,14 @@
 }
 
 // Instances is the instance list. It lags.
-type Instances interface {
+type InstanceLister interface {
 	Instances(ctx context.Context) (wire.InstanceList, error)
 }
 
 // Settle finds out whether a write whose answer was lost took effect, by reading the object back.
 // It gives the version if the write is the current one, a *ConflictError if another write stands there,
 // and any other error while that can't be known.
-func Settle(ctx context.Context, s Store, w Write) (uint64, error) {
+func ResolveWrite(ctx context.Context, s Store, w Write) (uint64, error) {
 	o, err := s.Get(ctx, w.Key)
 	if errors.Is(err, ErrNotFound) {
 		return 0, &ConflictError{Key: w.Key}
--- a/internal/objects/wire/wire.go
+++ b/internal/objects/wire/wire.go
@@ -40,7 +40,7 @@
 }
 
 // Written answers a write that took effect.
-type Written struct {
+type WriteResult struct {
 	Version uint64 `json:"version"`
 }
 
@@ -62,20 +62,20 @@
 
 // Instance is one row of the instance list.
 type Instance struct {
-	ID      string `json:"id"`
-	Kind    string `json:"kind"`
-	Addr    string `json:"addr"`           // IP and port: of callers for an entry, of the API for an upstream
-	Peer    string `json:"peer,omitempty"` // entry: IP and port of its peer listener
-	Domain  string `json:"failure_domain"`
-	Region  string `json:"region"`
-	State   string `json:"state"`
-	Service string `json:"service,omitempty"`        // plain service's name
-	Fencing bool   `json:"checks_fencing,omitempty"` // engine: refuses orders with an old fencing number
-	Memory  int64  `json:"memory_tokens,omitempty"`  // engine: KV cache in tokens
+	ID            string `json:"id"`
+	Kind          string `json:"kind"`
+	Addr          string `json:"addr"`           // IP and port: of callers for an entry, of the API for an upstream
+	PeerAddr      string `json:"peer,omitempty"` // entry: IP and port of its peer listener
+	Domain        string `json:"failure_domain"`
+	Region        string `json:"region"`
+	State         string `json:"state"`
+	Service       string `json:"service,omitempty"`        // plain service's name
+	Fencing       bool   `json:"checks_fencing,omitempty"` // engine: refuses orders with an old fencing number
+	KVCacheTokens int64  `json:"memory_tokens,omitempty"`  // engine: KV cache in tokens
 }
 
 // InstancesTag is the entity tag of a version of the instance list, for conditional reads.
-func InstancesTag(version uint64) string { return `"` + strconv.FormatUint(version, 10) + `"` }
+func InstancesETag(version uint64) string { return `"` + strconv.FormatUint(version, 10) + `"` }
 
 // InstanceList answers GET PathInstances. A request whose If-None-Match bears InstancesTag of the version
 // that would be sent is answered 304 without a body.
--- a/internal/operate/command/command.go
+++ b/internal/operate/command/command.go
@@ -96,15 +96,15 @@
 
 // mark names the stopped plan to the executors.
 func (s *Service) mark(ctx context.Context, id string) error {
-	var stop execute.Stop
-	version, err := s.read(ctx, execute.StopKey, &stop)
+	var stop execute.StoppedPlan
+	version, err := s.read(ctx, execute.StoppedPlanKey, &stop)
 	if err != nil && !errors.Is(err, objects.ErrNotFound) {
 		return readFault(err)
 	}
-	if stop.Plan == id {
+	if stop.PlanID == id {
 		return nil
 	}
-	_, err = s.write(ctx, execute.StopKey, version, execute.Stop{Plan: id})
+	_, err = s.write(ctx, execute.StoppedPlanKey, version, execute.StoppedPlan{PlanID: id})
 	return err
 }
 
--- a/internal/operate/query/status.go
+++ b/internal/operate/query/status.go
@@ -56,7 +56,7 @@
 	if len(plan.Steps) == 0 {
 		return
 	}
-	l, err := s.Store.List(ctx, execute.Kind)
+	l, err := s.Store.List(ctx, execute.ObjectKind)
 	if err == nil {
 		status.Progress, err = execute.Progress(plan, l)
 	}
--- a/internal/packed/difference.go
+++ b/internal/packed/difference.go
@@ -10,7 +10,7 @@
 const baseID = 1
 
 // Difference packs next against a base that the receiver holds: where the two are nearly the same, little is left.
-func Difference(base, next []byte) ([]byte, error) {
+func Diff(base, next []byte) ([]byte, error) {
 	w, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(baseID, base), zstd.WithEncoderConcurrency(1),
 		zstd.WithWindowSize(windowFor(len(base)+len(next))))
 	if err != nil {
--- a/internal/packed/difference_test.go
+++ b/internal/packed/difference_test.go
@@ -27,7 +27,7 @@
 func TestADifferenceIsSmall(t *testing.T) {
 	is := is.New(t)
 	base, next := config(1500, 700, 1000), config(1500, 700, 2500)
-	d, err := Difference(base, next)
+	d, err := Diff(base, next)
 	is.NoErr(err)
 	whole, err := Pack(next, Fast)
 	is.NoErr(err)
@@ -42,7 +42,7 @@
 func TestADifferenceOfAnotherBaseIsNotTheValue(t *testing.T) {
 	is := is.New(t)
 	base, next := config(100, 7, 1000), config(100, 7, 2500)
-	d, err := Difference(base, next)
+	d, err := Diff(base, next)
 	is.NoErr(err)
 	if back, err := Patch(config(90, 7, 999), d, len(next)); err == nil {
 		is.True(!bytes.Equal(back, next))
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -75,7 +75,7 @@
 		if !known || c.Full {
 			continue
 		}
-		difference, err := packed.Difference(base.Value, o.Value)
+		difference, err := packed.Diff(base.Value, o.Value)
 		if err != nil {
 			return nil, fmt.Errorf("%s %q: %w", c.Kind, o.Name, err)
 		}
--- a/internal/settle/settle_test.go
+++ b/internal/settle/settle_test.go
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	s := &lossyStore{Store: memory.New(), answersToLose: 1}
-	_, err := objects.Settle(ctx, s, write("w1"))
+	_, err := objects.ResolveWrite(ctx, s, write("w1"))
 	var conflict *objects.ConflictError
 	is.True(errors.As(err, &conflict)) // reading back before the arrival reports a conflict
 
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -163,7 +163,7 @@
 	}
 	s.faults.Hold(faults.Slow, serve.Gone(ctx))
 	list := s.answer()
-	tag := wire.InstancesTag(list.Version)
+	tag := wire.InstancesETag(list.Version)
 	ctx.Response.Header.Set(fasthttp.HeaderETag, tag)
 	if string(ctx.Request.Header.Peek(fasthttp.HeaderIfNoneMatch)) == tag {
 		ctx.SetStatusCode(fasthttp.StatusNotModified)
--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -160,7 +160,7 @@
 	s.answerWrite(ctx, written, conflict)
 }
 
-func (s *Server) answerWrite(ctx *fasthttp.RequestCtx, written wire.Written, conflict *wire.Conflict) {
+func (s *Server) answerWrite(ctx *fasthttp.RequestCtx, written wire.WriteResult, conflict *wire.Conflict) {
 	if s.faults.On(faults.LoseAnswer) {
 		serve.Drop(ctx)
 		return
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -53,37 +53,37 @@
 
 // Put writes an object. Without a condition it always takes effect; otherwise only at that version, of
 // which 0 means absent.
-func (s *Store) Put(kind, name string, ifVersion *uint64, writeID string, value []byte) (wire.Written, *wire.Conflict) {
+func (s *Store) Put(kind, name string, ifVersion *uint64, writeID string, value []byte) (wire.WriteResult, *wire.Conflict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key{kind, name}
 	if c := s.conflict(k, ifVersion); c != nil {
-		return wire.Written{}, c
+		return wire.WriteResult{}, c
 	}
 	s.version++
 	delete(s.tombstones, k)
 	s.objects[k] = wire.Object{Kind: kind, Name: name, Version: s.version, WriteID: writeID, Value: bytes.Clone(value)}
 	s.record(k)
-	return wire.Written{Version: s.version}, nil
+	return wire.WriteResult{Version: s.version}, nil
 }
 
 // Delete removes an object under the same conditions as Put and leaves a tombstone. An absent object
 // conflicts unless there is no condition.
-func (s *Store) Delete(kind, name string, ifVersion *uint64, writeID string) (wire.Written, *wire.Conflict) {
+func (s *Store) Delete(kind, name string, ifVersion *uint64, writeID string) (wire.WriteResult, *wire.Conflict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key{kind, name}
 	if c := s.conflict(k, ifVersion); c != nil {
-		return wire.Written{}, c
+		return wire.WriteResult{}, c
 	}
 	if _, found := s.objects[k]; !found {
-		return wire.Written{Version: s.version}, nil
+		return wire.WriteResult{Version: s.version}, nil
 	}
 	s.version++
 	delete(s.objects, k)
 	s.tombstones[k] = wire.Object{Version: s.version, WriteID: writeID}
 	s.record(k)
-	return wire.Written{Version: s.version}, nil
+	return wire.WriteResult{Version: s.version}, nil
 }
 
 func (s *Store) conflict(k key, ifVersion *uint64) *wire.Conflict {
--- a/test/e2e/harness_test.go
+++ b/test/e2e/harness_test.go
@@ -176,7 +176,7 @@
 	is.NoErr(cmd.Start())
 	e := &entry{
 		cmd: cmd, operators: operators, exited: make(chan struct{}),
-		row: wire.Instance{ID: id, Kind: wire.KindEntry, Addr: callers, Peer: peers, Domain: domain, Region: region},
+		row: wire.Instance{ID: id, Kind: wire.KindEntry, Addr: callers, PeerAddr: peers, Domain: domain, Region: region},
 	}
 	go func() {
 		_ = cmd.Wait()
