--- a/internal/execute/cost_test.go
+++ b/internal/execute/cost_test.go
@@ -21,21 +21,21 @@
 	upstream "github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// counted counts the calls that all instances of a fleet make.
-type counted struct {
+// countingStore counts the calls of all instances of a fleet: those to the store and those to engines.
+type countingStore struct {
 	*memory.Store
 	gets, lists, puts, bytes int
-	states, orders           int
+	stateCalls, orderCalls   int
 }
 
-func (c *counted) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
+func (c *countingStore) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
 	o, err := c.Store.Get(ctx, key)
 	c.gets++
 	c.bytes += len(o.Value)
 	return o, err
 }
 
-func (c *counted) List(ctx context.Context, kind string) (wire.List, error) {
+func (c *countingStore) List(ctx context.Context, kind string) (wire.List, error) {
 	l, err := c.Store.List(ctx, kind)
 	c.lists++
 	for _, o := range l.Objects {
@@ -44,62 +44,63 @@
 	return l, err
 }
 
-func (c *counted) Put(ctx context.Context, w objects.Write) (uint64, error) {
+func (c *countingStore) Put(ctx context.Context, w objects.Write) (uint64, error) {
 	c.puts++
 	c.bytes += len(w.Value)
 	return c.Store.Put(ctx, w)
 }
 
-// sizedFleet is instances and engines without faults under virtual time; an order takes loadTime.
+// sizedFleet simulates instances and engines without faults under virtual time. An order takes loadTime.
 type sizedFleet struct {
-	calls   counted
+	calls   countingStore
 	now     decide.Instant
 	view    *fleet.View
-	engines map[string]*quickEngine
+	engines map[string]*simpleEngine
 	members []*execute.Executor
-	seen    *execute.ObservedModels // one for all, as if every instance had just read every engine
+	seen    *execute.ObservedModels // shared, as if every instance had just read every engine
 }
 
-type quickEngine struct {
-	state upstream.EngineState
-	ends  decide.Instant
-	next  upstream.Order
+// simpleEngine is an engine that runs one order at a time.
+type simpleEngine struct {
+	state    upstream.EngineState
+	finishAt decide.Instant
+	running  upstream.Order
 }
 
 func (f *sizedFleet) State(_ context.Context, addr string) (upstream.EngineState, error) {
-	f.calls.states++
+	f.calls.stateCalls++
 	e := f.engines[addr]
-	if e.next.ID != "" && !f.now.Before(e.ends) {
-		e.state.Loaded = []upstream.LoadedModel{{Model: e.next.Model, Version: e.next.Version}}
+	if e.running.ID != "" && !f.now.Before(e.finishAt) {
+		e.state.Loaded = []upstream.LoadedModel{{Model: e.running.Model, Version: e.running.Version}}
 		e.state.Orders = nil
-		e.next = upstream.Order{}
+		e.running = upstream.Order{}
 	}
 	f.seen.Set(fleet.UpstreamID(addr), e.state.Loaded)
 	return e.state, nil
 }
 
 func (f *sizedFleet) Order(_ context.Context, addr string, o upstream.Order) (upstream.OrderStatus, error) {
-	f.calls.orders++
+	f.calls.orderCalls++
 	e := f.engines[addr]
-	e.next, e.ends = o, f.now.Add(loadTime)
+	e.running, e.finishAt = o, f.now.Add(loadTime)
 	e.state.HighestFence = o.Fence
 	e.state.Orders = []upstream.OrderStatus{{ID: o.ID, Fence: o.Fence, State: "running"}}
 	return upstream.OrderStatus{}, nil
 }
 
-func model(i int) string { return fmt.Sprintf("model-%02d", i%15) }
+func modelName(i int) string { return fmt.Sprintf("model-%02d", i%15) }
 
-// newSizedFleet makes a fleet in which every model stands on a fifteenth of the engines.
+// newSizedFleet returns a fleet in which every model is loaded on a fifteenth of the engines.
 func newSizedFleet(instances, engines int) *sizedFleet {
-	f := &sizedFleet{calls: counted{Store: memory.New()}, engines: map[string]*quickEngine{}, seen: execute.NewObservedModels()}
+	f := &sizedFleet{calls: countingStore{Store: memory.New()}, engines: map[string]*simpleEngine{}, seen: execute.NewObservedModels()}
 	var ups []*fleet.Upstream
 	var members []*fleet.Instance
 	for i := range engines {
 		id := fmt.Sprintf("engine-%05d", i)
-		f.engines[id] = &quickEngine{state: upstream.EngineState{BootID: "b", Loaded: []upstream.LoadedModel{{Model: model(i), Version: "1"}}}}
+		f.engines[id] = &simpleEngine{state: upstream.EngineState{BootID: "b", Loaded: []upstream.LoadedModel{{Model: modelName(i), Version: "1"}}}}
 		ups = append(ups, &fleet.Upstream{
 			ID: fleet.UpstreamID(id), Addr: id, Fencing: true, KVCacheTokens: 100,
-			Domain: fleet.DomainID(fmt.Sprint("d", i%16)), Models: []string{model(i)},
+			Domain: fleet.DomainID(fmt.Sprint("d", i%16)), Models: []string{modelName(i)},
 		})
 	}
 	for i := range instances {
@@ -112,15 +113,15 @@
 			Instance: m.ID, Incarnation: "1", Store: &f.calls, Engines: f, Observed: f.seen,
 			View: func() *fleet.View { return f.view }, Now: func() decide.Instant { return f.now },
 			NewID: func() string { ids++; return fmt.Sprint("w", ids) },
-			Log:   hclog.NewNullLogger(), Recorder: discard{},
+			Log:   hclog.NewNullLogger(), Recorder: discardRecorder{},
 			Config: execute.Config{Lease: leaseConfig, Concurrency: 1},
 		}))
 	}
 	return f
 }
 
-// input makes the planner's input: the first models get a new version, the others stay.
-func (f *sizedFleet) input(changed int) plan.Input {
+// planInput returns the planner's input for new versions of the first `changed` models.
+func (f *sizedFleet) planInput(changed int) plan.Input {
 	var in plan.Input
 	replicas := map[string]int{}
 	for _, u := range f.view.Upstreams {
@@ -132,7 +133,7 @@
 		})
 	}
 	for i := range min(15, len(f.engines)) {
-		m := api.Model{Name: model(i), Version: "1", Replicas: replicas[model(i)], MemoryTokens: 60}
+		m := api.Model{Name: modelName(i), Version: "1", Replicas: replicas[modelName(i)], MemoryTokens: 60}
 		in.Before.Models = append(in.Before.Models, m)
 		if i < changed {
 			m.Version = "2"
@@ -142,9 +143,9 @@
 	return in
 }
 
-// propose makes a plan with new versions of the first models, and keeps it.
+// propose makes a plan with new versions of the first `changed` models and writes it to the store.
 func (f *sizedFleet) propose(t testing.TB, changed int) api.Plan {
-	in := f.input(changed)
+	in := f.planInput(changed)
 	r := plan.Make(in)
 	p := api.Plan{ID: "p", After: api.Config{Intent: in.After, PlanID: "p"}, Steps: r.Steps, Target: r.Target, Floors: r.Floors}
 	data, err := json.Marshal(p)
@@ -157,12 +158,13 @@
 	return p
 }
 
-// carryOut works such a plan off; it gives the plan, its size in the store and the time it took.
-func (f *sizedFleet) carryOut(t testing.TB, changed int) (p api.Plan, size int, took time.Duration) {
+// runPlan proposes such a plan and executes it. It returns the plan, its size in the store in bytes and the time that it
+// took.
+func (f *sizedFleet) runPlan(t testing.TB, changed int) (p api.Plan, size int, took time.Duration) {
 	p = f.propose(t, changed)
 	for f.tick() {
-		if f.now > limit {
-			t.Fatal("the plan is not done after an hour")
+		if f.now > planTimeout {
+			t.Fatal("plan is not done after an hour")
 		}
 	}
 	o, err := f.calls.Store.Get(context.Background(), objects.Key{Kind: "plans", Name: "p"})
@@ -172,8 +174,9 @@
 	return p, len(o.Value), time.Duration(f.now)
 }
 
-// What a plan costs the store and the engines, at two sizes and for a small and a large plan. The figures
-// repeat exactly; docs/design/execution.md gives them. The bounds catch a change that makes them grow.
+// TestCostOfAPlan counts the calls to the store and the engines that a plan causes, at several sizes of the fleet, for a
+// small and a large plan. The figures are the same in each run; docs/design/execution.md lists them. The bounds detect a change that
+// increases them.
 func TestCostOfAPlan(t *testing.T) {
 	cases := []struct {
 		instances, engines, changed int
@@ -189,17 +192,17 @@
 	for _, c := range cases {
 		is := is.New(t)
 		f := newSizedFleet(c.instances, c.engines)
-		p, size, took := f.carryOut(t, c.changed)
+		p, size, took := f.runPlan(t, c.changed)
 		k := &f.calls
 		t.Logf("instances=%d engines=%d steps=%d stages=%d plan_bytes=%d virtual_time=%s store_writes=%d store_reads=%d store_bytes=%d states=%d orders=%d",
-			c.instances, c.engines, len(p.Steps), p.LastStage(), size, took, k.puts, k.gets+k.lists, k.bytes, k.states, k.orders)
-		is.Equal(k.orders, len(p.Steps)) // each step is one order
+			c.instances, c.engines, len(p.Steps), p.LastStage(), size, took, k.puts, k.gets+k.lists, k.bytes, k.stateCalls, k.orderCalls)
+		is.Equal(k.orderCalls, len(p.Steps)) // one order for each step
 		is.True(k.puts <= c.maxWrites)
 		is.True(k.gets+k.lists <= c.maxReads)
 		is.True(size <= c.maxBytes)
 
 		before := *k
-		for range 12 { // a minute without a plan
+		for range 12 { // a minute without a plan to execute
 			f.now = f.now.Add(execute.DefaultIdleInterval)
 			for _, x := range f.members {
 				x.Tick(context.Background())
@@ -207,16 +210,16 @@
 		}
 		is.Equal(k.puts-before.puts, 0)
 		is.Equal(k.gets+k.lists-before.gets-before.lists, 0)
-		t.Logf("idle minute: store calls 0, states %d", k.states-before.states)
+		t.Logf("idle minute: store calls 0, states %d", k.stateCalls-before.stateCalls)
 	}
 }
 
-// BenchmarkIdleTick is what one instance spends on a look while no plan is worked off.
+// BenchmarkIdleTick measures one tick of an instance while no plan is being executed.
 func BenchmarkIdleTick(b *testing.B) {
 	for _, size := range []struct{ instances, engines int }{{9, 18}, {64, 690}, {64, 6900}} {
 		b.Run(fmt.Sprintf("instances=%d/engines=%d", size.instances, size.engines), func(b *testing.B) {
 			f := newSizedFleet(size.instances, size.engines)
-			f.carryOut(b, 0)
+			f.runPlan(b, 0)
 			x := f.members[0]
 			for b.Loop() {
 				x.Tick(context.Background())
@@ -225,12 +228,12 @@
 	}
 }
 
-// BenchmarkMakePlan is what a proposal spends on planning.
+// BenchmarkMakePlan measures the planning of a proposal.
 func BenchmarkMakePlan(b *testing.B) {
 	for _, engines := range []int{18, 690, 6900} {
 		for _, changed := range []int{1, 15} {
 			b.Run(fmt.Sprintf("engines=%d/models_changed=%d", engines, changed), func(b *testing.B) {
-				in := newSizedFleet(1, engines).input(changed)
+				in := newSizedFleet(1, engines).planInput(changed)
 				for b.Loop() {
 					plan.Make(in)
 				}
--- a/internal/execute/execute.go
+++ b/internal/execute/execute.go
@@ -1,12 +1,13 @@
-// Package execute works confirmed plans off: the shell of decide/lease and decide/order.
+// Package execute executes confirmed plans. It does the input and output for the decisions of decide/lease and
+// decide/order.
 //
-// Engines are cut into shards. Who works on a shard is found by rendezvous over the live instances, which
-// is only a saving: orders are given under the shard's lease, with its fence. How far a shard is stands in
-// the lease's own object, so that a holder which lost the lease can't record progress. A stage begins when
-// every shard with steps has recorded the one before it.
+// Engines are divided into shards. Rendezvous hashing over the live instances assigns each shard to an instance. The
+// assignment only saves work; safety rests on the shard's lease, whose fence every order carries. A shard's progress is
+// stored in the object of its lease, so that an instance that lost the lease can't record progress. A stage begins
+// when every shard with steps has recorded the stage before it.
 //
-// A plan that is done stays the reference: engines are read on, more slowly, and one that differs from its
-// target (it rebooted, or a late order of an older plan reached it) is put right.
+// After a plan is done, its target stays the reference. The engines are still read, less often, and an engine that
+// differs from its target is repaired: it rebooted, or an order of an older plan reached it late.
 package execute
 
 import (
@@ -29,14 +30,16 @@
 	"github.com/damaskshelf/damaskshelf/internal/wait"
 )
 
-// Engines gives orders to engines and reads their state.
+// Engines reads the state of engines and sends them orders.
 type Engines interface {
 	State(ctx context.Context, addr string) (wire.EngineState, error)
 	Order(ctx context.Context, addr string, o wire.Order) (wire.OrderStatus, error)
 }
 
-// Weights asks the weight store for transfer budget. It gives the time to wait where there is none.
+// WeightStore grants the transfer budget of model loads.
 type WeightStore interface {
+	// TakeBudget takes the budget for one load. A positive wait means that there is none, and after which time to ask
+	// again.
 	TakeBudget(ctx context.Context, model, version string, gigabytes int64) (wait time.Duration, err error)
 }
 
@@ -45,15 +48,15 @@
 	Record(kind, subject string, reason decide.Reason, fields ...any)
 }
 
-// Config holds the executor's times. The zero value takes the defaults.
+// Config configures an executor. Zero fields get the defaults.
 type Config struct {
 	Lease        lease.Config
-	TickInterval time.Duration // between two looks while a plan is worked off
-	IdleInterval time.Duration // between two looks at engines while none is
-	Concurrency  int           // shards, and engines of a shard, worked on at the same time
+	TickInterval time.Duration // between two ticks while a plan is being executed
+	IdleInterval time.Duration // between two ticks while there is nothing to execute
+	Concurrency  int           // number of shards, and of engines of one shard, that are processed at the same time
 }
 
-// Defaults of Config.
+// Defaults of Config. The first three are those of Config.Lease.
 const (
 	DefaultLeaseTTL     = 15 * time.Second
 	DefaultLeaseMargin  = time.Second
@@ -64,32 +67,33 @@
 )
 
 func (c Config) withDefaults() Config {
-	orDefault(&c.Lease.TTL, DefaultLeaseTTL)
-	orDefault(&c.Lease.Margin, DefaultLeaseMargin)
-	orDefault(&c.Lease.OrderDelay, DefaultOrderDelay)
-	orDefault(&c.TickInterval, DefaultTickInterval)
-	orDefault(&c.IdleInterval, DefaultIdleInterval)
-	orDefault(&c.Concurrency, DefaultConcurrency)
+	setDefault(&c.Lease.TTL, DefaultLeaseTTL)
+	setDefault(&c.Lease.Margin, DefaultLeaseMargin)
+	setDefault(&c.Lease.OrderDelay, DefaultOrderDelay)
+	setDefault(&c.TickInterval, DefaultTickInterval)
+	setDefault(&c.IdleInterval, DefaultIdleInterval)
+	setDefault(&c.Concurrency, DefaultConcurrency)
 	return c
 }
 
-func orDefault[T comparable](field *T, value T) {
+// setDefault sets *field to value if it has its zero value.
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
 	}
 }
 
-// Deps is what an executor needs.
+// Deps holds the dependencies of an executor.
 type Deps struct {
 	Instance    fleet.InstanceID
-	Incarnation string // of this start of the instance
+	Incarnation string // unique to this start of the instance's process
 	Store       objects.Store
 	Engines     Engines
-	WeightStore WeightStore // nil: loads ask nobody
+	WeightStore WeightStore // nil: loads need no transfer budget
 	View        func() *fleet.View
-	Observed    *ObservedModels // what engines were last seen to have; nil: not known
-	Ready       func() bool     // false: what the instance knows may be old; nil: always ready
+	Observed    *ObservedModels // models that the engines reported last; nil: not known
+	Ready       func() bool     // false: the instance's view may be stale; nil: always ready
 	Now         func() decide.Instant
 	NewID       func() string
 	Log         hclog.Logger
@@ -97,91 +101,92 @@
 	Config      Config
 }
 
-// Executor works plans off. Tick must not be called concurrently with itself.
+// Executor executes plans. Tick must not be called concurrently with itself.
 type Executor struct {
 	Deps
-	self   string
-	shards map[int]*shard
+	holderID string // names this start of the instance as the holder of a lease
+	shards   map[int]*shard
 
-	listed uint64 // version of the instance list that mine was found from
-	mine   []int
+	ownedVersion uint64 // version of the instance list that ownedShards was computed from
+	ownedShards  []int
 
-	job      *job
-	finished bool // every shard has recorded the whole of job
-	stopped  bool // job
-	last     records
-	wait     atomic.Int64 // decide.Instant until which the weight store has no budget
+	job             *job
+	finished        bool // every shard with steps has recorded its stages of job and the verification
+	stopped         bool // an operator stopped job
+	records         records
+	transferRetryAt atomic.Int64 // decide.Instant before which the weight store has no budget
 }
 
-// New gives an executor at rest.
+// New returns an executor that holds no lease and has no plan.
 func New(d Deps) *Executor {
 	d.Config = d.Config.withDefaults()
 	d.Log = d.Log.Named("execute")
-	return &Executor{Deps: d, self: string(d.Instance) + "/" + d.Incarnation, shards: map[int]*shard{}}
+	return &Executor{Deps: d, holderID: string(d.Instance) + "/" + d.Incarnation, shards: map[int]*shard{}}
 }
 
-// Run works until ctx ends, then gives its leases back.
+// Run calls Tick at the configured intervals until ctx ends. It then releases the leases.
 func (x *Executor) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := x.Config.IdleInterval
+		interval := x.Config.IdleInterval
 		if x.Tick(ctx) {
-			pause = x.Config.TickInterval
+			interval = x.Config.TickInterval
 		}
-		// A plan that is confirmed during a long pause is noticed within a tick.
-		seen := x.View().Config.PlanID
-		for waited := time.Duration(0); waited < pause && ctx.Err() == nil && x.View().Config.PlanID == seen; waited += x.Config.TickInterval {
-			wait.For(ctx, min(x.Config.TickInterval, pause))
+		// The wait is split, so that a plan that is confirmed during it is noticed within TickInterval.
+		planID := x.View().Config.PlanID
+		for waited := time.Duration(0); waited < interval && ctx.Err() == nil && x.View().Config.PlanID == planID; waited += x.Config.TickInterval {
+			wait.For(ctx, min(x.Config.TickInterval, interval))
 		}
 	}
-	last, cancel := context.WithTimeout(context.Background(), releaseTimeout)
+	releaseCtx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	x.ReleaseLeases(last)
+	x.ReleaseLeases(releaseCtx)
 }
 
+// releaseTimeout limits the release of all leases when Run ends.
 const releaseTimeout = 2 * time.Second
 
-// Tick looks once at everything this instance owns and does what is due. It tells whether there is more
-// to do soon.
+// Tick processes once all shards that this instance owns. It reports whether there is more to do, so that the next
+// tick is due after TickInterval.
 func (x *Executor) Tick(ctx context.Context) bool {
 	if x.Ready != nil && !x.Ready() {
 		return false
 	}
 	view := x.View()
 	if x.Observed != nil {
-		x.Observed.keep(view)
+		x.Observed.retain(view)
 	}
-	mine := x.owned(view)
-	if len(mine) == 0 {
-		return false // an instance without shards doesn't even read the plan
+	owned := x.owned(view)
+	if len(owned) == 0 {
+		return false // an instance without shards needs no plan
 	}
-	if err := x.follow(ctx, view); err != nil {
-		x.Log.Warn("plan not read", "plan", view.Config.PlanID, "error", err)
+	if err := x.loadPlan(ctx, view); err != nil {
+		x.Log.Warn("failed to read the plan", "plan", view.Config.PlanID, "error", err)
 		return true
 	}
 	if x.job == nil || x.stopped {
 		return false
 	}
-	// Without steps of its own an instance needs no progress. It does not put the plan aside for good: it
-	// may take over the shards of one that died, and has to know the stage then.
-	working := !x.finished && x.job.touches(mine)
-	if working {
-		if err := x.read(ctx); err != nil {
-			x.Log.Warn("progress not read", "error", err)
+	// An instance whose shards have no steps needn't read the progress. It decides this anew in each tick: after it
+	// takes over the shards of a failed instance, it has to know the stage.
+	needsProgress := !x.finished && x.job.hasStepsIn(owned)
+	if needsProgress {
+		if err := x.readRecords(ctx); err != nil {
+			x.Log.Warn("failed to read the shards' progress", "error", err)
 			return true
 		}
 	}
 	if x.stopped {
 		return false
 	}
-	stage := x.job.verify() + 1
-	if working {
-		stage = x.job.stage(x.last)
+	stage := x.job.verifyStage() + 1
+	if needsProgress {
+		stage = x.job.currentStage(x.records)
 	}
-	return x.workAll(ctx, view, mine, stage) || (working && !x.finished)
+	return x.processShards(ctx, view, owned, stage) || (needsProgress && !x.finished)
 }
 
-// follow takes up the plan of the configuration in force.
-func (x *Executor) follow(ctx context.Context, view *fleet.View) error {
+// loadPlan reads the plan of the configuration in force, unless it is the current one.
+func (x *Executor) loadPlan(ctx context.Context, view *fleet.View) error {
 	id := view.Config.PlanID
 	if x.job != nil && x.job.plan.ID == id {
 		return nil
@@ -201,14 +206,14 @@
 	x.job = newJob(p)
 	x.stopped = p.State == api.PlanStopped
 	for _, s := range x.shards {
-		s.adopt()
+		s.resetForPlan()
 	}
 	x.Log.Info("plan taken up", "plan", id, "steps", len(p.Steps), "stages", x.job.stages, "stopped", x.stopped)
 	return nil
 }
 
-// read lists the shards' records.
-func (x *Executor) read(ctx context.Context) error {
+// readRecords reads the records of all shards. It sets stopped or finished if they say so.
+func (x *Executor) readRecords(ctx context.Context) error {
 	l, err := x.Store.List(ctx, ObjectKind)
 	if err != nil {
 		return err
@@ -217,28 +222,28 @@
 	if err != nil {
 		return err
 	}
-	x.last = r
+	x.records = r
 	id := x.job.plan.ID
-	if r.stopped == id {
+	if r.stoppedPlan == id {
 		x.stopped = true
 		x.Log.Info("plan stopped", "plan", id)
 	}
-	if x.job.stage(r) > x.job.verify() {
+	if x.job.currentStage(r) > x.job.verifyStage() {
 		x.finished = true
 		x.Log.Info("plan done", "plan", id)
 	}
 	return nil
 }
 
-// Release gives back the leases that are held, so that another instance need not wait them out.
+// ReleaseLeases releases the leases that are held, so that another instance needn't wait for their end.
 func (x *Executor) ReleaseLeases(ctx context.Context) {
-	each(x.Config.Concurrency, slices.Sorted(maps.Keys(x.shards)), func(n int) {
+	forEach(x.Config.Concurrency, slices.Sorted(maps.Keys(x.shards)), func(n int) {
 		s := x.shards[n]
 		if !s.lease.Valid(x.Now()) {
 			return
 		}
-		if err := x.release(ctx, s); err != nil {
-			x.Log.Warn("lease not given back", "shard", shardName(n), "error", err)
+		if err := x.releaseLease(ctx, s); err != nil {
+			x.Log.Warn("failed to release the lease", "shard", shardName(n), "error", err)
 		}
 	})
 }
--- a/internal/execute/execute_test.go
+++ b/internal/execute/execute_test.go
@@ -19,7 +19,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects"
 )
 
-// One verdict on every run: the seed is fixed.
+// TestMain fixes the seed, so that each run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "11", "rapid.checks": "300", "rapid.nofailfile": "true", "rapid.shrinktime": "3s"} {
@@ -36,146 +36,152 @@
 		replicas := rapid.IntRange(0, engines).Draw(t, "replicas")
 		in.Models = append(in.Models, api.Model{
 			Name: name, Version: fmt.Sprint(rapid.IntRange(1, 3).Draw(t, "version")), Replicas: replicas,
-			Floor: rapid.IntRange(0, replicas).Draw(t, "floor"), MemoryTokens: 10, WeightGB: gigabytes,
+			Floor: rapid.IntRange(0, replicas).Draw(t, "floor"), MemoryTokens: 10, WeightGB: weightGB,
 		})
 	}
 	return in
 }
 
-// run lets time pass with both executors at work, in any order and at any pace, each step checked.
-func (w *world) run(steps int, check func()) {
+// run executes steps of a drawn length. In each, a drawn executor ticks; then check and the invariants are checked.
+func (sim *simulation) run(steps int, check func()) {
 	for range steps {
-		w.advance(time.Duration(rapid.IntRange(50, 3000).Draw(w.t, "ms")) * time.Millisecond)
-		if w.one(w.chaos.reboot) {
-			rapid.SampledFrom(w.engines).Draw(w.t, "reboot").reboot()
+		sim.advance(time.Duration(rapid.IntRange(50, 3000).Draw(sim.t, "ms")) * time.Millisecond)
+		if sim.faultOccurs(sim.faults.reboot) {
+			rapid.SampledFrom(sim.engines).Draw(sim.t, "reboot").reboot()
 		}
-		party := rapid.SampledFrom(w.parties).Draw(w.t, "party")
-		party.tick()
-		if w.one(w.chaos.release) {
-			party.executor.ReleaseLeases(context.Background())
+		participant := rapid.SampledFrom(sim.participants).Draw(sim.t, "party")
+		participant.tick()
+		if sim.faultOccurs(sim.faults.release) {
+			participant.executor.ReleaseLeases(context.Background())
 		}
 		check()
-		w.sound()
+		sim.checkInvariants()
 	}
 }
 
-// sound checks what must hold at every moment.
-func (w *world) sound() {
-	if len(w.overlaps) > 0 {
-		w.t.Fatalf("two holders give orders: %v", w.overlaps)
+// checkInvariants checks the properties that hold at all times: no order is sent while the other executor holds the
+// lease, and engines accept no order of an older holder or plan after one of a newer. The second doesn't hold if messages
+// may take longer than the lease's OrderDelay.
+func (sim *simulation) checkInvariants() {
+	if len(sim.overlaps) > 0 {
+		sim.t.Fatalf("two holders send orders: %v", sim.overlaps)
 	}
-	if w.chaos.lateness > leaseConfig.OrderDelay {
+	if sim.faults.maxDelay > leaseConfig.OrderDelay {
 		return
 	}
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		if !slices.IsSorted(e.fences) {
-			w.t.Fatalf("engine %s (checks fencing: %v) took an older holder's order after a newer one's: %v", e.id, e.fencing, e.fences)
+			sim.t.Fatalf("engine %s (checks fencing: %v) accepted an order of an older holder after one of a newer holder: %v", e.id, e.fencing, e.fences)
 		}
 		if !slices.IsSorted(e.plans) {
-			w.t.Fatalf("engine %s (checks fencing: %v) took an older plan's order after a newer one's: %v", e.id, e.fencing, e.plans)
+			sim.t.Fatalf("engine %s (checks fencing: %v) accepted an order of an older plan after one of a newer plan: %v", e.id, e.fencing, e.plans)
 		}
 	}
 }
 
-// settle ends all faults, lets both executors work and checks the end: the last plan, all of it, and
-// nothing of an older one, though every late order has arrived by then.
-func (w *world) settle(p api.Plan) {
-	w.chaos = chaos{}
-	const limit, quiet = 400, 20 // in steps of a second
+// runToCompletion ends all faults and runs both executors until all delayed messages have arrived and the engines have
+// had exactly what the last plan says, and nothing of an older one, for a number of consecutive steps. It fails the test
+// if they don't get there or if the plan's recorded progress is incomplete.
+func (sim *simulation) runToCompletion(p api.Plan) {
+	sim.faults = faults{}
+	const limit, quiet = 400, 20 // in steps of one second
 	for step, same := 0, 0; same < quiet; step++ {
-		w.advance(time.Second)
-		for _, party := range w.parties {
-			party.tick()
+		sim.advance(time.Second)
+		for _, participant := range sim.participants {
+			participant.tick()
 		}
 		same++
-		if wrong := w.deviation(p); wrong != "" || len(w.flying) > 0 {
+		if wrong := sim.deviation(p); wrong != "" || len(sim.inFlight) > 0 {
 			same = 0
 			if step > limit {
-				w.t.Fatalf("after %d s: %s", step, wrong)
+				sim.t.Fatalf("after %d s: %s", step, wrong)
 			}
 		}
 	}
-	l, err := w.store.List(context.Background(), execute.ObjectKind)
+	l, err := sim.store.List(context.Background(), execute.ObjectKind)
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
 	progress, err := execute.Progress(p, l)
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
 	if progress.StepsDone != progress.Steps {
-		w.t.Fatalf("the plan is done and its progress says %+v", progress)
+		sim.t.Fatalf("the plan is done, but its progress is %+v", progress)
 	}
 }
 
-// deviation names an engine that is not as the plan says.
-func (w *world) deviation(p api.Plan) string {
-	for _, e := range w.engines {
+// deviation describes an engine that differs from the plan. It returns an empty string if there is none.
+func (sim *simulation) deviation(p api.Plan) string {
+	for _, e := range sim.engines {
 		target := p.Target[slices.IndexFunc(p.Target, func(t api.Placement) bool { return t.Upstream == e.id })]
 		wanted := map[string]string{}
 		for _, l := range target.Loaded {
 			wanted[l.Model] = l.Version
 		}
-		if !maps.Equal(wanted, e.loaded) || len(e.doing) > 0 {
-			return fmt.Sprintf("engine %s has %v and runs %v, the plan says %v", e.id, e.loaded, e.doing, wanted)
+		if !maps.Equal(wanted, e.loaded) || len(e.queue) > 0 {
+			return fmt.Sprintf("engine %s has %v and runs %v, want %v", e.id, e.loaded, e.queue, wanted)
 		}
 	}
 	return ""
 }
 
-func nothing() {}
+// noCheck is a check for run that checks nothing.
+func noCheck() {}
 
-// An operator confirms one plan and, while it is worked off, another. Two instances both believe that
-// they own every engine; answers of store and engines are lost, orders and writes arrive late, the store
-// fails, holders are paused past their leases between looking and acting, engines reboot. The engines
-// must end as the last plan says, and the weight store's rate must not be passed on the way.
+// An operator confirms a plan and, while it is executed, another one. Both instances have a view in which they own all
+// engines. Responses of the store and the engines are lost, orders and writes are delayed, the store fails, holders are
+// paused past their leases between a read and a decision, and engines reboot. At the end the engines must have what the
+// last plan says, and the loads must never exceed the weight store's rate.
 func TestLastPlanIsCarriedOutWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, chaos{
-			lost: rapid.IntRange(2, 8).Draw(t, "lost"), lateness: rapid.SampledFrom([]time.Duration{2 * time.Second, 20 * time.Second}).Draw(t, "lateness"),
-			down: rapid.SampledFrom([]int{0, 3}).Draw(t, "down"), stale: 4, pause: 12, reboot: rapid.SampledFrom([]int{0, 15}).Draw(t, "reboot"),
+		sim := newSimulation(t, faults{
+			lostResponse: rapid.IntRange(2, 8).Draw(t, "lost"), maxDelay: rapid.SampledFrom([]time.Duration{2 * time.Second, 20 * time.Second}).Draw(t, "lateness"),
+			storeFailure: rapid.SampledFrom([]int{0, 3}).Draw(t, "down"), staleRead: 4, pause: 12, reboot: rapid.SampledFrom([]int{0, 15}).Draw(t, "reboot"),
 			release: 10,
 		})
-		intent := api.Intent{Models: []api.Model{{Name: "m", Version: "1", MemoryTokens: 10, WeightGB: gigabytes}}}
+		intent := api.Intent{Models: []api.Model{{Name: "m", Version: "1", MemoryTokens: 10, WeightGB: weightGB}}}
 		var last api.Plan
 		for n := range rapid.IntRange(1, 3).Draw(t, "plans") {
-			next := drawIntent(t, len(w.engines))
-			last = w.confirm(fmt.Sprint("p", n), intent, next)
+			next := drawIntent(t, len(sim.engines))
+			last = sim.confirm(fmt.Sprint("p", n), intent, next)
 			intent = next
-			for _, p := range w.parties {
-				w.run(rapid.IntRange(0, 6).Draw(t, "lag"), nothing)
-				p.learn(last)
+			for _, p := range sim.participants {
+				sim.run(rapid.IntRange(0, 6).Draw(t, "lag"), noCheck)
+				p.applyConfig(last)
 			}
-			w.run(rapid.IntRange(5, 40).Draw(t, "steps"), nothing)
+			sim.run(rapid.IntRange(5, 40).Draw(t, "steps"), noCheck)
 		}
-		w.settle(last)
+		sim.runToCompletion(last)
 	})
 }
 
-// Callers of a model are refused in the middle of a plan: instances in different places each take an
-// engine out because both still see enough others. Stages and the look at the others keep the floor.
+// Requests for a model would be refused if two instances changed an engine each, because both still see enough others
+// that serve the model. The stages of the plan, and the count of the engines that serve the model before
+// each order, keep the model at its floor.
 func TestFloorsHoldWhileAPlanIsWorkedOff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, chaos{lost: 4, lateness: leaseConfig.OrderDelay, stale: 4, pause: 20, down: rapid.SampledFrom([]int{0, 4}).Draw(t, "down")})
-		before := api.Intent{Models: []api.Model{{Name: "m", Version: "1", MemoryTokens: 10, WeightGB: gigabytes}}}
-		p := w.confirm("p", before, drawIntent(t, len(w.engines)))
-		for _, party := range w.parties {
-			party.learn(p)
+		sim := newSimulation(t, faults{lostResponse: 4, maxDelay: leaseConfig.OrderDelay, staleRead: 4, pause: 20, storeFailure: rapid.SampledFrom([]int{0, 4}).Draw(t, "down")})
+		before := api.Intent{Models: []api.Model{{Name: "m", Version: "1", MemoryTokens: 10, WeightGB: weightGB}}}
+		p := sim.confirm("p", before, drawIntent(t, len(sim.engines)))
+		for _, participant := range sim.participants {
+			participant.applyConfig(p)
 		}
-		w.run(60, func() {
+		sim.run(60, func() {
 			for model, floor := range p.Floors {
-				if n := w.serving(model); n < floor && !p.Forced {
-					t.Fatalf("%d engines serve %s, its floor is %d", n, model, floor)
+				if n := sim.countServing(model); n < floor && !p.Forced {
+					t.Fatalf("%d engines serve %s, below its floor of %d", n, model, floor)
 				}
 			}
 		})
-		w.settle(p)
+		sim.runToCompletion(p)
 	})
 }
 
-func (w *world) serving(model string) int {
+// countServing returns the number of engines that have a model.
+func (sim *simulation) countServing(model string) int {
 	n := 0
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		if _, ok := e.loaded[model]; ok {
 			n++
 		}
@@ -183,123 +189,126 @@
 	return n
 }
 
-// simple makes a world without drawn faults in which one executor works.
-func simple(t *rapid.T, version string) (*world, api.Plan) {
-	w := newWorld(t, chaos{})
-	before := api.Intent{Models: []api.Model{{Name: "m", Version: "1", MemoryTokens: 10, WeightGB: gigabytes}}}
-	after := api.Intent{Models: []api.Model{{Name: "m", Version: version, Replicas: len(w.engines), Floor: 1, MemoryTokens: 10, WeightGB: gigabytes}}}
-	p := w.confirm("p", before, after)
-	for _, party := range w.parties {
-		party.learn(p)
+// newFaultlessSimulation returns a simulation without faults, with a plan in force in both participants that changes
+// model m to a version.
+func newFaultlessSimulation(t *rapid.T, version string) (*simulation, api.Plan) {
+	sim := newSimulation(t, faults{})
+	before := api.Intent{Models: []api.Model{{Name: "m", Version: "1", MemoryTokens: 10, WeightGB: weightGB}}}
+	after := api.Intent{Models: []api.Model{{Name: "m", Version: version, Replicas: len(sim.engines), Floor: 1, MemoryTokens: 10, WeightGB: weightGB}}}
+	p := sim.confirm("p", before, after)
+	for _, participant := range sim.participants {
+		participant.applyConfig(p)
 	}
-	return w, p
+	return sim, p
 }
 
-// An operator stops a plan half way and makes a new one from there. No order of the stopped plan follows.
+// An operator stops a plan that is partly executed, and confirms a new one. After the stop, no order of the stopped plan
+// is sent.
 func TestStoppedPlanGivesNoFurtherOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, p := simple(t, "2")
-		w.run(rapid.IntRange(1, 20).Draw(t, "steps"), nothing)
+		sim, p := newFaultlessSimulation(t, "2")
+		sim.run(rapid.IntRange(1, 20).Draw(t, "steps"), noCheck)
 		data, err := json.Marshal(execute.StoppedPlan{PlanID: p.ID})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := w.store.Put(context.Background(), objects.Write{Key: execute.StoppedPlanKey, WriteID: "stop", Value: data}); err != nil {
+		if _, err := sim.store.Put(context.Background(), objects.Write{Key: execute.StoppedPlanKey, WriteID: "stop", Value: data}); err != nil {
 			t.Fatal(err)
 		}
-		for _, party := range w.parties {
-			party.tick()
+		for _, participant := range sim.participants {
+			participant.tick()
 		}
-		orders := w.orders()
-		w.run(30, nothing)
-		if n := w.orders(); n != orders {
-			t.Fatalf("%d orders follow the stop", n-orders)
+		orders := sim.countOrders()
+		sim.run(30, noCheck)
+		if n := sim.countOrders(); n != orders {
+			t.Fatalf("%d orders were sent after the stop", n-orders)
 		}
-		last := w.confirm("q", p.After.Intent, api.Intent{Models: []api.Model{{Name: "m", Version: "3", Replicas: 2, MemoryTokens: 10, WeightGB: gigabytes}}})
-		for _, party := range w.parties {
-			party.learn(last)
+		last := sim.confirm("q", p.After.Intent, api.Intent{Models: []api.Model{{Name: "m", Version: "3", Replicas: 2, MemoryTokens: 10, WeightGB: weightGB}}})
+		for _, participant := range sim.participants {
+			participant.applyConfig(last)
 		}
-		w.settle(last)
+		sim.runToCompletion(last)
 	})
 }
 
-func (w *world) orders() int {
+// countOrders returns the number of orders that the engines have accepted since their last boot.
+func (sim *simulation) countOrders() int {
 	n := 0
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		n += len(e.orders)
 	}
 	return n
 }
 
-// An instance is stopped right after it sent an order that takes nearly the longest time to arrive. Its
-// lease is free at once, and the next holder's order overtakes the old one on the way to an engine that
-// ignores fencing numbers: the old one undoes it later. The new holder waits for what may still come.
+// An instance is stopped right after it sent an order that arrives almost OrderDelay later. Its lease is released at
+// once. If the next holder's order arrived first at an engine that ignores fencing numbers, the old order would undo it
+// later. So the new holder waits until no order of the old holder can arrive any more.
 func TestNewHolderWaitsForOldOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, p := simple(t, "2")
-		a, b := w.parties[0], w.parties[1]
-		w.detain = leaseConfig.OrderDelay - time.Millisecond
-		for len(w.flying) == 0 {
-			w.advance(100 * time.Millisecond)
+		sim, p := newFaultlessSimulation(t, "2")
+		a, b := sim.participants[0], sim.participants[1]
+		sim.orderDelay = leaseConfig.OrderDelay - time.Millisecond
+		for len(sim.inFlight) == 0 {
+			sim.advance(100 * time.Millisecond)
 			a.tick()
 		}
-		w.detain = 0
+		sim.orderDelay = 0
 		a.executor.ReleaseLeases(context.Background())
 		for range 100 {
-			w.advance(time.Duration(rapid.IntRange(10, 300).Draw(t, "ms")) * time.Millisecond)
+			sim.advance(time.Duration(rapid.IntRange(10, 300).Draw(t, "ms")) * time.Millisecond)
 			b.tick()
-			w.sound()
+			sim.checkInvariants()
 		}
-		w.settle(p)
+		sim.runToCompletion(p)
 	})
 }
 
-// The store goes down in the middle of a plan for a quarter of an hour: the holder's lease lapses and it
-// stops by itself. When the store is back the plan goes on to its end.
+// The store is unavailable for a quarter of an hour while a plan is executed. The holder's lease expires, and the holder
+// stops sending orders. When the store is available again, the plan is completed.
 func TestStoreOutageInTheMiddle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, p := simple(t, "2")
-		w.run(rapid.IntRange(3, 15).Draw(t, "steps"), nothing)
-		w.chaos.down = 1
-		w.run(8, nothing) // the lease lapses
-		w.advance(leaseConfig.TTL)
-		orders := w.orders()
+		sim, p := newFaultlessSimulation(t, "2")
+		sim.run(rapid.IntRange(3, 15).Draw(t, "steps"), noCheck)
+		sim.faults.storeFailure = 1
+		sim.run(8, noCheck) // the lease expires
+		sim.advance(leaseConfig.TTL)
+		orders := sim.countOrders()
 		for range 30 {
-			w.advance(30 * time.Second)
-			w.run(1, nothing)
+			sim.advance(30 * time.Second)
+			sim.run(1, noCheck)
 		}
-		if n := w.orders(); n != orders {
-			t.Fatalf("%d orders were given without a lease", n-orders)
+		if n := sim.countOrders(); n != orders {
+			t.Fatalf("%d orders were sent without a lease", n-orders)
 		}
-		w.settle(p)
+		sim.runToCompletion(p)
 	})
 }
 
-// A plan that is done costs the store nothing, and an engine that reboots is put right.
-func TestDonePlanIsKeptWithoutCalls(t *testing.T) {
+// A plan that is done causes no store calls. An engine that reboots is repaired.
+func TestDonePlanMakesNoStoreCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, p := simple(t, "2")
-		w.settle(p)
-		w.chaos.down = 1 // any call to the store would fail from here on
-		before, err := w.store.List(context.Background(), execute.ObjectKind)
+		sim, p := newFaultlessSimulation(t, "2")
+		sim.runToCompletion(p)
+		sim.faults.storeFailure = 1 // from here on, every call to the store fails
+		before, err := sim.store.List(context.Background(), execute.ObjectKind)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 20 {
-			w.advance(5 * time.Second)
-			for _, party := range w.parties {
-				if party.tick() {
-					t.Fatalf("%s has more to do although the plan is done", party.name)
+			sim.advance(5 * time.Second)
+			for _, participant := range sim.participants {
+				if participant.tick() {
+					t.Fatalf("%s has more to do although the plan is done", participant.name)
 				}
 			}
 		}
-		after, err := w.store.List(context.Background(), execute.ObjectKind)
+		after, err := sim.store.List(context.Background(), execute.ObjectKind)
 		if err != nil || after.Version != before.Version {
-			t.Fatalf("version %d became %d, %v", before.Version, after.Version, err)
+			t.Fatalf("store version is %d before and %d after, error %v", before.Version, after.Version, err)
 		}
-		w.chaos.down = 0
-		w.engines[0].reboot()
-		w.settle(p)
+		sim.faults.storeFailure = 0
+		sim.engines[0].reboot()
+		sim.runToCompletion(p)
 	})
 }
 
@@ -311,6 +320,6 @@
 	}
 	is.Equal(len(used), execute.ShardCount)
 	for _, n := range used {
-		is.True(n < 2*6900/execute.ShardCount) // no shard is twice the mean
+		is.True(n < 2*6900/execute.ShardCount) // no shard has twice the mean number of engines
 	}
 }
--- a/internal/execute/job.go
+++ b/internal/execute/job.go
@@ -10,48 +10,49 @@
 	upstream "github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// job is a confirmed plan, cut into shards.
+// job is a confirmed plan, divided into shards.
 type job struct {
-	plan   api.Plan
-	stages int
-	steps  map[string][]api.Step // by engine, in order
-	target map[string]*api.Placement
-	shards map[int]map[int]bool // by shard with steps: the stages that it has steps in
+	plan        api.Plan
+	stages      int
+	steps       map[string][]api.Step // by engine, in order
+	targets     map[string]*api.Placement
+	shardStages map[int]map[int]bool // by shard with steps: the stages in which it has steps
 }
 
+// newJob returns the job of a plan.
 func newJob(p api.Plan) *job {
 	j := &job{
 		plan: p, stages: p.LastStage(), steps: map[string][]api.Step{},
-		target: map[string]*api.Placement{}, shards: map[int]map[int]bool{},
+		targets: map[string]*api.Placement{}, shardStages: map[int]map[int]bool{},
 	}
 	for _, s := range p.Steps {
 		j.steps[s.Upstream] = append(j.steps[s.Upstream], s)
 		shard := ShardOf(s.Upstream)
-		if j.shards[shard] == nil {
-			j.shards[shard] = map[int]bool{}
+		if j.shardStages[shard] == nil {
+			j.shardStages[shard] = map[int]bool{}
 		}
-		j.shards[shard][s.Stage] = true
+		j.shardStages[shard][s.Stage] = true
 	}
 	for i := range p.Target {
-		j.target[p.Target[i].Upstream] = &p.Target[i]
+		j.targets[p.Target[i].Upstream] = &p.Target[i]
 	}
 	return j
 }
 
-// verify is the stage after the last: all steps are done, and every engine of a shard is compared with
-// the whole target.
-func (j *job) verify() int { return j.stages + 1 }
+// verifyStage returns the number of the stage after the last one. In it, all steps are done, and each engine is
+// compared with its whole target. The number after it stands for a plan that is done.
+func (j *job) verifyStage() int { return j.stages + 1 }
 
-// concerns tells whether an engine has to be read in a stage: it has steps in it, it is to be verified, or
-// by what it was last seen to have it is not as it should be.
-func (j *job) concerns(engine string, stage int, seen []upstream.LoadedModel) bool {
-	target := j.target[engine]
+// needsReading reports whether an engine has to be read in a stage: it has steps in the stage, it is to be verified, or
+// the models in seen, which it reported last, differ from those that it should have.
+func (j *job) needsReading(engine string, stage int, seen []upstream.LoadedModel) bool {
+	target := j.targets[engine]
 	switch {
 	case target == nil:
-		return false // it came after the plan was made, and is left as it is
-	case stage == j.verify():
+		return false // it was added after the plan was made; the plan doesn't change it
+	case stage == j.verifyStage():
 		return true
-	case stage > j.verify():
+	case stage > j.verifyStage():
 		return !order.MatchesPlacement(*target, seen)
 	}
 	if slices.ContainsFunc(j.steps[engine], func(s api.Step) bool { return s.Stage == stage }) {
@@ -60,16 +61,16 @@
 	return order.IsBehind(*target, j.steps[engine], stage, seen)
 }
 
-// stage gives the stage to work on: the first that not every shard with steps has recorded as done.
-// verify()+1: the plan is done.
-func (j *job) stage(r records) int {
-	lowest := j.verify() + 1
-	for shard, stages := range j.shards {
+// currentStage returns the stage to execute: the first one that not every shard with steps has recorded as done. It
+// returns verifyStage()+1 if the plan is done.
+func (j *job) currentStage(r records) int {
+	lowest := j.verifyStage() + 1
+	for shard, stages := range j.shardStages {
 		done := 0
 		if rec := r.shards[shard]; rec.PlanID == j.plan.ID {
 			done = rec.DoneStage
 		}
-		// A shard records only the stages in which it has steps, and the verification.
+		// A shard records only the stages in which it has steps, and the verification. The others count as done.
 		for done < j.stages && !stages[done+1] {
 			done++
 		}
@@ -78,17 +79,18 @@
 	return lowest
 }
 
-// records tells whether a shard has to record a stage.
-func (j *job) records(shard, stage int) bool {
-	stages, has := j.shards[shard]
-	return has && (stages[stage] || stage == j.verify())
+// mustRecord reports whether a shard has to record a stage as done.
+func (j *job) mustRecord(shard, stage int) bool {
+	stages, found := j.shardStages[shard]
+	return found && (stages[stage] || stage == j.verifyStage())
 }
 
-// loadedOf gives what an engine was last seen to have, by model its version.
-type loadedOf func(u *fleet.Upstream) map[string]string
+// loadedFunc returns the versions of the models that an engine reported last, by model.
+type loadedFunc func(u *fleet.Upstream) map[string]string
 
-// services tells for each model how it is served now, and which is the first engine that deviates in it.
-func (j *job) services(v *fleet.View, loaded loadedOf, stage int) (map[string]order.ModelService, map[string]string) {
+// services returns, by model, how the model is served now, and the lowest id of the engines that deviate in it. It
+// counts engines that accept new work.
+func (j *job) services(v *fleet.View, loaded loadedFunc, stage int) (map[string]order.ModelService, map[string]string) {
 	models, first := map[string]order.ModelService{}, map[string]string{}
 	for _, u := range v.Upstreams {
 		if u.Kind != fleet.Engine || !u.AcceptsWork() {
@@ -99,9 +101,9 @@
 			m := models[model]
 			m.Serving++
 			switch j.role(id, model, version, stage) {
-			case stays:
+			case roleStable:
 				m.Stable++
-			case deviates:
+			case roleDeviating:
 				if first[model] == "" || id < first[model] {
 					first[model] = id
 				}
@@ -112,44 +114,46 @@
 	return models, first
 }
 
-// role is an engine's part in the serving of a model during a stage.
+// role says how a stage affects the serving of a model by an engine.
 type role uint8
 
 const (
-	stays    role = iota // goes on serving it as it does now
-	changes              // has a step on it in this stage that is not done
-	deviates             // has another version, or has it at all, against what earlier stages or the target say
+	roleStable    role = iota // the engine continues to serve the model as it does now
+	rolePending               // the engine has a step for the model in this stage that is not done
+	roleDeviating             // the model or its version is not what earlier stages or the target say
 )
 
+// role returns the role of an engine that has a version of a model, in a stage.
 func (j *job) role(engine, model, version string, stage int) role {
 	if stage > j.stages {
-		t := j.target[engine]
+		t := j.targets[engine]
 		wanted := t != nil && slices.ContainsFunc(t.Loaded, func(l api.LoadedModel) bool { return l.Model == model && l.Version == version })
 		if wanted {
-			return stays
+			return roleStable
 		}
-		return deviates
+		return roleDeviating
 	}
-	last := slices.IndexFunc(j.steps[engine], func(s api.Step) bool {
+	i := slices.IndexFunc(j.steps[engine], func(s api.Step) bool {
 		return s.Stage <= stage && s.Model == model && s.Adapter == ""
 	})
-	if last < 0 {
-		return stays
+	if i < 0 {
+		return roleStable
 	}
-	s := j.steps[engine][last]
+	s := j.steps[engine][i]
 	done := s.Kind == api.StepLoad && s.Version == version
 	switch {
 	case done:
-		return stays
+		return roleStable
 	case s.Stage == stage:
-		return changes
+		return rolePending
 	default:
-		return deviates
+		return roleDeviating
 	}
 }
 
-// gigabytes is the size of a model version's weights by the plan's intent.
-func (j *job) gigabytes(model, version string) int64 {
+// weightGB returns the size in GB of a model version's weights according to the plan's intent, or 0 if it isn't in the
+// intent.
+func (j *job) weightGB(model, version string) int64 {
 	for _, m := range j.plan.After.Intent.Models {
 		if m.Name == model && m.Version == version {
 			return m.WeightGB
@@ -158,14 +162,14 @@
 	return 0
 }
 
-// touches tells whether the plan has steps in one of the shards.
-func (j *job) touches(shards []int) bool {
+// hasStepsIn reports whether the plan has steps in one of the shards.
+func (j *job) hasStepsIn(shards []int) bool {
 	return slices.ContainsFunc(shards, func(n int) bool {
-		return j.shards[n] != nil
+		return j.shardStages[n] != nil
 	})
 }
 
-// Progress sums up how far a plan is, by a list of the objects of Kind.
+// Progress returns the progress of a plan, from a list of all objects of ObjectKind.
 func Progress(p api.Plan, l wire.List) (*api.Progress, error) {
 	r, err := decodeRecords(l)
 	if err != nil {
@@ -174,9 +178,9 @@
 	return newJob(p).progress(r), nil
 }
 
-// progress sums up how far the plan is, by what the shards have recorded.
+// progress returns the progress of the plan according to the shards' records.
 func (j *job) progress(r records) *api.Progress {
-	stage := j.stage(r)
+	stage := j.currentStage(r)
 	p := &api.Progress{Steps: len(j.plan.Steps), Stage: min(stage, j.stages), Stages: j.stages}
 	for _, s := range j.plan.Steps {
 		rec := r.shards[ShardOf(s.Upstream)]
--- a/internal/execute/seen.go
+++ b/internal/execute/observed.go
@@ -7,25 +7,27 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// Seen keeps what each engine was last seen to have loaded. It is safe for concurrent use.
+// ObservedModels holds the models that each engine reported as loaded when it was last read. It is safe for concurrent
+// use.
 type ObservedModels struct {
 	mu      sync.RWMutex
-	engines map[fleet.UpstreamID][]wire.LoadedModel // guarded by mu; the slices are never changed
+	engines map[fleet.UpstreamID][]wire.LoadedModel // guarded by mu; the slices are never modified
 }
 
-// NewSeen gives a Seen that knows no engine.
+// NewObservedModels returns an ObservedModels without engines.
 func NewObservedModels() *ObservedModels {
 	return &ObservedModels{engines: map[fleet.UpstreamID][]wire.LoadedModel{}}
 }
 
-// Put takes what an engine has loaded; the slice must not be changed afterwards.
+// Set records the models that an engine reports as loaded. The slice must not be modified afterwards.
 func (s *ObservedModels) Set(id fleet.UpstreamID, loaded []wire.LoadedModel) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.engines[id] = loaded
 }
 
-// Loaded gives what an engine was last seen to have; not to be changed.
+// Loaded returns the models that an engine reported last, and whether it has been read at all. The slice must not be
+// modified.
 func (s *ObservedModels) Loaded(id fleet.UpstreamID) ([]wire.LoadedModel, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -33,8 +35,8 @@
 	return loaded, ok
 }
 
-// keep forgets the engines that the view no longer shows.
-func (s *ObservedModels) keep(v *fleet.View) {
+// retain removes the engines that are not in the view.
+func (s *ObservedModels) retain(v *fleet.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.engines {
--- a/internal/execute/round.go
+++ b/internal/execute/round.go
@@ -12,44 +12,45 @@
 	"github.com/damaskshelf/damaskshelf/internal/rendezvous"
 )
 
-// workAll works on the shards side by side: a silent engine must not hold up the renewal of other shards'
-// leases.
-func (x *Executor) workAll(ctx context.Context, view *fleet.View, mine []int, stage int) bool {
-	r := x.round(view, stage)
+// processShards processes the shards concurrently: an unreachable engine must not delay the renewal of other shards'
+// leases. It reports whether there is more to do.
+func (x *Executor) processShards(ctx context.Context, view *fleet.View, owned []int, stage int) bool {
+	r := x.newRound(view, stage)
 	var busy atomic.Bool
-	each(x.Config.Concurrency, mine, func(n int) {
-		if x.work(ctx, r, x.shards[n]) {
+	forEach(x.Config.Concurrency, owned, func(n int) {
+		if x.processShard(ctx, r, x.shards[n]) {
 			busy.Store(true)
 		}
 	})
 	return busy.Load()
 }
 
-// round is one look at the fleet.
+// round holds the state of the fleet that one tick works with.
 type round struct {
-	view   *fleet.View
-	stage  int
-	models map[string]order.ModelService
-	first  map[string]string // by model: the first engine that has to be changed
+	view           *fleet.View
+	stage          int // of the plan, counted from 1; see job.verifyStage for those after the last
+	models         map[string]order.ModelService
+	firstDeviating map[string]string // by model: the lowest id of the engines that deviate in it
 
-	byShard map[int][]*fleet.Upstream // engines that take new work
+	enginesByShard map[int][]*fleet.Upstream // engines that accept new work
 }
 
-func (x *Executor) round(view *fleet.View, stage int) *round {
-	r := &round{view: view, stage: stage, byShard: map[int][]*fleet.Upstream{}}
+// newRound returns the round of a view, in which the plan is at a stage.
+func (x *Executor) newRound(view *fleet.View, stage int) *round {
+	r := &round{view: view, stage: stage, enginesByShard: map[int][]*fleet.Upstream{}}
 	for _, u := range view.Upstreams {
 		if u.Kind == fleet.Engine && u.AcceptsWork() {
 			n := ShardOf(string(u.ID))
-			r.byShard[n] = append(r.byShard[n], u)
+			r.enginesByShard[n] = append(r.enginesByShard[n], u)
 		}
 	}
-	r.models, r.first = x.job.services(view, x.loaded, stage)
+	r.models, r.firstDeviating = x.job.services(view, x.loadedVersions, stage)
 	return r
 }
 
-// loaded gives what an engine was last seen to have. Where no version is known, the view's models count
-// without one, and so as not yet changed.
-func (x *Executor) loaded(u *fleet.Upstream) map[string]string {
+// loadedVersions returns the versions of the models that an engine reported last, by model. For an engine that was not
+// read yet it returns the view's models with an empty version, so that they count as not yet changed.
+func (x *Executor) loadedVersions(u *fleet.Upstream) map[string]string {
 	l := make(map[string]string, len(u.Models))
 	if x.Observed != nil {
 		if loaded, seen := x.Observed.Loaded(u.ID); seen {
@@ -65,8 +66,9 @@
 	return l
 }
 
-// each calls f for every item, at most limit at the same time; with a limit of one in this goroutine.
-func each[T any](limit int, items []T, f func(T)) {
+// forEach calls f for each item, at most limit calls at the same time. With a limit of one it calls f in the calling
+// goroutine.
+func forEach[T any](limit int, items []T, f func(T)) {
 	if limit == 1 {
 		for _, item := range items {
 			f(item)
@@ -81,20 +83,21 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // f gives no error
+	_ = group.Wait() // the functions return no error
 }
 
-// owned lists the shards that this instance works on: those with engines whose owner it is.
-// The answer is kept until the instance list changes.
+// owned returns the shards with engines that rendezvous hashing assigns to this instance. The result is cached until
+// the instance list changes.
 func (x *Executor) owned(view *fleet.View) []int {
-	if x.listed == view.ListVersion && x.listed != 0 {
-		return x.mine
+	if x.ownedVersion == view.ListVersion && x.ownedVersion != 0 {
+		return x.ownedShards
 	}
-	x.listed, x.mine = view.ListVersion, x.findOwned(view)
-	return x.mine
+	x.ownedVersion, x.ownedShards = view.ListVersion, x.findOwnedShards(view)
+	return x.ownedShards
 }
 
-func (x *Executor) findOwned(view *fleet.View) []int {
+// findOwnedShards computes the shards that this instance owns. Instances that are leaving own none.
+func (x *Executor) findOwnedShards(view *fleet.View) []int {
 	var members []string
 	for _, i := range view.Instances {
 		if !i.Leaving {
@@ -107,18 +110,19 @@
 			used[ShardOf(string(u.ID))] = true
 		}
 	}
-	var mine []int
+	var owned []int
 	for n := range ShardCount {
 		if used[n] && rendezvous.Owner(shardName(n), members) == string(x.Instance) {
-			mine = append(mine, n)
+			owned = append(owned, n)
 			x.addShard(n)
 		}
 	}
-	return mine
+	return owned
 }
 
+// addShard adds the state of shard n, unless it is there.
 func (x *Executor) addShard(n int) {
 	if x.shards[n] == nil {
-		x.shards[n] = &shard{number: n, lease: lease.New(x.Config.Lease, x.self), engines: map[fleet.UpstreamID]*engine{}}
+		x.shards[n] = &shard{number: n, lease: lease.New(x.Config.Lease, x.holderID), engines: map[fleet.UpstreamID]*engine{}}
 	}
 }
--- a/internal/execute/shard.go
+++ b/internal/execute/shard.go
@@ -16,104 +16,107 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// shard is this instance's part in one shard.
+// shard is this instance's state of one shard.
 type shard struct {
-	number  int
-	lease   *lease.Lease
-	record  ShardRecord // as it was last written or read
-	wanted  bool        // there is work that needs the lease
-	engines map[fleet.UpstreamID]*engine
+	number     int
+	lease      *lease.Lease
+	record     ShardRecord // as this instance last wrote or read it
+	needsLease bool        // there is work to do under the lease
+	engines    map[fleet.UpstreamID]*engine
 }
 
-// engine is what the holder keeps of one engine of its shard.
+// engine is what this instance remembers about one engine of a shard.
 type engine struct {
-	issued  order.LastOrder
-	granted string        // weights for this load were granted: "model@version" of an order not yet sent
-	reason  decide.Reason // last one logged
+	lastOrder    order.LastOrder
+	grantedLoad  string        // load whose transfer was granted and whose order is not sent yet: "model@version"
+	loggedReason decide.Reason // reason of the last decision that was logged
 }
 
-// adopt forgets what belongs to an older plan. Attempts go on counting, so that operation ids differ. A
-// lease that is held gets a new fence with the next write: an order of the older plan that arrives late is
-// then refused by engines that check, like one of an older holder.
-func (s *shard) adopt() {
+// resetForPlan discards the state of an older plan. The count of attempts continues, so that operation ids differ. A
+// lease that is held gets a new fence with the next write. Engines that check fences then refuse a late order of the
+// older plan, as they refuse one of an older holder.
+func (s *shard) resetForPlan() {
 	s.lease.Abandon()
 	for _, e := range s.engines {
-		e.granted, e.reason = "", ""
+		e.grantedLoad, e.loggedReason = "", ""
 	}
 }
 
-// look is one engine with its state as it was just read.
-type look struct {
+// reading is one engine with its state as it was just read, or the error of the read.
+type reading struct {
 	upstream *fleet.Upstream
 	engine   *engine
 	state    wire.EngineState
 	err      error
 }
 
-// work does what is due on one shard and tells whether more is to be done soon.
-func (x *Executor) work(ctx context.Context, r *round, s *shard) bool {
-	if s.wanted {
-		x.hold(ctx, s, r.view.ConfigVersion)
+// processShard reads the engines of one shard, sends the orders that are due and records a stage that is done. It
+// reports whether there is more to do.
+func (x *Executor) processShard(ctx context.Context, r *round, s *shard) bool {
+	if s.needsLease {
+		x.advanceLease(ctx, s, r.view.ConfigVersion)
 	}
-	looks := x.look(ctx, r, s)
+	readings := x.readEngines(ctx, r, s)
 	done, ordered := true, false
-	for _, l := range looks {
-		if l.err != nil {
-			x.note(s, l, noAnswer, "error", l.err)
+	for _, rd := range readings {
+		if rd.err != nil {
+			x.logDecision(s, rd, engineUnreachable, "error", rd.err)
 			done = false
 			continue
 		}
-		d := order.Next(x.input(r, s, l))
+		d := order.Next(x.orderInput(r, s, rd))
 		done = done && d.Done
-		x.note(s, l, d.Reason, "model", d.Model, "stage", r.stage)
+		x.logDecision(s, rd, d.Reason, "model", d.Model, "stage", r.stage)
 		ordered = ordered || !d.Done
 		if d.Order != nil {
-			x.order(ctx, s, l, d)
+			x.sendOrder(ctx, s, rd, d)
 		}
 	}
-	return x.conclude(ctx, s, r.stage, done) || ordered
+	return x.recordStage(ctx, s, r.stage, done) || ordered
 }
 
-// noAnswer is the reason why an engine is left alone that can't be read.
-const noAnswer decide.Reason = "engine_silent"
+// engineUnreachable is the reason for sending no order to an engine whose state can't be read.
+const engineUnreachable decide.Reason = "engine_silent"
 
-// conclude records a stage as done, or asks for the lease where there is work.
-func (x *Executor) conclude(ctx context.Context, s *shard, stage int, done bool) bool {
+// recordStage records the stage if it is done and the lease is valid. It sets needsLease if there is work to
+// do under the lease. It reports whether there is more to do.
+func (x *Executor) recordStage(ctx context.Context, s *shard, stage int, done bool) bool {
 	rec := s.record
-	if known, ok := x.last.shards[s.number]; ok && x.last.versions[s.number] > s.lease.IfVersion() {
-		rec = known
+	if listed, ok := x.records.shards[s.number]; ok && x.records.versions[s.number] > s.lease.IfVersion() {
+		rec = listed
 	}
-	behind := x.job.records(s.number, stage) && (rec.PlanID != x.job.plan.ID || rec.DoneStage < stage)
-	s.wanted = !done || behind
+	behind := x.job.mustRecord(s.number, stage) && (rec.PlanID != x.job.plan.ID || rec.DoneStage < stage)
+	s.needsLease = !done || behind
 	if !done || !behind || !s.lease.Valid(x.Now()) {
-		return s.wanted
+		return s.needsLease
 	}
-	next := ShardRecord{Holder: x.self, PlanID: x.job.plan.ID, DoneStage: stage, ConfigVersion: s.record.ConfigVersion}
-	if x.write(ctx, s, next) {
+	next := ShardRecord{Holder: x.holderID, PlanID: x.job.plan.ID, DoneStage: stage, ConfigVersion: s.record.ConfigVersion}
+	if x.writeLease(ctx, s, next) {
 		x.Log.Info("stage done", "plan", next.PlanID, "shard", shardName(s.number), "stage", stage, "of", x.job.stages)
 	}
 	return true
 }
 
-// concerned tells whether an engine has to be read. What was observed of it besides spares the reading of
-// all that is as it should be.
-func (x *Executor) concerned(u *fleet.Upstream, s *shard, stage int) bool {
+// needsReading reports whether an engine has to be read in a stage. Outside its steps and the verification, an engine
+// whose observed models are as they should be needn't be read. An engine without observed models is read if the plan has
+// a target for it.
+func (x *Executor) needsReading(u *fleet.Upstream, s *shard, stage int) bool {
 	id := string(u.ID)
 	if x.Observed == nil {
-		return x.job.target[id] != nil
+		return x.job.targets[id] != nil
 	}
-	seen, known := x.Observed.Loaded(u.ID)
-	if !known {
-		return x.job.target[id] != nil
+	seen, observed := x.Observed.Loaded(u.ID)
+	if !observed {
+		return x.job.targets[id] != nil
 	}
-	return x.job.concerns(id, stage, seen)
+	return x.job.needsReading(id, stage, seen)
 }
 
-// look reads the engines of a shard that may need orders.
-func (x *Executor) look(ctx context.Context, r *round, s *shard) []*look {
-	var looks []*look
-	for _, u := range r.byShard[s.number] {
-		if !x.concerned(u, s, r.stage) {
+// readEngines reads the state of the shard's engines that may need orders.
+func (x *Executor) readEngines(ctx context.Context, r *round, s *shard) []*reading {
+	var readings []*reading
+	for _, u := range r.enginesByShard[s.number] {
+		if !x.needsReading(u, s, r.stage) {
 			continue
 		}
 		e := s.engines[u.ID]
@@ -121,95 +124,97 @@
 			e = &engine{}
 			s.engines[u.ID] = e
 		}
-		looks = append(looks, &look{upstream: u, engine: e})
+		readings = append(readings, &reading{upstream: u, engine: e})
 	}
-	each(x.Config.Concurrency, looks, func(l *look) {
-		l.state, l.err = x.Engines.State(ctx, l.upstream.Addr)
+	forEach(x.Config.Concurrency, readings, func(rd *reading) {
+		rd.state, rd.err = x.Engines.State(ctx, rd.upstream.Addr)
 	})
-	return looks
+	return readings
 }
 
-func (x *Executor) input(r *round, s *shard, l *look) order.Input {
-	now, id := x.Now(), string(l.upstream.ID)
+// orderInput returns the input of the decision about one engine.
+func (x *Executor) orderInput(r *round, s *shard, rd *reading) order.Input {
+	now, id := x.Now(), string(rd.upstream.ID)
 	models := maps.Clone(r.models)
-	for model, first := range r.first {
+	for model, firstID := range r.firstDeviating {
 		m := models[model]
-		m.FirstDeviating = first == id
+		m.FirstDeviating = firstID == id
 		models[model] = m
 	}
 	return order.Input{
-		PlanID: x.job.plan.ID, Fencing: l.upstream.Fencing, State: l.state, LastOrder: l.engine.issued, Now: now,
-		Steps: x.job.steps[id], Stage: r.stage, Verify: r.stage >= x.job.verify(), Target: *x.job.target[id],
+		PlanID: x.job.plan.ID, Fencing: rd.upstream.Fencing, State: rd.state, LastOrder: rd.engine.lastOrder, Now: now,
+		Steps: x.job.steps[id], Stage: r.stage, Verify: r.stage >= x.job.verifyStage(), Target: *x.job.targets[id],
 		Lease:  order.Lease{Valid: s.lease.Valid(now), Fence: s.lease.Fence(), Settled: s.lease.Settled(now)},
 		Floors: x.job.plan.Floors, Models: models, Forced: x.job.plan.Forced,
 	}
 }
 
-// order gives an order. The lease is asked for right before, by the monotonic clock: whatever took long
-// since the decision, a grant of weights or a pause of the process, may have outlasted it.
-func (x *Executor) order(ctx context.Context, s *shard, l *look, d order.Decision) {
-	if d.Reason != order.RepeatOrder && !x.granted(ctx, l, d.Order) {
+// sendOrder sends an order, after the transfer budget for it is granted. A repeated order needs no new budget. The lease
+// is checked on the monotonic clock right before sending: it may have expired since the decision, during the call to the
+// weight store or a pause of the process.
+func (x *Executor) sendOrder(ctx context.Context, s *shard, rd *reading, d order.Decision) {
+	if d.Reason != order.RepeatOrder && !x.acquireTransfer(ctx, rd, d.Order) {
 		return
 	}
 	if !s.lease.Valid(x.Now()) {
-		x.note(s, l, order.NoLease, "model", d.Model)
+		x.logDecision(s, rd, order.NoLease, "model", d.Model)
 		return
 	}
-	l.engine.issued = d.LastOrder
-	_, err := x.Engines.Order(ctx, l.upstream.Addr, *d.Order)
-	l.engine.granted = ""
+	rd.engine.lastOrder = d.LastOrder
+	_, err := x.Engines.Order(ctx, rd.upstream.Addr, *d.Order)
+	rd.engine.grantedLoad = ""
 	if err != nil {
-		x.Log.Warn("order without a good answer", "upstream", l.upstream.ID, "order", d.Order.ID, "error", err)
+		x.Log.Warn("order failed, it may have taken effect", "upstream", rd.upstream.ID, "order", d.Order.ID, "error", err)
 	}
 }
 
-// granted asks the weight store for the transfer that a load takes. A load is sent only after its grant,
-// so that the store's rate is never passed, whoever else loads.
-func (x *Executor) granted(ctx context.Context, l *look, o *wire.Order) bool {
+// acquireTransfer takes transfer budget from the weight store for a load, and reports whether the order may be sent. A
+// load is sent only after its budget is granted, so that all instances together never exceed the store's rate.
+func (x *Executor) acquireTransfer(ctx context.Context, rd *reading, o *wire.Order) bool {
 	if x.WeightStore == nil || o.Kind != api.StepLoad || o.Adapter != "" {
 		return true
 	}
-	what := o.Model + "@" + o.Version
-	size := x.job.gigabytes(o.Model, o.Version)
-	if size == 0 || l.engine.granted == what {
+	load := o.Model + "@" + o.Version
+	size := x.job.weightGB(o.Model, o.Version)
+	if size == 0 || rd.engine.grantedLoad == load {
 		return true
 	}
-	if x.Now().Before(decide.Instant(x.wait.Load())) {
+	if x.Now().Before(decide.Instant(x.transferRetryAt.Load())) {
 		return false
 	}
 	wait, err := x.WeightStore.TakeBudget(ctx, o.Model, o.Version, size)
 	if err != nil {
-		x.Log.Warn("weight store did not answer", "upstream", l.upstream.ID, "model", o.Model, "error", err)
+		x.Log.Warn("failed to get transfer budget from the weight store", "upstream", rd.upstream.ID, "model", o.Model, "error", err)
 		return false
 	}
 	if wait > 0 {
-		x.wait.Store(int64(x.Now().Add(wait)))
+		x.transferRetryAt.Store(int64(x.Now().Add(wait)))
 		return false
 	}
-	l.engine.granted = what
+	rd.engine.grantedLoad = load
 	return true
 }
 
-// note logs a decision about an engine when its reason changes.
-func (x *Executor) note(s *shard, l *look, reason decide.Reason, fields ...any) {
-	if l.engine.reason == reason {
+// logDecision logs a decision about an engine if its reason differs from the last one logged.
+func (x *Executor) logDecision(s *shard, rd *reading, reason decide.Reason, fields ...any) {
+	if rd.engine.loggedReason == reason {
 		return
 	}
-	l.engine.reason = reason
+	rd.engine.loggedReason = reason
 	all := append([]any{"plan", x.job.plan.ID, "shard", s.number, "fence", s.lease.Fence()}, fields...)
-	x.Recorder.Record("place", string(l.upstream.ID), reason, all...)
+	x.Recorder.Record("place", string(rd.upstream.ID), reason, all...)
 }
 
-// hold takes one step towards having the lease under a configuration version.
+// advanceLease does one step to acquire or renew the lease under a configuration version.
 //
-// An instance that lags behind could take the lease and work an older plan off, after another has begun
-// with the newer one. The record names the configuration under which the shard was last worked on, and
-// taking the lease is conditional on the version in which it was read.
-func (x *Executor) hold(ctx context.Context, s *shard, config uint64) {
+// An instance with an old configuration could acquire the lease and execute an older plan, after another instance has
+// begun the newer one. To prevent this, the record names the configuration under which the shard was last processed,
+// and the lease is acquired only if the record still has the version that was read.
+func (x *Executor) advanceLease(ctx context.Context, s *shard, config uint64) {
 	now := x.Now()
 	effect, reason := s.lease.Step(now)
 	if effect == lease.Read {
-		if !x.reread(ctx, s) {
+		if !x.readLease(ctx, s) {
 			return
 		}
 		effect, reason = s.lease.Step(x.Now())
@@ -221,30 +226,31 @@
 		x.Log.Warn("configuration is behind the shard's", "shard", shardName(s.number), "have", config, "shard_has", s.record.ConfigVersion)
 		return
 	}
-	held := s.lease.Valid(now)
+	wasHeld := s.lease.Valid(now)
 	rec := s.record
-	rec.Holder, rec.ConfigVersion = x.self, config
-	if x.write(ctx, s, rec) && !held {
+	rec.Holder, rec.ConfigVersion = x.holderID, config
+	if x.writeLease(ctx, s, rec) && !wasHeld {
 		x.Log.Info("lease taken", "shard", shardName(s.number), "fence", s.lease.Fence(), "reason", string(reason))
 	}
 }
 
+// key returns the key of the shard's object.
 func (s *shard) key() objects.Key { return objects.Key{Kind: ObjectKind, Name: shardName(s.number)} }
 
-// reread reads the shard's object.
-func (x *Executor) reread(ctx context.Context, s *shard) bool {
+// readLease reads the shard's object. It reports whether the lease's state is known now.
+func (x *Executor) readLease(ctx context.Context, s *shard) bool {
 	o, err := x.Store.Get(ctx, s.key())
 	if errors.Is(err, objects.ErrNotFound) {
 		s.lease.Observe("", 0, x.Now())
 		return true
 	}
 	if err != nil {
-		x.Log.Warn("lease not read", "shard", shardName(s.number), "error", err)
+		x.Log.Warn("failed to read the lease", "shard", shardName(s.number), "error", err)
 		return false
 	}
 	var rec ShardRecord
 	if err := json.Unmarshal(o.Value, &rec); err != nil {
-		x.Log.Error("lease is not readable", "shard", shardName(s.number), "error", err)
+		x.Log.Error("failed to decode the lease", "shard", shardName(s.number), "error", err)
 		return false
 	}
 	if o.Version >= s.lease.IfVersion() {
@@ -254,10 +260,10 @@
 	return true
 }
 
-// write writes the shard's object under the lease's condition, and tells whether it is known to have
-// taken effect.
-func (x *Executor) write(ctx context.Context, s *shard, rec ShardRecord) bool {
-	version, err := x.put(ctx, s, rec)
+// writeLease writes the shard's object if the store has the version that the lease was read or written at. It reports
+// whether the write is known to have taken effect.
+func (x *Executor) writeLease(ctx context.Context, s *shard, rec ShardRecord) bool {
+	version, err := x.putRecord(ctx, s, rec)
 	var conflict *objects.ConflictError
 	switch {
 	case err == nil:
@@ -269,11 +275,12 @@
 	case !errors.Is(err, objects.ErrUnavailable):
 		s.lease.WriteUnknown()
 	}
-	x.Log.Warn("lease not written", "shard", shardName(s.number), "error", err)
+	x.Log.Warn("failed to write the lease", "shard", shardName(s.number), "error", err)
 	return false
 }
 
-func (x *Executor) put(ctx context.Context, s *shard, rec ShardRecord) (uint64, error) {
+// putRecord writes rec to the store and returns the new version.
+func (x *Executor) putRecord(ctx context.Context, s *shard, rec ShardRecord) (uint64, error) {
 	data, err := json.Marshal(rec)
 	if err != nil {
 		return 0, fmt.Errorf("encode lease: %w", err)
@@ -282,13 +289,13 @@
 	return x.Store.Put(ctx, objects.Write{Key: s.key(), IfVersion: s.lease.IfVersion(), WriteID: x.NewID(), Value: data})
 }
 
-// release gives a lease back. It is not trusted any more from before the write is sent: where the answer
-// is lost, the write may have taken effect and another instance may hold the lease at once.
-func (x *Executor) release(ctx context.Context, s *shard) error {
+// releaseLease releases a lease. The lease counts as invalid already before the write is sent: if the response is lost,
+// the write may have taken effect, and another instance may acquire the lease at once.
+func (x *Executor) releaseLease(ctx context.Context, s *shard) error {
 	s.lease.Abandon()
 	rec := s.record
 	rec.Holder = ""
-	version, err := x.put(ctx, s, rec)
+	version, err := x.putRecord(ctx, s, rec)
 	if err != nil {
 		s.lease.WriteConflicted()
 		return err
@@ -298,7 +305,7 @@
 	return nil
 }
 
-// Holds tells whether this instance may give orders to a shard's engines at this moment.
+// HoldsLease reports whether this instance may send orders to a shard's engines now.
 func (x *Executor) HoldsLease(shard int) bool {
 	s := x.shards[shard]
 	return s != nil && s.lease.Valid(x.Now())
--- a/internal/execute/takeover_test.go
+++ b/internal/execute/takeover_test.go
@@ -12,19 +12,19 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// An instance dies in the middle of a plan. The one that takes its shards over had none with steps until
-// then and had put the plan aside; the plan stands still for ever, with some engines changed. It has to
-// take the plan up again, at the stage where it is.
-func TestTakeoverByAnInstanceThatHadNoSteps(t *testing.T) {
-	const instances = 5 // steps on two engines: at least three of them have none
+// An instance fails while a plan is executed, and an instance that had no shards with steps takes over its shards. If
+// that instance had discarded the plan, the plan would stop forever with some engines changed. It has to resume the
+// plan at the current stage.
+func TestTakeoverByInstanceWithoutSteps(t *testing.T) {
+	const instances = 5 // the plan has steps on two engines: at least three instances have none
 	for survivor := range instances {
 		is := is.New(t)
 		f := newSizedFleet(instances, 30)
 		p := f.propose(t, 1)
-		for range 4 { // the first stage's order is given, the second's is not
+		for range 4 { // the order of the first stage is sent, that of the second is not
 			f.tick()
 		}
-		is.Equal(f.calls.orders, 1)
+		is.Equal(f.calls.orderCalls, 1)
 		f.members = f.members[survivor : survivor+1]
 		f.view = fleet.NewView(1, f.view.Config, 2, f.view.Instances[survivor:survivor+1], f.view.Upstreams)
 		for range 120 {
@@ -34,12 +34,12 @@
 		is.NoErr(err)
 		progress, err := execute.Progress(p, l)
 		is.NoErr(err)
-		is.Equal(progress.StepsDone, len(p.Steps)) // the survivor takes the plan up at the stage where it is
-		is.Equal(f.calls.orders, len(p.Steps))
+		is.Equal(progress.StepsDone, len(p.Steps)) // the survivor resumes the plan at the current stage
+		is.Equal(f.calls.orderCalls, len(p.Steps))
 	}
 }
 
-// tick lets every instance look once.
+// tick calls Tick of every instance once and advances the clock. It reports whether an instance has more to do.
 func (f *sizedFleet) tick() (busy bool) {
 	for _, x := range f.members {
 		busy = x.Tick(context.Background()) || busy
@@ -48,4 +48,5 @@
 	return busy
 }
 
-const limit = decide.Instant(time.Hour)
+// planTimeout is the virtual time after which a test fails.
+const planTimeout = decide.Instant(time.Hour)
