--- a/internal/packed/packed.go
+++ b/internal/packed/packed.go
@@ -1,4 +1,4 @@
-// Package packed compresses what instances send each other.
+// Package packed compresses the messages between instances.
 package packed
 
 import (
@@ -8,13 +8,13 @@
 	"io"
 )
 
-// Levels of packing.
+// Compression levels for Pack.
 const (
-	Fast  = gzip.BestSpeed       // packed while others wait for it
-	Small = gzip.BestCompression // packed once and sent on many times
+	Fast  = gzip.BestSpeed       // for data that others wait for
+	Small = gzip.BestCompression // for data that is compressed once and sent many times
 )
 
-// Pack compresses raw at a level.
+// Pack compresses raw with gzip at a level.
 func Pack(raw []byte, level int) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, level)
@@ -30,18 +30,18 @@
 	return out.Bytes(), nil
 }
 
-// Unpack gives the bytes back, if they are at most so many.
-func Unpack(in []byte, most int) ([]byte, error) {
+// Unpack decompresses the output of Pack. It returns an error if the result is longer than maxBytes.
+func Unpack(in []byte, maxBytes int) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(in))
 	if err != nil {
 		return nil, fmt.Errorf("unpack: %w", err)
 	}
-	raw, err := io.ReadAll(io.LimitReader(r, int64(most)+1))
+	raw, err := io.ReadAll(io.LimitReader(r, int64(maxBytes)+1))
 	if err != nil {
 		return nil, fmt.Errorf("unpack: %w", err)
 	}
-	if len(raw) > most {
-		return nil, fmt.Errorf("unpack: over %d bytes", most)
+	if len(raw) > maxBytes {
+		return nil, fmt.Errorf("unpack: over %d bytes", maxBytes)
 	}
 	return raw, nil
 }
