--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,8 +1,8 @@
-// Package rendezvous chooses owners by highest-random-weight hashing. Instances with the same list of
-// members agree without talking, and a member that comes or goes moves only its own share.
+// Package rendezvous assigns keys to members by highest-random-weight hashing. Instances with the same list of members
+// get the same owners without communication. A member that is added or removed changes the owner of its own keys only.
 //
-// Ownership found here is an optimisation: two instances with different lists may both think they own a
-// key, and nothing may depend on that not happening.
+// Ownership is only an optimisation: two instances with different lists may both own a key by their lists. Safety must
+// not depend on a single owner.
 package rendezvous
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is the weight of member for key; the highest owns it.
+// Score returns the weight of member for key. The member with the highest weight owns the key.
 func Score(key, member string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -22,7 +22,8 @@
 	return d.Sum64()
 }
 
-// Owner gives the member that owns key, or "" without members. Equal scores go to the lower name.
+// Owner returns the member that owns key, or "" without members. Of members with equal scores it returns the one whose
+// name sorts first.
 func Owner(key string, members []string) string {
 	owner, best := "", uint64(0)
 	for _, m := range members {
@@ -34,7 +35,7 @@
 	return owner
 }
 
-// Top gives the n members with the highest weight for key, highest first; fewer where there are fewer.
+// Top returns the n members with the highest weights for key, highest first, or all members if there are fewer than n.
 func Top(key string, members []string, n int) []string {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b string) int {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -10,16 +10,16 @@
 	"github.com/damaskshelf/damaskshelf/internal/rendezvous"
 )
 
-// A member that leaves moves only the keys it owned, and the order of the list does not matter.
-func TestOnlyTheLostMembersKeysMove(t *testing.T) {
+// Removing a member changes the owner of that member's keys only. The order of the list doesn't matter.
+func TestRemovingMemberMovesOnlyItsKeys(t *testing.T) {
 	is := is.New(t)
 	members := []string{"a", "b", "c", "d", "e", "f"}
-	rest := []string{"f", "e", "d", "b", "a"}
+	remaining := []string{"f", "e", "d", "b", "a"}
 	owned := map[string]int{}
 	for i := range 600 {
 		key := fmt.Sprint("key-", i)
 		before := rendezvous.Owner(key, members)
-		after := rendezvous.Owner(key, rest)
+		after := rendezvous.Owner(key, remaining)
 		if before != "c" {
 			is.Equal(before, after)
 		}
@@ -27,11 +27,11 @@
 		owned[before]++
 	}
 	for _, m := range members {
-		is.True(owned[m] > 50) // every member owns a fair part of 600 keys
+		is.True(owned[m] > 50) // every member owns more than half of the mean share of 600 keys
 	}
 }
 
-func TestTopNeedsNoMoreThanThereIs(t *testing.T) {
+func TestTopWithTooFewMembers(t *testing.T) {
 	is := is.New(t)
 	is.Equal(rendezvous.Owner("k", nil), "")
 	top := rendezvous.Top("k", []string{"a", "b"}, 5)
