--- a/internal/objects/call/call.go
+++ b/internal/objects/call/call.go
@@ -1,4 +1,4 @@
-// Package call sends single HTTP calls to a store. Clients of different wire protocols share it.
+// Package call sends single HTTP calls to a store. The clients of different protocols share it.
 package call
 
 import (
@@ -14,19 +14,19 @@
 )
 
 const (
-	dialTimeout = time.Second
-	maxAnswer   = 64 << 20 // bytes; a list of many objects
+	dialTimeout      = time.Second
+	maxResponseBytes = 64 << 20 // large enough for a list of many objects
 )
 
-// Caller sends calls over kept connections. It is safe for concurrent use.
+// Client sends calls over persistent connections. It is safe for concurrent use.
 type Client struct {
 	http  *fasthttp.Client
-	conns *conns
+	conns *connTracker
 }
 
-// New gives a Caller; it connects on first use.
+// New returns a Client. It connects on first use.
 func New() *Client {
-	open := &conns{open: map[*trackedConn]struct{}{}}
+	open := &connTracker{open: map[*trackedConn]struct{}{}}
 	return &Client{
 		conns: open,
 		http: &fasthttp.Client{
@@ -34,17 +34,17 @@
 			MaxConnsPerHost:     64,
 			MaxIdleConnDuration: 10 * time.Second,
 			MaxConnDuration:     time.Minute,
-			MaxResponseBodySize: maxAnswer,
-			// The library would turn an escaped slash of a name back into one, and ask for another path.
+			MaxResponseBodySize: maxResponseBytes,
+			// With normalization, the library unescapes an escaped slash of a name and so requests another path.
 			DisablePathNormalizing: true,
-			// A write is never sent twice by the library: its outcome is settled by reading back.
+			// The library must not send a write again: the caller resolves its outcome by reading the object back.
 			MaxIdemponentCallAttempts: 1,
 			RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		},
 	}
 }
 
-// Close ends every call under way, waiting watches among them; later calls fail.
+// Close ends all calls in flight, watches included. Later calls fail.
 func (c *Client) Close() {
 	c.conns.closeAll()
 	c.http.CloseIdleConnections()
@@ -56,18 +56,18 @@
 	URL     string
 	Body    []byte
 	Headers [][2]string
-	Timeout time.Duration // of the whole call; ctx's deadline binds too
+	Timeout time.Duration // of the whole call; an earlier deadline of ctx applies too
 }
 
-// Answer is a whole response; the body is the caller's.
+// Response is a complete response. The caller owns the body.
 type Response struct {
 	Status     int
 	Body       []byte
-	RetryAfter string // header, as it came
+	RetryAfter string // value of the header, unparsed
 }
 
-// Do sends one call. An error that wraps objects.ErrUnavailable says that nothing was sent; after any other
-// error, the end of ctx included, the call may have taken effect.
+// Do sends one call. An error that wraps objects.ErrUnavailable says that nothing was sent. After any other error,
+// including the end of ctx, the call may have taken effect.
 func (c *Client) Do(ctx context.Context, q Request) (Response, error) {
 	if err := ctx.Err(); err != nil {
 		return Response{}, fmt.Errorf("%w: %w", objects.ErrUnavailable, err)
@@ -81,9 +81,9 @@
 		err    error
 	}
 	done := make(chan outcome, 1)
-	// The library can't be told to give a call up: its goroutine ends with the call's own deadline.
+	// The library can't cancel a call, so the goroutine may outlast Do. It ends at the call's deadline.
 	go func() {
-		a, err := c.send(q, deadline)
+		a, err := c.roundTrip(q, deadline)
 		done <- outcome{a, err}
 	}()
 	select {
@@ -94,7 +94,8 @@
 	}
 }
 
-func (c *Client) send(q Request, deadline time.Time) (Response, error) {
+// roundTrip sends a request and waits for its response until deadline.
+func (c *Client) roundTrip(q Request, deadline time.Time) (Response, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -105,7 +106,7 @@
 	}
 	req.SetBody(q.Body)
 	if err := c.http.DoDeadline(req, resp, deadline); err != nil {
-		if errors.Is(err, fasthttp.ErrDialTimeout) || isDial(err) {
+		if errors.Is(err, fasthttp.ErrDialTimeout) || isDialError(err) {
 			return Response{}, fmt.Errorf("%w: %w", objects.ErrUnavailable, err)
 		}
 		return Response{}, fmt.Errorf("%s %s: %w", q.Method, q.URL, err)
@@ -116,8 +117,8 @@
 	}, nil
 }
 
-// isDial tells whether err came from connecting, so that nothing of the call was sent.
-func isDial(err error) bool {
+// isDialError reports whether err is a failure to connect, so that nothing of the call was sent.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/objects/call/dial.go
+++ b/internal/objects/call/dial.go
@@ -7,17 +7,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// conns tracks the open connections. The library can't end a call that waits, such as a watch; closing
-// its connection does.
-type conns struct {
+// connTracker tracks the open connections. The library can't cancel a call that waits, such as a watch. Closing the
+// call's connection ends it.
+type connTracker struct {
 	mu     sync.Mutex
 	open   map[*trackedConn]struct{} // guarded by mu
 	closed bool                      // guarded by mu
 }
 
+// trackedConn removes itself from its tracker when it is closed.
 type trackedConn struct {
 	net.Conn
-	owner *conns
+	owner *connTracker
 }
 
 // Close implements net.Conn.
@@ -28,7 +29,8 @@
 	return c.Conn.Close()
 }
 
-func (c *conns) dial(addr string) (net.Conn, error) {
+// dial connects to addr and tracks the connection. It fails after closeAll.
+func (c *connTracker) dial(addr string) (net.Conn, error) {
 	raw, err := fasthttp.DialTimeout(addr, dialTimeout)
 	if err != nil {
 		return nil, err
@@ -44,8 +46,8 @@
 	return t, nil
 }
 
-// closeAll ends every call under way and bars new connections.
-func (c *conns) closeAll() {
+// closeAll closes all connections, which ends the calls in flight, and prevents new ones.
+func (c *connTracker) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
--- a/internal/objects/client/budget.go
+++ b/internal/objects/client/budget.go
@@ -15,16 +15,16 @@
 	"github.com/damaskshelf/damaskshelf/internal/wait"
 )
 
-// longestWait is how long a call waits for the instance's cut before it is refused.
-const longestWait = time.Second
+// maxBudgetWait is how long a call waits for this instance's share of the rates before it is refused.
+const maxBudgetWait = time.Second
 
-// Budgeted is a store whose calls keep to this instance's cut of the fleet's rates. A call over the cut
-// waits a moment; while the store is lost, calls but for the probes fail at once with ErrUnavailable, and
-// nothing of them is sent.
+// BudgetedStore is a store whose calls stay within this instance's share of the fleet's call rates. A call over the
+// share waits for up to maxBudgetWait. While the store is unavailable, all calls except probes fail at once with
+// ErrUnavailable, and nothing of them is sent.
 type BudgetedStore struct {
-	store     objects.Store
-	instances func() int
-	start     time.Time
+	store         objects.Store
+	instanceCount func() int // number of instances that share the limits
+	start         time.Time  // origin of now
 
 	mu     sync.Mutex
 	budget *storebudget.Budget // guarded by mu
@@ -32,39 +32,41 @@
 	counts Counts              // guarded by mu
 }
 
-// Counts are the calls since the start.
+// Counts holds the numbers of calls since the start.
 type Counts struct {
-	Reads   uint64 // watches among them
+	Reads   uint64 // including lists and watches
 	Writes  uint64
-	Refused uint64 // not sent
-	Failed  uint64 // sent, and found the store unavailable
+	Refused uint64 // calls that were not sent
+	Failed  uint64 // calls that were sent and counted as a failure of the store
 }
 
 var _ objects.Store = (*BudgetedStore)(nil)
 
-// NewBudgeted gives a budgeted store; instances tells how many share the limits.
+// NewBudgetedStore returns a budgeted store over s. instances returns the number of instances that share the limits.
 func NewBudgetedStore(s objects.Store, limits storebudget.Limits, instances func() int) *BudgetedStore {
 	return &BudgetedStore{
-		store: s, instances: instances, start: time.Now(),
+		store: s, instanceCount: instances, start: time.Now(),
 		budget: storebudget.New(0, limits, instances()),
 		rand:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
+// now returns the time since start.
 func (b *BudgetedStore) now() decide.Instant { return decide.Instant(time.Since(b.start)) }
 
-// Counts gives the calls since the start.
+// Counts returns the numbers of calls since the start.
 func (b *BudgetedStore) Counts() Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.counts
 }
 
-// take waits for the right to one call.
-func (b *BudgetedStore) take(ctx context.Context, c storebudget.Call) error {
-	deadline := time.Now().Add(longestWait)
+// awaitCall waits until the budget permits a call. It returns an error that wraps objects.ErrUnavailable if the wait
+// would exceed maxBudgetWait, ctx ends or the store is unavailable.
+func (b *BudgetedStore) awaitCall(ctx context.Context, c storebudget.Call) error {
+	deadline := time.Now().Add(maxBudgetWait)
 	for {
-		reason, pause := b.ask(c)
+		reason, pause := b.tryCall(c)
 		switch reason {
 		case storebudget.Granted, storebudget.Probe:
 			return nil
@@ -73,13 +75,15 @@
 				continue
 			}
 		}
-		b.refused()
+		b.countRefused()
 		return fmt.Errorf("%w: %s, again in %s", objects.ErrUnavailable, reason, pause.Round(time.Millisecond))
 	}
 }
 
-func (b *BudgetedStore) ask(c storebudget.Call) (decide.Reason, time.Duration) {
-	n := b.instances()
+// tryCall takes one call from the budget and counts it. If the budget refuses it, tryCall returns the reason and the time
+// after which to try again.
+func (b *BudgetedStore) tryCall(c storebudget.Call) (decide.Reason, time.Duration) {
+	n := b.instanceCount()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -95,15 +99,17 @@
 	return reason, wait
 }
 
-func (b *BudgetedStore) refused() {
+// countRefused counts a call that was not sent.
+func (b *BudgetedStore) countRefused() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts.Refused++
 }
 
-// done takes a call's outcome. An answer of any kind shows that the store is there; a caller that gave
-// up shows nothing, and frees the probe as a failure would.
-func (b *BudgetedStore) done(err error) {
+// recordOutcome records the outcome of a call. A response of any kind shows that the store is available. A call that its
+// caller canceled shows nothing about the store, but while the store counts as unavailable it is recorded as a failure,
+// so that the next probe can be sent.
+func (b *BudgetedStore) recordOutcome(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var conflict *objects.ConflictError
@@ -120,50 +126,50 @@
 
 // Get implements objects.Store.
 func (b *BudgetedStore) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
-	if err := b.take(ctx, storebudget.Read); err != nil {
+	if err := b.awaitCall(ctx, storebudget.Read); err != nil {
 		return wire.Object{}, err
 	}
 	o, err := b.store.Get(ctx, key)
-	b.done(err)
+	b.recordOutcome(err)
 	return o, err
 }
 
 // List implements objects.Store.
 func (b *BudgetedStore) List(ctx context.Context, kind string) (wire.List, error) {
-	if err := b.take(ctx, storebudget.Read); err != nil {
+	if err := b.awaitCall(ctx, storebudget.Read); err != nil {
 		return wire.List{}, err
 	}
 	l, err := b.store.List(ctx, kind)
-	b.done(err)
+	b.recordOutcome(err)
 	return l, err
 }
 
 // Watch implements objects.Store.
 func (b *BudgetedStore) Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error) {
-	if err := b.take(ctx, storebudget.Read); err != nil {
+	if err := b.awaitCall(ctx, storebudget.Read); err != nil {
 		return wire.List{}, err
 	}
 	l, err := b.store.Watch(ctx, kind, version, wait)
-	b.done(err)
+	b.recordOutcome(err)
 	return l, err
 }
 
 // Put implements objects.Store.
 func (b *BudgetedStore) Put(ctx context.Context, w objects.Write) (uint64, error) {
-	if err := b.take(ctx, storebudget.Write); err != nil {
+	if err := b.awaitCall(ctx, storebudget.Write); err != nil {
 		return 0, err
 	}
 	version, err := b.store.Put(ctx, w)
-	b.done(err)
+	b.recordOutcome(err)
 	return version, err
 }
 
 // Delete implements objects.Store.
 func (b *BudgetedStore) Delete(ctx context.Context, key objects.Key, ifVersion uint64) error {
-	if err := b.take(ctx, storebudget.Write); err != nil {
+	if err := b.awaitCall(ctx, storebudget.Write); err != nil {
 		return err
 	}
 	err := b.store.Delete(ctx, key, ifVersion)
-	b.done(err)
+	b.recordOutcome(err)
 	return err
 }
--- a/internal/objects/client/budget_test.go
+++ b/internal/objects/client/budget_test.go
@@ -16,15 +16,15 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// lost is a store that can be out of service and counts the calls that reach it.
-type lost struct {
+// failingStore is a store that can be made unavailable. It counts the calls that reach it.
+type failingStore struct {
 	objects.Store
 	mu    sync.Mutex
 	down  bool
 	calls int
 }
 
-func (l *lost) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
+func (l *failingStore) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
 	l.mu.Lock()
 	l.calls++
 	down := l.down
@@ -35,22 +35,22 @@
 	return l.Store.Get(ctx, key)
 }
 
-func (l *lost) set(down bool) {
+func (l *failingStore) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-// The store goes down while callers keep asking. Their calls must fail at once and say that nothing was
-// sent, instead of each waiting for a timeout, and only probes may go out.
+// The store becomes unavailable while callers continue to send calls. The calls must fail at once with an error that says
+// that nothing was sent, instead of waiting for a timeout each. Only probes may be sent.
 func TestCallsFailAtOnceWhileTheStoreIsLost(t *testing.T) {
 	is := is.New(t)
 	ctx, key := context.Background(), objects.Key{Kind: "k", Name: "n"}
-	s := &lost{Store: memory.New()}
+	s := &failingStore{Store: memory.New()}
 	b := client.NewBudgetedStore(s, storebudget.DefaultLimits, func() int { return 1 })
 	_, err := b.Get(ctx, key)
 	is.True(errors.Is(err, objects.ErrNotFound))
-	s.set(true)
+	s.setDown(true)
 	unavailable := 0
 	for range 500 {
 		if _, err := b.Get(ctx, key); errors.Is(err, objects.ErrUnavailable) {
@@ -59,8 +59,8 @@
 	}
 	is.True(unavailable > 400)
 	is.Equal(unavailable, int(b.Counts().Refused))
-	is.Equal(s.calls, 501-unavailable) // what was refused was not sent
-	s.set(false)
+	is.Equal(s.calls, 501-unavailable) // refused calls are not sent
+	s.setDown(false)
 	for {
 		_, err := b.Get(ctx, key)
 		if errors.Is(err, objects.ErrNotFound) {
@@ -71,8 +71,8 @@
 	is.True(b.Counts().Failed > 0)
 }
 
-// A conflict or an absent object is an answer: it must not look like an outage.
-func TestAnswersAreNoOutage(t *testing.T) {
+// A conflict or a missing object is a valid response. It must not count as an outage of the store.
+func TestErrorResponsesAreNotOutages(t *testing.T) {
 	is := is.New(t)
 	ctx, key := context.Background(), objects.Key{Kind: "k", Name: "n"}
 	b := client.NewBudgetedStore(memory.New(), storebudget.DefaultLimits, func() int { return 1 })
--- a/internal/objects/client/client.go
+++ b/internal/objects/client/client.go
@@ -1,4 +1,4 @@
-// Package client speaks the platform's wire protocols over fasthttp.
+// Package client implements the clients of the platform's wire protocols with fasthttp.
 package client
 
 import (
@@ -19,27 +19,27 @@
 )
 
 const (
-	callTimeout = 2 * time.Second // bound of one call; a watch adds its own wait
-	maxValue    = 1 << 20
+	callTimeout   = 2 * time.Second // of one call; a watch adds its own wait
+	maxValueBytes = 1 << 20         // of an object's value
 )
 
-// Client is the object API, instance list and weight store at fixed addresses.
+// Client is a client of the object API, the instance list and the weight store at fixed addresses.
 type Client struct {
 	objects   string
 	instances string
 	weights   string
 	calls     *call.Client
-	list      atomic.Pointer[wire.InstanceList] // as last read; not to be changed
+	lastList  atomic.Pointer[wire.InstanceList] // as last read; must not be modified
 }
 
-// Addresses are the platform's, each IP and port.
+// Addresses holds the platform's addresses, each an IP and port.
 type Addresses struct {
 	Objects   string
 	Instances string
 	Weights   string
 }
 
-// New gives a client; it connects on first use.
+// New returns a client. It connects on first use.
 func New(a Addresses) *Client {
 	return &Client{
 		calls:   call.New(),
@@ -52,22 +52,23 @@
 	_ objects.InstanceLister = (*Client)(nil)
 )
 
-// Close ends every call under way, waiting watches among them; later calls fail.
+// Close ends all calls in flight, watches included. Later calls fail.
 func (c *Client) Close() {
 	c.calls.Close()
 }
 
-// get decodes a 200 answer of a read into out.
+// get sends a GET request for u and decodes a response with status 200 into out.
 func (c *Client) get(ctx context.Context, u string, timeout time.Duration, out any) error {
 	a, err := c.calls.Do(ctx, call.Request{Method: fasthttp.MethodGet, URL: u, Timeout: timeout})
 	if err != nil {
 		return err
 	}
-	return decode(u, a, out)
+	return decodeRead(u, a, out)
 }
 
-// decode reads the 200 answer of a read of u into out.
-func decode(u string, a call.Response, out any) error {
+// decodeRead decodes the response to a GET request for u into out. It returns objects.ErrNotFound for status 404, and
+// another error for any other status than 200.
+func decodeRead(u string, a call.Response, out any) error {
 	switch a.Status {
 	case fasthttp.StatusOK:
 		if err := json.Unmarshal(a.Body, out); err != nil {
@@ -114,8 +115,8 @@
 
 // Put implements objects.Store.
 func (c *Client) Put(ctx context.Context, w objects.Write) (uint64, error) {
-	if len(w.Value) > maxValue {
-		return 0, fmt.Errorf("object %s: value of %d bytes is over the store's %d", w.Key, len(w.Value), maxValue)
+	if len(w.Value) > maxValueBytes {
+		return 0, fmt.Errorf("object %s: value of %d bytes exceeds the store's limit of %d", w.Key, len(w.Value), maxValueBytes)
 	}
 	a, err := c.calls.Do(ctx, call.Request{
 		Method: fasthttp.MethodPut, URL: c.objectURL(w.Key), Body: w.Value, Timeout: callTimeout,
@@ -128,7 +129,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return writeAnswer(w.Key, a)
+	return decodeWrite(w.Key, a)
 }
 
 // Delete implements objects.Store.
@@ -140,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = writeAnswer(key, a)
+	_, err = decodeWrite(key, a)
 	var conflict *objects.ConflictError
 	if errors.As(err, &conflict) && conflict.Current == 0 {
 		return objects.ErrNotFound
@@ -148,7 +149,9 @@
 	return err
 }
 
-func writeAnswer(key objects.Key, a call.Response) (uint64, error) {
+// decodeWrite returns the new version from the response to a write or delete of key, or the error that the response
+// stands for.
+func decodeWrite(key objects.Key, a call.Response) (uint64, error) {
 	switch a.Status {
 	case fasthttp.StatusOK, fasthttp.StatusCreated:
 		var w wire.WriteResult
@@ -169,11 +172,11 @@
 	}
 }
 
-// Instances implements objects.Instances. A list that has not changed since the last read is not sent
-// again: the platform answers 304 to the version that this client has.
+// Instances implements objects.InstanceLister. The platform doesn't send a list again that is unchanged since the last
+// read: it responds with 304 to the version that this client has.
 func (c *Client) Instances(ctx context.Context) (wire.InstanceList, error) {
 	q := call.Request{Method: fasthttp.MethodGet, URL: c.instances + wire.PathInstances, Timeout: callTimeout}
-	known := c.list.Load()
+	known := c.lastList.Load()
 	if known != nil {
 		q.Headers = [][2]string{{fasthttp.HeaderIfNoneMatch, wire.InstancesETag(known.Version)}}
 	}
@@ -185,9 +188,9 @@
 		return *known, nil
 	}
 	var l wire.InstanceList
-	if err := decode(q.URL, a, &l); err != nil {
+	if err := decodeRead(q.URL, a, &l); err != nil {
 		return wire.InstanceList{}, err
 	}
-	c.list.Store(&l)
+	c.lastList.Store(&l)
 	return l, nil
 }
--- a/internal/objects/client/client_test.go
+++ b/internal/objects/client/client_test.go
@@ -12,8 +12,8 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/instances"
 )
 
-// The instance list is read twice a second by every instance and seldom changes: an unchanged one is not
-// sent again, and a change is seen at the next read.
+// Every instance reads the instance list twice a second, and the list rarely changes. An unchanged list must not be sent
+// again, and the next read must return a change.
 func TestUnchangedInstanceListIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
 	s, err := instances.Start("127.0.0.1:0", 0)
@@ -42,5 +42,5 @@
 	is.NoErr(err)
 	is.True(changed.Version > first.Version)
 	is.Equal(changed.Instances[0].State, wire.StateLeaving)
-	is.Equal(first.Instances[0].State, wire.StateLive) // what was read before is left as it was
+	is.Equal(first.Instances[0].State, wire.StateLive) // the list of the earlier read is not modified
 }
--- a/internal/objects/client/weights.go
+++ b/internal/objects/client/weights.go
@@ -12,11 +12,11 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/call"
 )
 
-// defaultWeightWait is the wait after a refusal of the weight store that names none.
-const defaultWeightWait = time.Second
+// defaultBudgetDelay is the delay after a refusal of the weight store without a valid Retry-After header.
+const defaultBudgetDelay = time.Second
 
-// Take asks the weight store for the transfer budget of one load. A wait above zero means that there is
-// none before it is over. After an error the budget may have been taken.
+// TakeBudget takes the transfer budget of one load from the weight store. A positive wait means that there is none, and
+// after which time to ask again. After an error the budget may have been taken.
 func (c *Client) TakeBudget(ctx context.Context, model, version string, gigabytes int64) (wait time.Duration, err error) {
 	u := fmt.Sprintf("%s/weights/%s/%s?gb=%d", c.weights, url.PathEscape(model), url.PathEscape(version), gigabytes)
 	a, err := c.calls.Do(ctx, call.Request{Method: fasthttp.MethodPost, URL: u, Timeout: callTimeout})
@@ -29,7 +29,7 @@
 	case fasthttp.StatusTooManyRequests:
 		seconds, err := strconv.Atoi(a.RetryAfter)
 		if err != nil || seconds <= 0 {
-			return defaultWeightWait, nil
+			return defaultBudgetDelay, nil
 		}
 		return time.Duration(seconds) * time.Second, nil
 	default:
--- a/internal/objects/conformance/conformance.go
+++ b/internal/objects/conformance/conformance.go
@@ -1,5 +1,5 @@
-// Package conformance is the contract of objects.Store as a suite of tests. Whatever implements the port
-// runs it: the memory store, and the wire client against the stand-in.
+// Package conformance is a test suite of the contract of objects.Store. All implementations run it: the memory store, and
+// the client against the stand-in.
 package conformance
 
 import (
@@ -17,29 +17,29 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// watchWait is what the suite's watches wait when nothing is to come.
-const watchWait = 50 * time.Millisecond
+// emptyWatchWait is the wait of watches for which no change is expected.
+const emptyWatchWait = 50 * time.Millisecond
 
-// longWait is what the suite's watches wait for a change that is to come.
-const longWait = 20 * time.Second
+// changeWatchWait is the longest wait of watches for which a change is expected.
+const changeWatchWait = 20 * time.Second
 
-// Run runs the suite; each test gets an empty store from open.
+// Run runs the suite. Each test calls open to get an empty store.
 func Run(t *testing.T, open func(t *testing.T) objects.Store) {
 	tests := map[string]func(*testing.T, objects.Store){
-		"create if absent":               createIfAbsent,
-		"conditional update":             conditionalUpdate,
-		"delete":                         conditionalDelete,
-		"versions grow over the store":   versionsGrow,
-		"recreated object is not old":    recreated,
-		"one of many writers wins":       oneWriterWins,
-		"list":                           list,
-		"watch waits and ends":           watchEnds,
-		"watch shows changes once":       watchShows,
-		"watch shows deletions":          watchDeletions,
-		"watch wakes at a change":        watchWakes,
-		"kinds are apart":                kindsApart,
-		"names need no escaping by user": oddNames,
-		"settle after a lost answer":     settle,
+		"create if absent":                      createIfAbsent,
+		"conditional update":                    conditionalUpdate,
+		"delete":                                conditionalDelete,
+		"versions increase over the store":      versionsGrow,
+		"recreated object is newer":             recreatedVersionGrows,
+		"one of many writers succeeds":          oneWriterWins,
+		"list":                                  list,
+		"watch times out":                       watchTimesOut,
+		"watch reports changes once":            watchReportsLatest,
+		"watch reports deletions":               watchReportsDeletions,
+		"watch returns on a change":             watchReturnsOnChange,
+		"kinds are separate":                    kindsAreSeparate,
+		"names are escaped":                     namesAreEscaped,
+		"resolve a write after a lost response": resolveLostWrite,
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) { test(t, open(t)) })
@@ -57,12 +57,12 @@
 	return version
 }
 
-// conflict checks that err is a conflict at that version.
-func conflict(t *testing.T, err error, current uint64, writeID string) {
+// requireConflict checks that err is a conflict with a current version and write id.
+func requireConflict(t *testing.T, err error, current uint64, writeID string) {
 	t.Helper()
 	var c *objects.ConflictError
 	if !errors.As(err, &c) || c.Current != current || c.WriteID != writeID {
-		t.Fatalf("got %v, want a conflict at version %d by %q", err, current, writeID)
+		t.Fatalf("got error %v, want a conflict with version %d of write %q", err, current, writeID)
 	}
 }
 
@@ -78,7 +78,7 @@
 	is.Equal(o.WriteID, "w1")
 	is.Equal(string(o.Value), `{"n":1}`)
 	_, err = s.Put(ctx, objects.Write{Key: key("a"), WriteID: "w2", Value: []byte(`{}`)})
-	conflict(t, err, v, "w1")
+	requireConflict(t, err, v, "w1")
 }
 
 func conditionalUpdate(t *testing.T, s objects.Store) {
@@ -87,12 +87,12 @@
 	second := put(t, s, key("a"), first, "w2", `2`)
 	is.True(second > first)
 	_, err := s.Put(ctx, objects.Write{Key: key("a"), IfVersion: first, WriteID: "w3", Value: []byte(`3`)})
-	conflict(t, err, second, "w2")
+	requireConflict(t, err, second, "w2")
 	o, err := s.Get(ctx, key("a"))
 	is.NoErr(err)
-	is.Equal(string(o.Value), `2`) // the refused write had no effect
+	is.Equal(string(o.Value), `2`) // the refused write has no effect
 	_, err = s.Put(ctx, objects.Write{Key: key("none"), IfVersion: 7, WriteID: "w4", Value: []byte(`4`)})
-	is.True(err != nil) // an update of what is not there
+	is.True(err != nil) // an update of an object that doesn't exist
 	_, err = s.Get(ctx, key("none"))
 	is.True(errors.Is(err, objects.ErrNotFound))
 }
@@ -102,7 +102,7 @@
 	is.True(errors.Is(s.Delete(ctx, key("a"), 1), objects.ErrNotFound))
 	first := put(t, s, key("a"), 0, "w1", `1`)
 	second := put(t, s, key("a"), first, "w2", `2`)
-	conflict(t, s.Delete(ctx, key("a"), first), second, "w2")
+	requireConflict(t, s.Delete(ctx, key("a"), first), second, "w2")
 	is.NoErr(s.Delete(ctx, key("a"), second))
 	_, err := s.Get(ctx, key("a"))
 	is.True(errors.Is(err, objects.ErrNotFound))
@@ -116,9 +116,9 @@
 	is.True(a < b && b < c)
 }
 
-// An instance holds version 7 of an object that is deleted and created anew; if the new one began at 1,
-// its conditional write or its rule to take only higher versions would be fooled.
-func recreated(t *testing.T, s objects.Store) {
+// recreatedVersionGrows checks that an object that is created again gets a higher version. If the versions began at 1
+// again, an instance that has version 7 of the deleted object could write over the new one, or ignore it as older.
+func recreatedVersionGrows(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	first := put(t, s, key("a"), 0, "w1", `1`)
 	is.NoErr(s.Delete(ctx, key("a"), first))
@@ -147,7 +147,7 @@
 	is.Equal(o.WriteID, <-won)
 }
 
-func names(l wire.List) []string {
+func objectNames(l wire.List) []string {
 	var all []string
 	for _, o := range l.Objects {
 		all = append(all, o.Name)
@@ -164,58 +164,58 @@
 	last := put(t, s, key("a"), 0, "w2", `2`)
 	l, err = s.List(ctx, "suite")
 	is.NoErr(err)
-	is.Equal(names(l), []string{"a", "b"})
+	is.Equal(objectNames(l), []string{"a", "b"})
 	is.True(l.Version >= last)
 }
 
-func watchEnds(t *testing.T, s objects.Store) {
+func watchTimesOut(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	v := put(t, s, key("a"), 0, "w1", `1`)
-	l, err := s.Watch(ctx, "suite", v, watchWait)
+	l, err := s.Watch(ctx, "suite", v, emptyWatchWait)
 	is.NoErr(err)
 	is.Equal(len(l.Objects)+len(l.Deleted), 0)
-	is.True(l.Version >= v) // nothing came, and the next watch may go on from here
+	is.True(l.Version >= v) // there is no change, and the next watch may start at this version
 }
 
-func watchShows(t *testing.T, s objects.Store) {
+func watchReportsLatest(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	base := put(t, s, key("a"), 0, "w1", `1`)
 	b := put(t, s, key("b"), 0, "w2", `1`)
 	put(t, s, key("b"), b, "w3", `2`)
-	l, err := s.Watch(ctx, "suite", base, longWait)
+	l, err := s.Watch(ctx, "suite", base, changeWatchWait)
 	is.NoErr(err)
-	is.Equal(names(l), []string{"b"}) // the latest of b, once, and not a
+	is.Equal(objectNames(l), []string{"b"}) // only the latest version of b, and not a
 	is.Equal(string(l.Objects[0].Value), `2`)
-	l, err = s.Watch(ctx, "suite", l.Version, watchWait)
+	l, err = s.Watch(ctx, "suite", l.Version, emptyWatchWait)
 	is.NoErr(err)
 	is.Equal(len(l.Objects), 0)
 }
 
-func watchDeletions(t *testing.T, s objects.Store) {
+func watchReportsDeletions(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	v := put(t, s, key("a"), 0, "w1", `1`)
 	is.NoErr(s.Delete(ctx, key("a"), v))
-	l, err := s.Watch(ctx, "suite", v, longWait)
+	l, err := s.Watch(ctx, "suite", v, changeWatchWait)
 	is.NoErr(err)
 	is.Equal(l.Deleted, []string{"a"})
 }
 
-func watchWakes(t *testing.T, s objects.Store) {
+func watchReturnsOnChange(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	base := put(t, s, key("a"), 0, "w1", `1`)
 	got := make(chan wire.List, 1)
 	go func() {
-		l, err := s.Watch(ctx, "suite", base, longWait)
+		l, err := s.Watch(ctx, "suite", base, changeWatchWait)
 		if err != nil {
 			t.Errorf("watch: %v", err)
 		}
 		got <- l
 	}()
 	put(t, s, key("b"), 0, "w2", `2`)
-	is.Equal(names(<-got), []string{"b"})
+	is.Equal(objectNames(<-got), []string{"b"})
 }
 
-func kindsApart(t *testing.T, s objects.Store) {
+func kindsAreSeparate(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	base := put(t, s, key("a"), 0, "w1", `1`)
 	put(t, s, objects.Key{Kind: "other", Name: "a"}, 0, "w2", `2`)
@@ -223,12 +223,12 @@
 	is.NoErr(err)
 	is.Equal(len(l.Objects), 1)
 	is.Equal(string(l.Objects[0].Value), `1`)
-	l, err = s.Watch(ctx, "suite", base, watchWait)
+	l, err = s.Watch(ctx, "suite", base, emptyWatchWait)
 	is.NoErr(err)
-	is.Equal(len(l.Objects), 0) // another kind's change is none
+	is.Equal(len(l.Objects), 0) // a change of another kind is not reported
 }
 
-func oddNames(t *testing.T, s objects.Store) {
+func namesAreEscaped(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	for _, name := range []string{"a b", "a/b", "a?b=c", "a%2Fb", "ü"} {
 		v := put(t, s, key(name), 0, "w-"+name, `1`)
@@ -239,11 +239,11 @@
 	}
 }
 
-func settle(t *testing.T, s objects.Store) {
+func resolveLostWrite(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	w := objects.Write{Key: key("a"), WriteID: "w1", Value: json.RawMessage(`1`)}
 	_, err := objects.ResolveWrite(ctx, s, w)
-	conflict(t, err, 0, "") // it did not take effect
+	requireConflict(t, err, 0, "") // the write did not take effect
 	v, err := s.Put(ctx, w)
 	is.NoErr(err)
 	got, err := objects.ResolveWrite(ctx, s, w)
@@ -251,5 +251,5 @@
 	is.Equal(got, v)
 	other := put(t, s, key("a"), v, "w2", `2`)
 	_, err = objects.ResolveWrite(ctx, s, w)
-	conflict(t, err, other, "w2")
+	requireConflict(t, err, other, "w2")
 }
--- a/internal/objects/conformance/conformance_test.go
+++ b/internal/objects/conformance/conformance_test.go
@@ -15,8 +15,8 @@
 	conformance.Run(t, func(*testing.T) objects.Store { return memory.New() })
 }
 
-// dial gives a client of a new stand-in.
-func dial(t *testing.T) *client.Client {
+// startClient starts a stand-in and returns a client of it.
+func startClient(t *testing.T) *client.Client {
 	server, err := standin.Start("127.0.0.1:0", standin.NewStore(standin.DefaultHistory))
 	if err != nil {
 		t.Fatal(err)
@@ -29,13 +29,13 @@
 	return c
 }
 
-func TestClientAgainstTheStandIn(t *testing.T) {
-	conformance.Run(t, func(t *testing.T) objects.Store { return patient{dial(t)} })
+func TestClientAgainstStandIn(t *testing.T) {
+	conformance.Run(t, func(t *testing.T) objects.Store { return retryingStore{startClient(t)} })
 }
 
-// The budget of one instance of nine lets through what the suite does.
-func TestBudgetedClientAgainstTheStandIn(t *testing.T) {
+// The suite's calls stay within the budget of one instance of nine.
+func TestBudgetedStoreAgainstStandIn(t *testing.T) {
 	conformance.Run(t, func(t *testing.T) objects.Store {
-		return patient{client.NewBudgetedStore(dial(t), storebudget.DefaultLimits, func() int { return 9 })}
+		return retryingStore{client.NewBudgetedStore(startClient(t), storebudget.DefaultLimits, func() int { return 9 })}
 	})
 }
--- a/internal/objects/memory/memory.go
+++ b/internal/objects/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory is the object API in one process's memory, for tests and as the reference of the
-// conformance suite.
+// Package memory implements the object API in the memory of one process, for tests and as the reference implementation
+// of the conformance suite.
 package memory
 
 import (
@@ -13,25 +13,26 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// keptDeletions bounds the tombstones that a watch can still report.
-const keptDeletions = 4096
+// maxDeletions is the number of deletions that are kept for watches.
+const maxDeletions = 4096
 
-// Store is an in-memory object API. The zero value is not usable; see New.
+// Store is an in-memory object store. The zero value is not usable; see New.
 type Store struct {
-	mu      sync.Mutex
-	version uint64                      // guarded by mu
-	objects map[objects.Key]wire.Object // guarded by mu
-	deleted []deletion                  // guarded by mu, oldest first
-	floor   uint64                      // guarded by mu: watches from below it are too old
-	changed chan struct{}               // guarded by mu: closed at the next change
+	mu          sync.Mutex
+	version     uint64                      // guarded by mu
+	objects     map[objects.Key]wire.Object // guarded by mu
+	deletions   []deletion                  // guarded by mu, oldest first
+	oldestWatch uint64                      // guarded by mu; a watch of a lower version is too old
+	changed     chan struct{}               // guarded by mu; closed at the next change
 }
 
+// deletion records that an object was deleted, and the store's version after it.
 type deletion struct {
 	key     objects.Key
 	version uint64
 }
 
-// New gives an empty store.
+// New returns an empty store.
 func New() *Store {
 	return &Store{objects: map[objects.Key]wire.Object{}, changed: make(chan struct{})}
 }
@@ -56,7 +57,8 @@
 	return s.since(kind, 0), nil
 }
 
-// since gives the kind's objects above version, and the deletions above it unless version is 0.
+// since returns the kind's objects with a higher version than version, sorted by name, and unless version is 0, the
+// later deletions. The caller holds mu.
 func (s *Store) since(kind string, version uint64) wire.List {
 	l := wire.List{Version: s.version}
 	for key, o := range s.objects {
@@ -68,7 +70,7 @@
 	if version == 0 {
 		return l
 	}
-	for _, d := range s.deleted {
+	for _, d := range s.deletions {
 		if d.key.Kind == kind && d.version > version {
 			l.Deleted = append(l.Deleted, d.key.Name)
 		}
@@ -82,7 +84,7 @@
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		if version < s.floor {
+		if version < s.oldestWatch {
 			s.mu.Unlock()
 			return wire.List{}, objects.ErrTooOld
 		}
@@ -108,7 +110,7 @@
 	if o := s.objects[w.Key]; o.Version != w.IfVersion {
 		return 0, &objects.ConflictError{Key: w.Key, Current: o.Version, WriteID: o.WriteID}
 	}
-	s.bump()
+	s.nextVersion()
 	s.objects[w.Key] = wire.Object{
 		Kind: w.Key.Kind, Name: w.Key.Name, Version: s.version, WriteID: w.WriteID, Value: slices.Clone(w.Value),
 	}
@@ -126,18 +128,18 @@
 	if o.Version != ifVersion {
 		return &objects.ConflictError{Key: key, Current: o.Version, WriteID: o.WriteID}
 	}
-	s.bump()
+	s.nextVersion()
 	delete(s.objects, key)
-	s.deleted = append(s.deleted, deletion{key: key, version: s.version})
-	if extra := len(s.deleted) - keptDeletions; extra > 0 {
-		s.floor = s.deleted[extra-1].version
-		s.deleted = slices.Delete(s.deleted, 0, extra)
+	s.deletions = append(s.deletions, deletion{key: key, version: s.version})
+	if extra := len(s.deletions) - maxDeletions; extra > 0 {
+		s.oldestWatch = s.deletions[extra-1].version
+		s.deletions = slices.Delete(s.deletions, 0, extra)
 	}
 	return nil
 }
 
-// bump makes a new version and wakes the watches; mu is held.
-func (s *Store) bump() {
+// nextVersion increments the store's version and wakes the watches. The caller holds mu.
+func (s *Store) nextVersion() {
 	s.version++
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -1,6 +1,6 @@
-// Package objects states what an instance asks of the platform: the object API, the instance list and
-// the weight store. Package client speaks the wire; package memory keeps everything in one process for
-// tests. Package conformance's suite holds both to the same contract.
+// Package objects declares the interfaces of the object API and the instance list, which the platform provides to an
+// instance. Package client implements them, and the weight store's client, over the network. Package memory implements
+// the object API in one process for tests. The test suite of package conformance checks both against the same contract.
 package objects
 
 import (
@@ -12,18 +12,18 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// Errors of the object API. Any other error of a write leaves its outcome unknown: the caller reads the
-// object back and compares its own write id (see Settle).
+// Errors of the object API. After any other error of a write, its outcome is unknown: the caller reads the object back
+// and compares the write id with its own (see ResolveWrite).
 var (
-	// ErrNotFound: no such object.
+	// ErrNotFound says that the object does not exist.
 	ErrNotFound = errors.New("object not found")
-	// ErrTooOld: the watched version is no longer kept; list again.
+	// ErrTooOld says that the store no longer keeps the changes since the watched version. The caller lists again.
 	ErrTooOld = errors.New("watched version is no longer kept")
-	// ErrUnavailable: the call certainly had no effect; nothing of it was sent.
+	// ErrUnavailable says that the call had no effect, as nothing of it was sent.
 	ErrUnavailable = errors.New("platform is unavailable")
 )
 
-// ConflictError is a conditional write refused because the object's version differs. It had no effect.
+// ConflictError says that a conditional write was refused, as the object has another version. The write had no effect.
 type ConflictError struct {
 	Key     Key
 	Current uint64 // version in the store; 0: absent
@@ -41,10 +41,11 @@
 	Name string
 }
 
-// String gives kind/name.
+// String returns kind/name.
 func (k Key) String() string { return k.Kind + "/" + k.Name }
 
-// Write is one conditional write. WriteID must be unique to this write: it settles lost answers.
+// Write is one conditional write. WriteID must be unique to it: after a lost response, it shows whether the write took
+// effect.
 type Write struct {
 	Key       Key
 	IfVersion uint64 // 0: create if absent
@@ -56,22 +57,24 @@
 type Store interface {
 	Get(ctx context.Context, key Key) (wire.Object, error)
 	List(ctx context.Context, kind string) (wire.List, error)
-	// Watch waits up to wait for changes after version; an empty list with the same version means none.
+	// Watch waits for changes after version, for up to wait. It returns an empty list if there are none.
 	Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error)
-	// Put gives the new version, a *ConflictError, or an error with outcome unknown.
+	// Put returns the object's new version. Its error is a *ConflictError, ErrUnavailable, or one after which the outcome is
+	// unknown.
 	Put(ctx context.Context, w Write) (uint64, error)
-	// Delete removes the object at that version, with Put's errors; absent is ErrNotFound.
+	// Delete removes the object if it has the version ifVersion. It returns the errors of Put, and ErrNotFound if there is
+	// no such object.
 	Delete(ctx context.Context, key Key, ifVersion uint64) error
 }
 
-// Instances is the instance list. It lags.
+// InstanceLister reads the instance list. The list lags behind the instances' actual state.
 type InstanceLister interface {
 	Instances(ctx context.Context) (wire.InstanceList, error)
 }
 
-// Settle finds out whether a write whose answer was lost took effect, by reading the object back.
-// It gives the version if the write is the current one, a *ConflictError if another write stands there,
-// and any other error while that can't be known.
+// ResolveWrite finds out whether a write whose response was lost took effect, by reading the object back. It returns the
+// version if the write is the object's current one, and a *ConflictError if the object has another write or doesn't
+// exist. Any other error leaves the outcome unknown.
 func ResolveWrite(ctx context.Context, s Store, w Write) (uint64, error) {
 	o, err := s.Get(ctx, w.Key)
 	if errors.Is(err, ErrNotFound) {
--- a/internal/objects/wire/wire.go
+++ b/internal/objects/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire holds the messages, paths and headers of the platform: object API, instance list and
-// weight store. docs/PLATFORM.md is the contract in words; the stand-ins and the clients share this.
+// Package wire declares the messages, paths and headers of the platform's object API, instance list and weight store.
+// docs/PLATFORM.md describes the contract. The stand-ins and the clients share this package.
 package wire
 
 import (
@@ -9,29 +9,30 @@
 
 // Headers of the object API.
 const (
-	HeaderIfVersion = "X-If-Version" // the write takes effect only at this version; 0: only if absent
-	HeaderWriteID   = "X-Write-Id"   // the writer's id of this write, kept with the object
+	HeaderIfVersion = "X-If-Version" // the write takes effect only if the object has this version; 0: only if it doesn't exist
+	HeaderWriteID   = "X-Write-Id"   // the writer's id of this write, stored with the object
 )
 
 // Paths of the object API and the instance list.
 const (
 	PathObject    = "/objects/{kind}/{name}"     // GET, PUT, DELETE
-	PathObjects   = "/objects/{kind}"            // GET lists; GET ?watch=VERSION&timeout_ms=N waits for newer changes
+	PathObjects   = "/objects/{kind}"            // GET lists; GET ?watch=VERSION&timeout_ms=N waits for changes after VERSION
 	PathInstances = "/instances"                 // GET
-	PathWeights   = "/weights/{model}/{version}" // POST takes transfer budget; 429 with Retry-After when there is none
+	PathWeights   = "/weights/{model}/{version}" // POST takes transfer budget; 429 with Retry-After if there is none
 )
 
-// Object is one stored object. Versions grow over the whole store, so that a watch names one number.
+// Object is one stored object. Versions increase over all objects of the store, so that one number is enough for a watch.
 type Object struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
 	Version uint64          `json:"version"`
-	WriteID string          `json:"write_id"` // of the write that made this version
+	WriteID string          `json:"write_id"` // of the write that resulted in this version
 	Value   json.RawMessage `json:"value"`
 }
 
-// List answers a list or a watch. Version is the store's version that it reflects; Deleted names objects
-// that went since the watched version. TooOld: the watched version is no longer kept, list again.
+// List is the response to a list or a watch. Version is the version of the store that it reflects. Deleted has the names
+// of the objects that were deleted since the watched version. TooOld says that the changes since the watched version are
+// no longer kept: the client lists again.
 type List struct {
 	Version uint64   `json:"version"`
 	Objects []Object `json:"objects"`
@@ -39,18 +40,18 @@
 	TooOld  bool     `json:"too_old,omitempty"`
 }
 
-// Written answers a write that took effect.
+// WriteResult is the response to a write that took effect.
 type WriteResult struct {
 	Version uint64 `json:"version"`
 }
 
-// Conflict answers a conditional write whose version no longer holds (status 409).
+// Conflict is the response to a conditional write if the object has another version (status 409).
 type Conflict struct {
 	Current uint64 `json:"current"`
 	WriteID string `json:"write_id"` // of the current version
 }
 
-// Instance kinds and states of the instance list.
+// Kinds and states of the entries of the instance list.
 const (
 	KindEntry   = "entry"
 	KindEngine  = "engine"
@@ -60,25 +61,25 @@
 	StateLeaving = "leaving"
 )
 
-// Instance is one row of the instance list.
+// Instance is one entry of the instance list.
 type Instance struct {
 	ID            string `json:"id"`
 	Kind          string `json:"kind"`
-	Addr          string `json:"addr"`           // IP and port: of callers for an entry, of the API for an upstream
+	Addr          string `json:"addr"`           // IP and port: of an entry's listener for callers, or of an upstream's API
 	PeerAddr      string `json:"peer,omitempty"` // entry: IP and port of its peer listener
 	Domain        string `json:"failure_domain"`
 	Region        string `json:"region"`
 	State         string `json:"state"`
-	Service       string `json:"service,omitempty"`        // plain service's name
-	Fencing       bool   `json:"checks_fencing,omitempty"` // engine: refuses orders with an old fencing number
+	Service       string `json:"service,omitempty"`        // name of the plain service
+	Fencing       bool   `json:"checks_fencing,omitempty"` // engine: it refuses orders with an old fencing number
 	KVCacheTokens int64  `json:"memory_tokens,omitempty"`  // engine: KV cache in tokens
 }
 
-// InstancesTag is the entity tag of a version of the instance list, for conditional reads.
+// InstancesETag returns the entity tag of a version of the instance list, for conditional reads.
 func InstancesETag(version uint64) string { return `"` + strconv.FormatUint(version, 10) + `"` }
 
-// InstanceList answers GET PathInstances. A request whose If-None-Match bears InstancesTag of the version
-// that would be sent is answered 304 without a body.
+// InstanceList is the response to GET PathInstances. If the request's If-None-Match header has the InstancesETag of the
+// current version, the response is 304 without a body.
 type InstanceList struct {
 	Version   uint64     `json:"version"`
 	Instances []Instance `json:"instances"`
