--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -125,7 +125,7 @@
 	if err := f.Usable(); err != nil {
 		return err
 	}
-	if !o.Surveyed(k.View()) {
+	if !o.PolledAll(k.View()) {
 		return fault.New(fault.NotReady, "not every engine was asked yet what it serves")
 	}
 	return nil
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -42,15 +42,15 @@
 	m *metrics.Registry, log hclog.Logger, id idSource) *operators {
 	r := router.New()
 	operate.Register(r, operate.Deps{
-		Instance:  fleet.InstanceID(s.Instance),
-		Store:     follow.Announce(p, f),
-		View:      k.View,
-		Log:       log.Named("operate"),
-		NewID:     id,
-		Token:     s.OperatorToken,
-		Upstreams: c,
-		Explain:   explainer(rec),
-		InForce:   f.CountInForce,
+		Instance:     fleet.InstanceID(s.Instance),
+		Store:        follow.Announce(p, f),
+		View:         k.View,
+		Log:          log.Named("operate"),
+		NewID:        id,
+		Token:        s.OperatorToken,
+		Upstreams:    c,
+		Explain:      explainer(rec),
+		CountInForce: f.CountInForce,
 	})
 	r.GET("/metrics", func(ctx *fasthttp.RequestCtx) { ctx.SetBody(m.Text()) })
 	return &operators{
--- a/internal/node/sink.go
+++ b/internal/node/sink.go
@@ -35,9 +35,9 @@
 }
 
 // OnSilent takes note that an engine did not report.
-func (s sink) OnSilent(u *fleet.Upstream, err error) {
+func (s sink) OnReportMissed(u *fleet.Upstream, err error) {
 	s.limits.OnSilent(u, err)
-	s.Router.OnSilent(u, err)
+	s.Router.OnReportMissed(u, err)
 }
 
 // OnState takes what an engine serves.
--- a/internal/node/sweep.go
+++ b/internal/node/sweep.go
@@ -20,6 +20,6 @@
 	rec *explain.Recorder, m *metrics.Registry, log hclog.Logger) *sweep.Sweeper {
 	return sweep.New(sweep.Deps{
 		Self: reserve.Holder{Instance: fleet.InstanceID(s.Instance), Incarnation: r.Incarnation()},
-		View: k.View, Usable: f.Usable, Engines: c, Explain: rec, Metrics: m, Log: log.Named("sweep"),
+		View: k.View, CheckUsable: f.Usable, Engines: c, Explain: rec, Metrics: m, Log: log.Named("sweep"),
 	})
 }
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -24,7 +24,7 @@
 	OnLoad(u *fleet.Upstream, l wire.LoadReport, at time.Time)
 	OnCache(u *fleet.Upstream, e wire.CacheEvents)
 	OnState(u *fleet.Upstream, s wire.EngineState)
-	OnSilent(u *fleet.Upstream, err error)
+	OnReportMissed(u *fleet.Upstream, err error)
 }
 
 // stateEvery is the number of load reports to one reading of what an engine serves.
@@ -56,7 +56,7 @@
 
 // Surveyed tells whether every engine in v was asked what it serves. An instance that is new doesn't know
 // yet, and would refuse prompts to every model.
-func (o *Observer) Surveyed(v *fleet.View) bool {
+func (o *Observer) PolledAll(v *fleet.View) bool {
 	for _, u := range v.Upstreams {
 		if _, asked := o.asked.Load(u.ID); u.Kind == fleet.Engine && !asked {
 			return false
@@ -181,5 +181,5 @@
 		return
 	}
 	o.log.Debug("report missing", "upstream", u.ID, "error", err)
-	o.sink.OnSilent(u, err)
+	o.sink.OnReportMissed(u, err)
 }
--- a/internal/observe/observe_test.go
+++ b/internal/observe/observe_test.go
@@ -38,7 +38,7 @@
 
 func (s *sink) OnLoad(*fleet.Upstream, wire.LoadReport, time.Time) { s.note(func() { s.loads++ }) }
 func (s *sink) OnState(*fleet.Upstream, wire.EngineState)          { s.note(func() { s.states++ }) }
-func (s *sink) OnSilent(*fleet.Upstream, error)                    { s.note(func() { s.silent++ }) }
+func (s *sink) OnReportMissed(*fleet.Upstream, error)              { s.note(func() { s.silent++ }) }
 func (s *sink) OnCache(_ *fleet.Upstream, e wire.CacheEvents) {
 	s.note(func() { s.batches = append(s.batches, e) })
 }
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -43,7 +43,7 @@
 	// Explain gives the decisions kept for a request; nil where none are kept.
 	Explain func(id fleet.RequestID) ([]string, bool)
 	// InForce tells how many of the known instances have a configuration version in force; nil: unknown.
-	InForce func(version uint64) (have, of int)
+	CountInForce func(version uint64) (have, of int)
 	// Upstreams asks engines what they have loaded and how busy they are; nil: taken from the View.
 	Upstreams command.Prober
 	// WeightRate is the weight store's rate in gigabytes an hour; 0: not known.
@@ -65,7 +65,7 @@
 		Upstreams: d.Upstreams, WeightRate: d.WeightRate,
 	}
 	queries := &query.Service{
-		Instance: d.Instance, Store: d.Store, View: d.View, Explain: d.Explain, InForce: d.InForce,
+		Instance: d.Instance, Store: d.Store, View: d.View, Explain: d.Explain, CountInForce: d.CountInForce,
 	}
 	r.POST(PathPlans, s.handle(commands.Propose))
 	r.POST(PathConfirm, s.handle(commands.Confirm))
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -51,8 +51,8 @@
 			return fmt.Sprintf("id-%d", ids)
 		},
 		Upstreams: s.fleet, WeightRate: 3600,
-		InForce: func(version uint64) (int, int) { return int(version), 9 },
-		Explain: func(id fleet.RequestID) ([]string, bool) { return []string{"pick engine-1"}, id == "r1" },
+		CountInForce: func(version uint64) (int, int) { return int(version), 9 },
+		Explain:      func(id fleet.RequestID) ([]string, bool) { return []string{"pick engine-1"}, id == "r1" },
 	})
 	ln := fasthttputil.NewInmemoryListener()
 	server := &fasthttp.Server{Handler: r.Handler, Logger: hclog.NewNullLogger().StandardLogger(&hclog.StandardLoggerOptions{})}
--- a/internal/operate/query/query.go
+++ b/internal/operate/query/query.go
@@ -27,11 +27,11 @@
 
 // Service answers the reads.
 type Service struct {
-	Instance fleet.InstanceID
-	Store    objects.Store
-	View     func() *fleet.View
-	Explain  func(id fleet.RequestID) ([]string, bool)
-	InForce  func(version uint64) (have, of int)
+	Instance     fleet.InstanceID
+	Store        objects.Store
+	View         func() *fleet.View
+	Explain      func(id fleet.RequestID) ([]string, bool)
+	CountInForce func(version uint64) (have, of int)
 }
 
 // Decisions is the answer to explain: the decision lines kept for one request, oldest first.
--- a/internal/operate/query/status.go
+++ b/internal/operate/query/status.go
@@ -32,8 +32,8 @@
 		PlanID: view.Config.PlanID, DomainsOut: view.Config.DomainsOut,
 		Models: models(view), Upstreams: count(view), Services: services(view),
 	}
-	if s.InForce != nil {
-		have, of := s.InForce(version)
+	if s.CountInForce != nil {
+		have, of := s.CountInForce(version)
 		status.InForce = &api.InForce{Version: version, Applied: have, Instances: of}
 	}
 	s.addPlan(&status)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -178,7 +178,7 @@
 }
 
 // OnSilent counts a load report that an upstream failed to deliver. Its last report stays in use and ages.
-func (r *Router) OnSilent(*fleet.Upstream, error) { r.meter.loadReportsMissed.Inc(1) }
+func (r *Router) OnReportMissed(*fleet.Upstream, error) { r.meter.loadReportsMissed.Inc(1) }
 
 // Acquire chooses an upstream for q and returns the grant to dispatch q to it. A prompt that has to wait blocks until
 // it gets an engine, is refused, or ctx ends. A refusal is returned as soon as it is decided, as a *fault.Error that
--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -34,13 +34,13 @@
 
 // Deps are what a Sweeper needs.
 type Deps struct {
-	Self    reserve.Holder
-	View    func() *fleet.View
-	Usable  func() error // nil where this instance's view is good enough to judge others by
-	Engines Engines
-	Explain *explain.Recorder
-	Metrics *metrics.Registry
-	Log     hclog.Logger
+	Self        reserve.Holder
+	View        func() *fleet.View
+	CheckUsable func() error // nil where this instance's view is good enough to judge others by
+	Engines     Engines
+	Explain     *explain.Recorder
+	Metrics     *metrics.Registry
+	Log         hclog.Logger
 }
 
 // Sweeper runs rounds until its context ends.
@@ -127,7 +127,7 @@
 // presence judges holders by the instance list. An instance that is listed may be a later life of the
 // holder; only our own lives can be told apart here, others' reservations then end by their deadline.
 func (s *Sweeper) presence(v *fleet.View) func(reserve.Holder) reserve.Presence {
-	unsure := v.ListVersion == 0 || s.d.Usable() != nil
+	unsure := v.ListVersion == 0 || s.d.CheckUsable() != nil
 	return func(h reserve.Holder) reserve.Presence {
 		switch {
 		case h.Instance == s.d.Self.Instance && h.Incarnation != s.d.Self.Incarnation:
--- a/internal/sweep/sweep_test.go
+++ b/internal/sweep/sweep_test.go
@@ -68,7 +68,7 @@
 	v := fleet.NewView(1, api.Config{}, 1, listed, []*fleet.Upstream{{ID: homeOf("me", instances), Addr: "e"}})
 	s := New(Deps{
 		Self: reserve.Holder{Instance: "me", Incarnation: "me-2"}, View: func() *fleet.View { return v },
-		Usable: func() error { return usable }, Engines: f, Explain: explain.New(hclog.NewNullLogger()),
+		CheckUsable: func() error { return usable }, Engines: f, Explain: explain.New(hclog.NewNullLogger()),
 		Metrics: metrics.New(), Log: hclog.NewNullLogger(),
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), d)
