--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -26,16 +26,16 @@
 	"github.com/damaskshelf/damaskshelf/internal/warm"
 )
 
-// idSource makes unique ids of requests and writes.
-type idSource func() string
+// idFunc returns a new unique id for a request or a write.
+type idFunc func() string
 
-// assemble provides every part and hands the resolved ones to use.
+// assemble registers the constructors of all parts with a container, and calls use with the resolved parts.
 func assemble(s api.Settings, o Options, use func(parts)) error {
 	c := dig.New()
-	provides := []any{
+	providers := []any{
 		func() api.Settings { return s },
 		func() hclog.Logger { return o.Log.Named(s.Instance) },
-		func() idSource { return o.NewID },
+		func() idFunc { return o.NewID },
 		func() *gate.Gate { return &gate.Gate{} },
 		metrics.New,
 		explain.New,
@@ -59,7 +59,7 @@
 		newCallers,
 		newOperators,
 	}
-	for _, p := range provides {
+	for _, p := range providers {
 		if err := c.Provide(p); err != nil {
 			return err
 		}
@@ -75,6 +75,7 @@
 
 func newKeeper() *keeper.Keeper { return keeper.New(nil) }
 
+// newRouter returns the router. It dispatches only while the follower has a usable, trusted view of the fleet.
 func newRouter(s api.Settings, k *keeper.Keeper, f *follow.Follower, rec *explain.Recorder, m *metrics.Registry,
 	c *upstream.Client, l *warm.Limits) *route.Router {
 	r := route.New(route.Deps{View: k.View, Explain: rec, Metrics: m, Memory: c, Settings: s, Gate: l})
@@ -82,13 +83,16 @@
 	return r
 }
 
+// newObserver returns the observer of the engines' reports, which go to the router, the keeper, the follower, the limits
+// and the executor.
 func newObserver(s api.Settings, c *upstream.Client, k *keeper.Keeper, r *route.Router, f *follow.Follower,
-	l *warm.Limits, seen *execute.ObservedModels, log hclog.Logger) *observe.Observer {
-	reports := sink{Router: r, keeper: k, follower: f, limits: l, seen: seen}
+	l *warm.Limits, observed *execute.ObservedModels, log hclog.Logger) *observe.Observer {
+	reports := sink{Router: r, keeper: k, follower: f, limits: l, observed: observed}
 	return observe.New(c, k.View, reports, time.Duration(s.Intervals.LoadReport), log)
 }
 
-func bounds(s api.Settings) intake.Bounds {
+// requestBounds returns the default and the maximum timeout of a request.
+func requestBounds(s api.Settings) intake.Bounds {
 	return intake.Bounds{
 		DefaultTimeout: time.Duration(s.Limits.DefaultTimeout),
 		MaxTimeout:     time.Duration(s.Limits.MaxTimeout),
@@ -96,37 +100,38 @@
 }
 
 func newQueries(s api.Settings, r *route.Router, c *upstream.Client, rt *again.Retrier, l *warm.Limits,
-	rec *explain.Recorder, m *metrics.Registry, g *gate.Gate, log hclog.Logger, id idSource) *query.Handler {
+	rec *explain.Recorder, m *metrics.Registry, g *gate.Gate, log hclog.Logger, id idFunc) *query.Handler {
 	return query.New(query.Deps{
-		Router: r, Client: c, Explain: rec, Metrics: m, Gate: g, Log: log, Bounds: bounds(s),
+		Router: r, Client: c, Explain: rec, Metrics: m, Gate: g, Log: log, Bounds: requestBounds(s),
 		MaxTokens: s.Limits.MaxCompletionTokens, StreamGap: time.Duration(s.Intervals.StreamGap), NewID: id,
 		Retrier: rt, Limits: l,
 	})
 }
 
 func newCommands(s api.Settings, r *route.Router, c *upstream.Client, cl command.Claims, rt *again.Retrier,
-	m *metrics.Registry, g *gate.Gate, log hclog.Logger, id idSource) *command.Handler {
+	m *metrics.Registry, g *gate.Gate, log hclog.Logger, id idFunc) *command.Handler {
 	return command.New(command.Deps{
-		Router: r, Client: c, Claims: cl, Metrics: m, Gate: g, Log: log, Bounds: bounds(s), NewID: id,
+		Router: r, Client: c, Claims: cl, Metrics: m, Gate: g, Log: log, Bounds: requestBounds(s), NewID: id,
 		Retrier: rt,
 	})
 }
 
+// newCallers returns the server of the callers' listener.
 func newCallers(s api.Settings, q *query.Handler, cmd *command.Handler, g *gate.Gate, f *follow.Follower,
-	o *observe.Observer, k *keeper.Keeper, m *metrics.Registry, log hclog.Logger, id idSource) *entry.Server {
+	o *observe.Observer, k *keeper.Keeper, m *metrics.Registry, log hclog.Logger, id idFunc) *entry.Server {
 	return entry.New(entry.Deps{
 		Queries: q, Commands: cmd, Gate: g, Metrics: m, Limits: s.Limits, Log: log, NewID: id,
 		Ready: func() error { return readiness(f, o, k) },
 	})
 }
 
-// readiness says why the balancer should not send requests yet.
+// readiness returns nil if the instance is ready for requests, or the reason why the balancer should not send any yet.
 func readiness(f *follow.Follower, o *observe.Observer, k *keeper.Keeper) error {
 	if err := f.Usable(); err != nil {
 		return err
 	}
 	if !o.PolledAll(k.View()) {
-		return fault.New(fault.NotReady, "not every engine was asked yet what it serves")
+		return fault.New(fault.NotReady, "the models of some engines have not been read yet")
 	}
 	return nil
 }
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -18,18 +18,20 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/engine"
 )
 
-// hangGuard bounds waits that end in milliseconds when all is well.
+// hangGuard limits waits that normally end within milliseconds.
 const hangGuard = 20 * time.Second
 
+// eventually waits until cond returns true, and fails the test after hangGuard.
 func eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(hangGuard); !cond(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting until " + what)
 		}
 	}
 }
 
+// sum adds up a count over all engines.
 func sum(f *local.Fleet, count func(engine.Counters) int) int {
 	n := 0
 	for _, e := range f.Cluster.Engines {
@@ -38,14 +40,14 @@
 	return n
 }
 
-// ended counts the work that engines ended before its end, by cancel, by a closed connection or by the
-// release of its reservation, whichever came first.
-func ended(f *local.Fleet) int {
+// endedEarly returns the number of prompts that engines ended before completion: by a cancel call, a closed connection
+// or the release of the reservation, whichever came first.
+func endedEarly(f *local.Fleet) int {
 	return sum(f, func(c engine.Counters) int { return c.Cancelled + c.Released })
 }
 
-// raw opens a connection to the first instance and sends text.
-func raw(t *testing.T, f *local.Fleet, text string) net.Conn {
+// sendRaw opens a connection to the first instance, sends text and returns the connection.
+func sendRaw(t *testing.T, f *local.Fleet, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", f.Nodes[0].CallersAddr())
 	if err != nil {
@@ -58,31 +60,32 @@
 	return c
 }
 
-func completion(tokens, maxTokens int, stream bool) string {
+// completionRequest returns an HTTP request for a completion of a prompt of that many tokens.
+func completionRequest(tokens, maxTokens int, stream bool) string {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":%t}`, model, strings.Repeat("ice ", tokens), maxTokens, stream)
 	return fmt.Sprintf("POST /v1/completions HTTP/1.1\r\nHost: x\r\nX-Request-Id: gone\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// An angler closes the app while its question is still being read by the engine. No write to the caller
-// fails before the first token, so without the watch on its connection the engine would go on for nobody.
-func TestCallerGoneBeforeTheFirstTokenIsCancelled(t *testing.T) {
-	f := start(t, 1)
-	c := raw(t, f, completion(380_000, 10, false)) // about a second of the engine's time
-	eventually(t, "prompt is on an engine", func() bool {
+// A caller disconnects during prefill. No write to the caller can fail before the first token, so only the monitoring of
+// its connection shows the disconnect. Otherwise the engine would process a prompt whose answer is not delivered.
+func TestDisconnectBeforeFirstTokenCancelsPrompt(t *testing.T) {
+	f := startFleet(t, 1)
+	c := sendRaw(t, f, completionRequest(380_000, 10, false)) // about a second of the engine's time
+	eventually(t, "the prompt is on an engine", func() bool {
 		return sum(f, func(c engine.Counters) int { return c.InFlight }) == 1
 	})
 	_ = c.Close()
-	eventually(t, "engine has ended it", func() bool { return ended(f) == 1 })
-	eventually(t, "engine holds no memory for it", func() bool {
+	eventually(t, "the engine has ended the prompt", func() bool { return endedEarly(f) == 1 })
+	eventually(t, "the engine holds no memory for the prompt", func() bool {
 		return sum(f, func(c engine.Counters) int { return int(c.HeldTokens) }) == 0
 	})
 }
 
-// A guide closes the page in the middle of a long answer: the stream on the engine is cancelled too.
-func TestCallerGoneInMidStreamIsCancelled(t *testing.T) {
+// A caller disconnects in the middle of a long streamed answer. The stream on the engine must be cancelled too.
+func TestDisconnectMidStreamCancelsPrompt(t *testing.T) {
 	is := is.New(t)
-	f := start(t, 1)
-	c := raw(t, f, completion(1000, 16_000, true))
+	f := startFleet(t, 1)
+	c := sendRaw(t, f, completionRequest(1000, 16_000, true))
 	r := bufio.NewReader(c)
 	for line := ""; !strings.HasPrefix(line, "data: "); {
 		var err error
@@ -90,15 +93,15 @@
 		is.NoErr(err)
 	}
 	_ = c.Close()
-	eventually(t, "engine has ended it", func() bool { return ended(f) == 1 })
+	eventually(t, "the engine has ended the prompt", func() bool { return endedEarly(f) == 1 })
 }
 
-// Each malformed request is refused with a clear error that names what is wrong, and nothing runs.
-func TestBadRequestsNameWhatIsWrong(t *testing.T) {
-	f := start(t, 1)
+// Each malformed request is refused with an error that names the problem, and no upstream runs anything.
+func TestBadRequestErrorNamesTheProblem(t *testing.T) {
+	f := startFleet(t, 1)
 	base := "http://" + f.Nodes[0].CallersAddr()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	ok := `{"model":"guide","prompt":"x"}`
+	validBody := `{"model":"guide","prompt":"x"}`
 	cases := []struct {
 		name, path, body string
 		headers          []string // name: value
@@ -113,10 +116,10 @@
 		{"unknown model", "/v1/completions", `{"model":"nope","prompt":"x"}`, nil, 404, "unknown_model", "nope"},
 		{"unknown service", "/services/nope/x", "{}", nil, 404, "unknown_service", "nope"},
 		{"no path", "/nowhere", "", nil, 404, "not_found", "/nowhere"},
-		{"two times", "/v1/completions", ok, []string{"X-Request-Timeout: 1s", "X-Request-Deadline: 2030-01-01T00:00:00Z"}, 400, "bad_request", "contradict"},
-		{"bad timeout", "/v1/completions", ok, []string{"X-Request-Timeout: soon"}, 400, "bad_request", "soon"},
-		{"timeout twice", "/v1/completions", ok, []string{"X-Request-Timeout: 1s", "X-Request-Timeout: 2s"}, 400, "bad_request", "2 times"},
-		{"bad priority", "/v1/completions", ok, []string{"X-Priority: 11"}, 400, "bad_request", "11"},
+		{"two times", "/v1/completions", validBody, []string{"X-Request-Timeout: 1s", "X-Request-Deadline: 2030-01-01T00:00:00Z"}, 400, "bad_request", "contradict"},
+		{"bad timeout", "/v1/completions", validBody, []string{"X-Request-Timeout: soon"}, 400, "bad_request", "soon"},
+		{"timeout twice", "/v1/completions", validBody, []string{"X-Request-Timeout: 1s", "X-Request-Timeout: 2s"}, 400, "bad_request", "2 times"},
+		{"bad priority", "/v1/completions", validBody, []string{"X-Priority: 11"}, 400, "bad_request", "11"},
 		{"bad mark", "/services/bookdesk/bookings", "{}", []string{"X-Idempotent: maybe"}, 400, "bad_request", "maybe"},
 		{"mark against key", "/services/bookdesk/bookings", "{}", []string{"X-Idempotent: true", "Idempotency-Key: k"}, 400, "bad_request", "contradicts"},
 	}
@@ -147,28 +150,28 @@
 	is.Equal(sum(f, func(c engine.Counters) int { return len(c.Runs) }), 0)
 }
 
-// Bodies and headers over the listener's limits are refused by name, not by a closed connection.
-func TestLimitsOfTheCallersListener(t *testing.T) {
+// A body or a header over the listener's limit is refused with a status, not by a closed connection.
+func TestCallersListenerLimits(t *testing.T) {
 	is := is.New(t)
-	f := start(t, 1)
-	answer := func(text string) string {
-		b, err := bufio.NewReader(raw(t, f, text)).ReadString('\n')
+	f := startFleet(t, 1)
+	statusLine := func(text string) string {
+		b, err := bufio.NewReader(sendRaw(t, f, text)).ReadString('\n')
 		is.NoErr(err)
 		return b
 	}
-	huge := "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 999999999\r\n\r\n"
-	is.True(strings.Contains(answer(huge), "413"))
-	long := "GET /healthz HTTP/1.1\r\nHost: x\r\nX-Long: " + strings.Repeat("a", 64<<10) + "\r\n\r\n"
-	is.True(strings.Contains(answer(long), "400"))
+	oversizedBody := "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 999999999\r\n\r\n"
+	is.True(strings.Contains(statusLine(oversizedBody), "413"))
+	oversizedHeader := "GET /healthz HTTP/1.1\r\nHost: x\r\nX-Long: " + strings.Repeat("a", 64<<10) + "\r\n\r\n"
+	is.True(strings.Contains(statusLine(oversizedHeader), "400"))
 }
 
-// A caller sends half of its request and then nothing more. It is told so once the time for a whole request is
-// over, its connection is closed, and nothing of it ran.
-func TestSlowCallerIsToldSo(t *testing.T) {
+// A caller sends half of its request and then nothing more. When the time for a whole request (limits.header_timeout)
+// is over, the caller receives status 408, its connection is closed, and no engine has run the prompt.
+func TestIncompleteRequestTimesOutWith408(t *testing.T) {
 	is := is.New(t)
-	f := startTuned(t, 1, func(s *api.Settings) { s.Limits.HeaderTimeout = api.Duration(100 * time.Millisecond) })
-	whole := completion(1000, 5, false)
-	c := raw(t, f, whole[:len(whole)/2])
+	f := startWithSettings(t, 1, func(s *api.Settings) { s.Limits.HeaderTimeout = api.Duration(100 * time.Millisecond) })
+	request := completionRequest(1000, 5, false)
+	c := sendRaw(t, f, request[:len(request)/2])
 	answer, err := io.ReadAll(c)
 	is.NoErr(err)
 	is.True(strings.HasPrefix(string(answer), "HTTP/1.1 408"))
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -18,9 +18,10 @@
 	"github.com/damaskshelf/damaskshelf/internal/rendezvous"
 )
 
-// sweepEvery is the pause between two sweeps of dead claim shards.
-const sweepEvery = decideclaim.BucketSpan
+// sweepInterval is the time between two deletions of expired claim shards.
+const sweepInterval = decideclaim.BucketSpan
 
+// newClaims returns the keeper of claims. Its incarnation is unique to this process: a restarted instance has another.
 func newClaims(s api.Settings, p objects.Store, log hclog.Logger) *claim.Keeper {
 	now, wall := claim.Clocks()
 	return claim.New(p, claim.Config{
@@ -35,18 +36,19 @@
 	return command.NewStoredClaims(k, rec)
 }
 
-// sweepClaims deletes the claim shards that this instance owns and that nobody asks for any more.
-func sweepClaims(s api.Settings, claims *claim.Keeper, k *keeper.Keeper, log hclog.Logger) func(context.Context) {
-	own := func(shard string) bool {
+// newClaimSweep returns a function that runs until its context ends. Every sweepInterval it deletes the expired claim
+// shards that this instance owns, which no request can ask for any more.
+func newClaimSweep(s api.Settings, claims *claim.Keeper, k *keeper.Keeper, log hclog.Logger) func(context.Context) {
+	ownsShard := func(shard string) bool {
 		var ids []string
 		for _, i := range k.View().Instances {
 			ids = append(ids, string(i.ID))
 		}
 		return rendezvous.Owner(shard, ids) == s.Instance
 	}
-	sweeper := claim.NewSweeper(claims, own)
+	sweeper := claim.NewSweeper(claims, ownsShard)
 	return func(ctx context.Context) {
-		tick := time.NewTicker(sweepEvery)
+		tick := time.NewTicker(sweepInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -55,7 +57,7 @@
 				return
 			}
 			if n, err := sweeper.Sweep(ctx); n > 0 || (err != nil && ctx.Err() == nil) {
-				log.Info("claims swept", "deleted", n, "error", err)
+				log.Info("expired claim shards deleted", "deleted", n, "error", err)
 			}
 		}
 	}
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -19,21 +19,21 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream"
 )
 
-// executor runs execute.Executor beside the requests until the instance stops.
+// executor runs execute.Executor in the background until the instance stops.
 type executor struct {
 	*execute.Executor
-	stop context.CancelFunc
-	done chan struct{}
+	cancel context.CancelFunc // nil before run
+	done   chan struct{}      // closed when the execution has stopped
 }
 
 func newExecutor(s api.Settings, cfg execute.Config, store objects.Store, weights *platformclient.Client, c *upstream.Client,
-	k *keeper.Keeper, f *follow.Follower, seen *execute.ObservedModels, rec *explain.Recorder, log hclog.Logger, id idSource) *executor {
-	start := time.Now()
+	k *keeper.Keeper, f *follow.Follower, observed *execute.ObservedModels, rec *explain.Recorder, log hclog.Logger, id idFunc) *executor {
+	startTime := time.Now()
 	return &executor{done: make(chan struct{}), Executor: execute.New(execute.Deps{
 		Instance: fleet.InstanceID(s.Instance), Incarnation: uuid.NewString(),
-		Store: store, Engines: c, WeightStore: weights, View: k.View, Observed: seen,
+		Store: store, Engines: c, WeightStore: weights, View: k.View, Observed: observed,
 		Ready:    func() bool { return f.Usable() == nil },
-		Now:      func() decide.Instant { return decide.Instant(time.Since(start)) },
+		Now:      func() decide.Instant { return decide.Instant(time.Since(startTime)) },
 		NewID:    id,
 		Log:      log,
 		Recorder: rec,
@@ -41,20 +41,21 @@
 	})}
 }
 
-// run works plans off until ctx ends or finish is called.
+// run starts the execution of plans, which goes on until ctx ends or shutdown is called.
 func (e *executor) run(ctx context.Context) {
-	ctx, e.stop = context.WithCancel(ctx)
+	ctx, e.cancel = context.WithCancel(ctx)
 	go func() {
 		defer close(e.done)
 		e.Run(ctx)
 	}()
 }
 
-// finish ends the work and waits until the leases are given back, while the store can still be called.
-func (e *executor) finish() {
-	if e.stop == nil {
+// shutdown stops the execution and waits until the leases are released. Call it before the client of the store is
+// closed, or the leases can't be released. It does nothing if run was not called.
+func (e *executor) shutdown() {
+	if e.cancel == nil {
 		return
 	}
-	e.stop()
+	e.cancel()
 	<-e.done
 }
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -15,19 +15,20 @@
 	"github.com/damaskshelf/damaskshelf/internal/warm"
 )
 
-// newStore gives the object API within this instance's cut of the fleet's rates.
+// newStore returns the object API, with calls limited to this instance's share of the rates that all instances share.
 func newStore(p *platformclient.Client, k *keeper.Keeper) objects.Store {
-	count := func() int { return len(k.View().Instances) }
-	return platformclient.NewBudgetedStore(p, storebudget.DefaultLimits, count)
+	instanceCount := func() int { return len(k.View().Instances) }
+	return platformclient.NewBudgetedStore(p, storebudget.DefaultLimits, instanceCount)
 }
 
+// newFollower returns the follower of the configuration and the instance list. Each read of the list also goes to l.
 func newFollower(s api.Settings, p *platformclient.Client, store objects.Store, k *keeper.Keeper, l *warm.Limits,
 	log hclog.Logger) (*follow.Follower, error) {
 	return follow.New(follow.Deps{
 		Self: fleet.Instance{
 			ID: fleet.InstanceID(s.Instance), Domain: fleet.DomainID(s.FailureDomain), Region: fleet.RegionID(s.Region),
 		},
-		Store: store, Instances: listTap{p, l}, Keeper: k, Log: log,
+		Store: store, Instances: listObserver{p, l}, Keeper: k, Log: log,
 		ListInterval: time.Duration(s.Intervals.InstanceList), HeartbeatInterval: time.Duration(s.Intervals.Heartbeat), OnPeerListVersion: l.OnPeerList,
 	})
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -22,17 +22,17 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/cluster"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "overwrite the golden files with the results")
 
 const goldenExchange = "testdata/exchange.golden"
 
-// lines collects decision lines; other lines of the log are left out.
-type lines struct {
+// decisionLog is a writer that keeps the decision lines of request golden-1 and drops all other lines of the log.
+type decisionLog struct {
 	mu  sync.Mutex
 	buf bytes.Buffer // guarded by mu
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *decisionLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, line := range strings.SplitAfter(string(p), "\n") {
@@ -43,17 +43,18 @@
 	return len(p), nil
 }
 
-func (l *lines) String() string {
+func (l *decisionLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-// Times in decision lines depend on the machine; everything else is fixed.
-var times = regexp.MustCompile(`(=)[0-9.]+(ns|µs|ms|s|m[0-9.]+s)\b`)
+// durations matches the durations in decision lines. They depend on the machine; everything else is fixed.
+var durations = regexp.MustCompile(`(=)[0-9.]+(ns|µs|ms|s|m[0-9.]+s)\b`)
 
-// canonical gives one line a token: how many tokens share an event depends on the machine's speed.
-func canonical(t *testing.T, line string) string {
+// canonicalLines returns one line for each token of an event. How many tokens share an event depends on the machine's
+// speed, so events can't be compared as they are.
+func canonicalLines(t *testing.T, line string) string {
 	data, ok := strings.CutPrefix(line, "data: ")
 	if !ok || data == "[DONE]" {
 		return line + "\n"
@@ -80,10 +81,10 @@
 	return b.String()
 }
 
-// A whole exchange as its caller and its operator see it: prompt in, decision lines, stream out.
+// TestGoldenExchange compares one exchange with a golden file: the prompt, the streamed answer and the decision lines.
 func TestGoldenExchange(t *testing.T) {
 	is := is.New(t)
-	log := &lines{}
+	log := &decisionLog{}
 	var ids atomic.Int64
 	f, err := local.Start(local.Config{
 		Entries: 1,
@@ -115,11 +116,11 @@
 		if s.Text() == "" {
 			continue // ends an event
 		}
-		b.WriteString(canonical(t, s.Text()))
+		b.WriteString(canonicalLines(t, s.Text()))
 	}
 	is.NoErr(s.Err())
 	is.NoErr(f.Nodes[0].Stop())
-	b.WriteString(times.ReplaceAllString(log.String(), "${1}TIME"))
+	b.WriteString(durations.ReplaceAllString(log.String(), "${1}TIME"))
 	if *update {
 		is.NoErr(os.WriteFile(goldenExchange, []byte(b.String()), 0o644))
 	}
--- a/internal/node/main_test.go
+++ b/internal/node/main_test.go
@@ -6,8 +6,8 @@
 	"go.uber.org/goleak"
 )
 
-// The HTTP library keeps a few goroutines for its own housekeeping; they end with the process or a while
-// after their server or client was closed.
+// TestMain fails on leaked goroutines, apart from the HTTP library's own: these end with the process, or some time after
+// their server or client is closed.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,4 @@
-// Package node assembles one entry instance out of its parts and runs it. The daemon, the demo and tests
-// all use this assembly.
+// Package node assembles and runs one instance. The daemon, the demo and the tests all use this assembly.
 package node
 
 import (
@@ -32,18 +31,18 @@
 	"github.com/damaskshelf/damaskshelf/internal/warm"
 )
 
-// Node is one entry instance.
+// Node is one instance.
 type Node struct {
 	parts parts
 
-	work context.Context // of everything that runs beside requests
-	stop context.CancelFunc
-	wg   sync.WaitGroup
-	once sync.Once
-	err  error // of the stop
+	workCtx    context.Context // of all background work; it ends when the instance closes
+	cancelWork context.CancelFunc
+	wg         sync.WaitGroup
+	stopOnce   sync.Once
+	stopErr    error // result of the first stop
 }
 
-// parts are what the container resolves for a Node.
+// parts are the parts of a Node, as the container resolves them.
 type parts struct {
 	dig.In
 
@@ -67,12 +66,12 @@
 	Metrics   *metrics.Registry
 }
 
-// Options vary the assembly for tests and demonstrations.
+// Options change the assembly for tests and demonstrations. The zero value logs nothing and uses the defaults.
 type Options struct {
 	Log   hclog.Logger
-	NewID func() string // request and write ids; nil: random UUIDs
+	NewID func() string // returns request and write ids; nil: random UUIDs
 
-	Execute execute.Config // times of the executor; zero values: its defaults
+	Execute execute.Config // durations of the executor; zero values: its defaults
 }
 
 // New assembles an instance. It opens no connection and binds no address.
@@ -87,11 +86,12 @@
 	if err := assemble(s, o, func(p parts) { n.parts = p }); err != nil {
 		return nil, fmt.Errorf("assemble instance %s: %w", s.Instance, err)
 	}
-	n.work, n.stop = context.WithCancel(context.Background())
+	n.workCtx, n.cancelWork = context.WithCancel(context.Background())
 	return n, nil
 }
 
-// Start binds the listeners and begins to serve. Readiness follows once a configuration is in force.
+// Start binds the listeners, starts all background work and serves. The instance becomes ready once a configuration is
+// in force.
 func (n *Node) Start() error {
 	p := n.parts
 	if err := p.Follower.Listen(p.Settings.Listen.Peers); err != nil {
@@ -103,41 +103,42 @@
 	if err := p.Operators.listen(p.Settings.Listen.Operators); err != nil {
 		return errors.Join(err, p.Callers.CloseListener(), p.Follower.Close())
 	}
-	n.run(func(context.Context) { p.Callers.Serve() })
-	n.run(func(context.Context) { p.Operators.serve() })
-	n.run(p.Follower.Run)
-	n.run(p.Observer.Run)
-	n.run(p.Sweeper.Run)
-	n.run(p.Limits.Run)
-	n.run(func(ctx context.Context) { p.Limits.WarmUp(ctx, p.Client, warmUpEvery) })
-	n.run(func(ctx context.Context) {
+	n.runInBackground(func(context.Context) { p.Callers.Serve() })
+	n.runInBackground(func(context.Context) { p.Operators.serve() })
+	n.runInBackground(p.Follower.Run)
+	n.runInBackground(p.Observer.Run)
+	n.runInBackground(p.Sweeper.Run)
+	n.runInBackground(p.Limits.Run)
+	n.runInBackground(func(ctx context.Context) { p.Limits.WarmUp(ctx, p.Client, warmUpInterval) })
+	n.runInBackground(func(ctx context.Context) {
 		p.Limits.Probe(ctx, p.Client, time.Duration(p.Settings.Intervals.LoadReport))
 	})
-	n.run(sweepClaims(p.Settings, p.Claims, p.Keeper, p.Log))
-	p.Executor.run(n.work)
+	n.runInBackground(newClaimSweep(p.Settings, p.Claims, p.Keeper, p.Log))
+	p.Executor.run(n.workCtx)
 	p.Log.Info("started", "instance", p.Settings.Instance, "region", p.Settings.Region,
 		"failure_domain", p.Settings.FailureDomain, "callers", n.CallersAddr(), "operators", n.OperatorsAddr(), "peers", n.PeersAddr())
 	return nil
 }
 
-func (n *Node) run(f func(ctx context.Context)) {
+// runInBackground starts f in a goroutine that close waits for.
+func (n *Node) runInBackground(f func(ctx context.Context)) {
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		f(n.work)
+		f(n.workCtx)
 	}()
 }
 
-// CallersAddr is where callers connect.
+// CallersAddr returns the address of the callers' listener.
 func (n *Node) CallersAddr() string { return n.parts.Callers.Addr() }
 
-// OperatorsAddr is where operators connect.
+// OperatorsAddr returns the address of the operators' listener.
 func (n *Node) OperatorsAddr() string { return n.parts.Operators.addr() }
 
-// PeersAddr is where other instances connect.
+// PeersAddr returns the address of the listener for other instances.
 func (n *Node) PeersAddr() string { return n.parts.Follower.Addr() }
 
-// Serves tells whether this instance sees an engine for every model of the intent.
+// Serves reports whether this instance's view holds at least one engine for every model of the intent.
 func (n *Node) Serves(intent api.Intent) bool {
 	v := n.parts.Keeper.View()
 	for _, m := range intent.Models {
@@ -148,28 +149,28 @@
 	return true
 }
 
-// ConfigVersion is the version of the configuration in force on this instance.
+// ConfigVersion returns the version of the configuration in force on this instance.
 func (n *Node) ConfigVersion() uint64 { return n.parts.Keeper.View().ConfigVersion }
 
-// Reload takes changed settings. None of an instance that serves completions comes in force without a restart.
+// Reload logs that the settings have changed. All settings of an instance that serves completions need a restart.
 func (n *Node) Reload(api.Settings) {
-	n.parts.Log.Warn("settings have changed: restart the instance to put them in force")
+	n.parts.Log.Warn("settings have changed; restart the instance to apply them")
 }
 
-// closeWait bounds what a stop does once no request is in flight any more, or all were aborted.
-const closeWait = 5 * time.Second
+// closeTimeout limits the rest of a stop after the last request has ended or was aborted.
+const closeTimeout = 5 * time.Second
 
-// Stop is the planned stop: not ready; serve on for the balancer's lag; refuse new requests; let those in
-// flight end in their own time; close. At the stop's limit the rest end with an explicit error. Calling it
-// again waits for the first call's end.
+// Stop stops the instance as planned: it becomes unready, serves on for the balancer's lag, refuses new requests, waits
+// for those in flight, and closes. Requests still in flight at the stop timeout end with an explicit error. A second
+// call waits for the first one and returns its result.
 func (n *Node) Stop() error {
-	return n.stopWithin(time.Duration(n.parts.Settings.Intervals.BalancerLag))
+	return n.shutdown(time.Duration(n.parts.Settings.Intervals.BalancerLag))
 }
 
-// Kill stops without waiting for requests in flight; they end with an explicit error.
+// Kill stops the instance without waiting for the requests in flight; they end with an explicit error.
 func (n *Node) Kill() {
 	n.Abort()
-	_ = n.stopWithin(0) // what was cut off is what the caller asked for
+	_ = n.shutdown(0) // aborted requests are intended here, not an error
 }
 
 // Abort ends every request in flight with an explicit error.
@@ -178,48 +179,51 @@
 	n.parts.Commands.Abort()
 }
 
-func (n *Node) stopWithin(lag time.Duration) error {
-	n.once.Do(func() {
-		n.err = errors.Join(n.drain(lag), n.close())
-		n.parts.Log.Info("stopped", "error", n.err)
+// shutdown drains and closes the instance once. Later calls wait for that and return its result.
+func (n *Node) shutdown(balancerLag time.Duration) error {
+	n.stopOnce.Do(func() {
+		n.stopErr = errors.Join(n.drain(balancerLag), n.close())
+		n.parts.Log.Info("stopped", "error", n.stopErr)
 	})
-	return n.err
+	return n.stopErr
 }
 
-// drain serves on for the balancer's lag and waits for the requests in flight, up to the stop's limit.
-func (n *Node) drain(lag time.Duration) error {
+// drain marks the instance unready, serves on for the balancer's lag, then refuses new requests and waits for those in
+// flight. At the stop timeout it aborts the rest and returns an error with their number.
+func (n *Node) drain(balancerLag time.Duration) error {
 	p := n.parts
-	limit, cancel := context.WithTimeout(context.Background(), time.Duration(p.Settings.Intervals.StopTimeout))
+	stopCtx, cancel := context.WithTimeout(context.Background(), time.Duration(p.Settings.Intervals.StopTimeout))
 	defer cancel()
 	p.Log.Info("stopping", "in_flight", p.Gate.InFlight())
 	p.Gate.MarkUnready()
-	wait.For(limit, lag)
+	wait.For(stopCtx, balancerLag)
 	p.Gate.RefuseNew()
 	p.Log.Info("refusing new requests", "in_flight", p.Gate.InFlight(), "idle_closed", p.Callers.CloseIdle())
-	err := p.Gate.AwaitIdle(limit)
+	err := p.Gate.AwaitIdle(stopCtx)
 	if err == nil {
 		return nil
 	}
-	cut := p.Gate.InFlight()
+	aborted := p.Gate.InFlight()
 	n.Abort()
-	return fmt.Errorf("%d requests cut off at the stop's limit: %w", cut, err)
+	return fmt.Errorf("%d requests cut off at the stop's limit: %w", aborted, err)
 }
 
-// close shuts the listeners, hands back what this instance holds, and ends all that runs beside requests.
+// close closes the listeners, releases reservations, claims and leases of this instance, and ends the background work.
+// The store's client is closed only after claims are flushed and leases released.
 func (n *Node) close() error {
 	p := n.parts
-	limit, cancel := context.WithTimeout(context.Background(), closeWait)
+	closeCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	errs := []error{p.Callers.Shutdown(limit), p.Operators.shutdown(limit)}
+	errs := []error{p.Callers.Shutdown(closeCtx), p.Operators.shutdown(closeCtx)}
 	p.Queries.Wait()
-	if err := p.Router.AwaitReleases(limit); err != nil {
+	if err := p.Router.AwaitReleases(closeCtx); err != nil {
 		errs = append(errs, fmt.Errorf("reservations not released at the stop: %w", err))
 	}
-	errs = append(errs, p.Claims.Flush(limit))
+	errs = append(errs, p.Claims.Flush(closeCtx))
 	p.Claims.Close()
-	p.Executor.finish()
-	n.stop()
-	p.Platform.Close() // ends waiting watches
+	p.Executor.shutdown()
+	n.cancelWork()
+	p.Platform.Close() // ends pending watches, which runInBackground's goroutines wait for
 	n.wg.Wait()
 	p.Client.Close()
 	return errors.Join(errs...)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -23,15 +23,17 @@
 	service = "bookdesk"
 )
 
-func start(t *testing.T, entries int) *local.Fleet {
+// startFleet starts that many instances and three engines, one in each failure domain.
+func startFleet(t *testing.T, instances int) *local.Fleet {
 	t.Helper()
-	return startTuned(t, entries, nil)
+	return startWithSettings(t, instances, nil)
 }
 
-func startTuned(t *testing.T, entries int, tune func(*api.Settings)) *local.Fleet {
+// startWithSettings is startFleet with changes to each instance's settings.
+func startWithSettings(t *testing.T, instances int, tune func(*api.Settings)) *local.Fleet {
 	t.Helper()
 	f, err := local.Start(local.Config{
-		Entries: entries, Tune: tune,
+		Entries: instances, Tune: tune,
 		Intent: api.Intent{Models: []api.Model{{Name: model, Version: cluster.ModelVersion, Replicas: 3, Floor: 1}}},
 		Cluster: cluster.Config{
 			Domains: []string{"north", "mid", "south"}, Region: "plains", EnginesPerDomain: 1,
@@ -45,9 +47,9 @@
 	return f
 }
 
-// A prompt goes through each instance to an engine and back as a stream, whole and its own.
-func TestPromptsComeBackWholeAndTheirOwn(t *testing.T) {
-	f := start(t, 3)
+// Concurrent prompts through three instances, streamed or not, each return their own complete answer.
+func TestPromptsReturnTheirOwnCompleteAnswers(t *testing.T) {
+	f := startFleet(t, 3)
 	c := caller.New()
 	defer c.Close()
 	var wg sync.WaitGroup
@@ -71,10 +73,10 @@
 	wg.Wait()
 }
 
-// A booking marked as not idempotent runs once and its answer comes back.
-func TestMarkedBookingRunsOnce(t *testing.T) {
+// A request that is marked as not idempotent runs once, and the caller receives its answer.
+func TestNonIdempotentRequestRunsOnce(t *testing.T) {
 	is := is.New(t)
-	f := start(t, 1)
+	f := startFleet(t, 1)
 	c := caller.New()
 	defer c.Close()
 	r := c.Do(caller.Request{
@@ -88,16 +90,16 @@
 	is.Equal(f.Cluster.Ledger.RunsByRequest()["booking-1"], 1)
 }
 
-// A confirmed change is in force on every instance: the domain taken out gets no new prompt.
-func TestConfirmedDrainIsSeenByEveryInstance(t *testing.T) {
+// A confirmed drain applies on every instance: the drained domain receives no new prompt.
+func TestConfirmedDrainAppliesOnEveryInstance(t *testing.T) {
 	is := is.New(t)
-	f := start(t, 3)
+	f := startFleet(t, 3)
 	c := caller.New()
 	defer c.Close()
 	version, err := f.Apply(api.Change{Drain: "north"})
 	is.NoErr(err)
 	is.NoErr(f.WaitInForce(version, 10*time.Second))
-	before := len(f.Cluster.Engine("engine-north-0").Counters().Runs)
+	runsBefore := len(f.Cluster.Engine("engine-north-0").Counters().Runs)
 	for i := range 12 {
 		r := c.Do(caller.Request{
 			Addr: f.Nodes[i%3].CallersAddr(), ID: fmt.Sprint("p", i), Model: model, Timeout: 30 * time.Second,
@@ -105,15 +107,15 @@
 		})
 		is.True(r.OK())
 	}
-	is.Equal(len(f.Cluster.Engine("engine-north-0").Counters().Runs), before)
+	is.Equal(len(f.Cluster.Engine("engine-north-0").Counters().Runs), runsBefore)
 }
 
-// A caller asks while an engine has just died. The instance list still names it, the dispatch to it fails
-// before a byte is sent, and the prompt goes to another engine. (A failed dispatch once left no stream and
-// the next read of it ended the whole instance.)
-func TestPromptGoesElsewhereWhenAnEngineIsDead(t *testing.T) {
+// An engine has just died and the instance list still shows it. A dispatch to it fails before a byte is sent, and the
+// prompt goes to another engine. The failed dispatch leaves no stream; a read of that missing stream would crash the
+// instance.
+func TestPromptIsRedispatchedWhenEngineIsDown(t *testing.T) {
 	is := is.New(t)
-	f := start(t, 1)
+	f := startFleet(t, 1)
 	c := caller.New()
 	defer c.Close()
 	is.NoErr(f.Cluster.Switch("engine-north-0", faults.Kill, true, 0))
@@ -129,11 +131,11 @@
 	}
 }
 
-// A daemon is started whose operators' port is taken. It has to say so and end; it once waited for ever for
-// its callers' listener, which had never served.
-func TestStartFailsWhenAnAddressIsTaken(t *testing.T) {
+// The operators' port is in use when an instance starts. Start must return an error. It would block for ever if it
+// waited for the callers' listener, which is bound by then but not served.
+func TestStartFailsWhenAddressIsInUse(t *testing.T) {
 	is := is.New(t)
-	f := start(t, 1)
+	f := startFleet(t, 1)
 	s := f.Settings("entry-x", "north")
 	s.Listen.Operators = f.Nodes[0].OperatorsAddr()
 	n, err := node.New(s, node.Options{})
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -22,24 +22,25 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream"
 )
 
-// Limits of the operators' listener.
+// Limits of the operators' listener: bytes, connections and times.
 const (
-	operatorsBody    = 1 << 20
-	operatorsHeaders = 16 << 10
-	operatorsConns   = 64
-	operatorsRead    = 10 * time.Second
-	operatorsWrite   = 30 * time.Second
+	operatorsMaxBodyBytes   = 1 << 20
+	operatorsMaxHeaderBytes = 16 << 10
+	operatorsMaxConns       = 64
+	operatorsReadTimeout    = 10 * time.Second
+	operatorsWriteTimeout   = 30 * time.Second
 )
 
-// operators is the operators' listener.
+// operators is the operators' HTTP server with its listener.
 type operators struct {
 	http     *fasthttp.Server
 	listener net.Listener
-	served   chan error
+	serveErr chan error // result of serve
 }
 
+// newOperators returns the server of the operators' API and of the metrics. It is not bound to an address yet.
 func newOperators(s api.Settings, p objects.Store, f *follow.Follower, c *upstream.Client, k *keeper.Keeper, rec *explain.Recorder,
-	m *metrics.Registry, log hclog.Logger, id idSource) *operators {
+	m *metrics.Registry, log hclog.Logger, id idFunc) *operators {
 	r := router.New()
 	operate.Register(r, operate.Deps{
 		Instance:     fleet.InstanceID(s.Instance),
@@ -49,19 +50,19 @@
 		NewID:        id,
 		Token:        s.OperatorToken,
 		Upstreams:    c,
-		Explain:      explainer(rec),
+		Explain:      decisionLines(rec),
 		CountInForce: f.CountInForce,
 	})
 	r.GET("/metrics", func(ctx *fasthttp.RequestCtx) { ctx.SetBody(m.Text()) })
 	return &operators{
-		served: make(chan error, 1),
+		serveErr: make(chan error, 1),
 		http: &fasthttp.Server{
 			Handler:               r.Handler,
-			ReadTimeout:           operatorsRead,
-			WriteTimeout:          operatorsWrite,
-			ReadBufferSize:        operatorsHeaders,
-			MaxRequestBodySize:    operatorsBody,
-			Concurrency:           operatorsConns,
+			ReadTimeout:           operatorsReadTimeout,
+			WriteTimeout:          operatorsWriteTimeout,
+			ReadBufferSize:        operatorsMaxHeaderBytes,
+			MaxRequestBodySize:    operatorsMaxBodyBytes,
+			Concurrency:           operatorsMaxConns,
 			NoDefaultServerHeader: true,
 			CloseOnShutdown:       true,
 			Logger:                httplog.Logger{Log: log.Named("operate")},
@@ -69,8 +70,8 @@
 	}
 }
 
-// explainer gives the decisions kept for a request, a line each.
-func explainer(rec *explain.Recorder) func(id fleet.RequestID) ([]string, bool) {
+// decisionLines returns a function that returns the decisions kept for a request, one a line, and whether there are any.
+func decisionLines(rec *explain.Recorder) func(id fleet.RequestID) ([]string, bool) {
 	return func(id fleet.RequestID) ([]string, bool) {
 		var lines []string
 		for _, d := range rec.About(string(id)) {
@@ -80,6 +81,7 @@
 	}
 }
 
+// listen binds the listener to addr.
 func (o *operators) listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -91,11 +93,13 @@
 
 func (o *operators) addr() string { return o.listener.Addr().String() }
 
-func (o *operators) serve() { o.served <- o.http.Serve(o.listener) }
+// serve serves until shutdown, which waits for it.
+func (o *operators) serve() { o.serveErr <- o.http.Serve(o.listener) }
 
+// shutdown closes the listener, waits for the calls in flight until ctx ends, and returns the error of serve.
 func (o *operators) shutdown(ctx context.Context) error {
 	if err := o.http.ShutdownWithContext(ctx); err != nil {
-		return fmt.Errorf("shut operators' listener down: %w", err)
+		return fmt.Errorf("shut down the operators' listener: %w", err)
 	}
-	return <-o.served
+	return <-o.serveErr
 }
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -17,16 +17,16 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream"
 )
 
-// Orders reach the engines of this fleet orderLag after they are acknowledged.
+// orderLag is the time between the acknowledgement of an order by an engine and its execution.
 const orderLag = 100 * time.Millisecond
 
-// startPlanned starts three instances before six engines that serve version 1 and ignore or check fencing
+// startPlanFleet starts three instances and six engines that serve version 1. The engines ignore or check fencing
 // numbers. The weight store has budget for two loads at once.
-func startPlanned(t *testing.T, fencing bool) *local.Fleet {
+func startPlanFleet(t *testing.T, fencing bool) *local.Fleet {
 	t.Helper()
 	f, err := local.Start(local.Config{
 		Entries: 3,
-		Intent:  versioned(cluster.ModelVersion),
+		Intent:  intentWithVersion(cluster.ModelVersion),
 		Cluster: cluster.Config{
 			Domains: []string{"north", "mid", "south"}, Region: "plains", EnginesPerDomain: 2,
 			Models: []string{model}, Service: service, TimeScale: 10, Seed: 1, WeightRate: 40, WeightBurst: 80,
@@ -41,24 +41,25 @@
 	}
 	t.Cleanup(f.Close)
 	for _, e := range f.Cluster.Engines {
-		if err := e.Switch(faults.DelayOrders, true, orderLag*10); err != nil { // engine time
+		if err := e.Switch(faults.DelayOrders, true, orderLag*10); err != nil { // in engine time: TimeScale is 10
 			t.Fatal(err)
 		}
 	}
 	return f
 }
 
-func versioned(version string) api.Intent {
+// intentWithVersion returns an intent of six replicas of the model in that version.
+func intentWithVersion(version string) api.Intent {
 	return api.Intent{Models: []api.Model{{Name: model, Version: version, Replicas: 6, Floor: 4, WeightGB: 40}}}
 }
 
-// atVersion counts the engines that answer and serve a version.
-func atVersion(f *local.Fleet, client *upstream.Client, version string) int {
+// countAtVersion returns the number of engines that answer and serve only that version.
+func countAtVersion(f *local.Fleet, client *upstream.Client, version string) int {
 	n := 0
 	for _, e := range f.Cluster.Engines {
 		s, err := client.State(context.Background(), e.Addr())
 		if err != nil {
-			continue // it is starting anew
+			continue // the engine is restarting
 		}
 		if len(s.Loaded) == 1 && s.Loaded[0].Version == version {
 			n++
@@ -67,54 +68,55 @@
 	return n
 }
 
-// An operator changes a model's version. In the middle of it the object API is gone for longer than a
-// lease, then an instance is stopped. The plan must end, with each engine loaded once, no order carried
-// out behind a newer one, and the weight store asked for each load once.
-func TestPlanEndsThroughOutageAndStop(t *testing.T) {
+// While a plan changes a model's version, the object API is unavailable for longer than a lease's TTL, and then an
+// instance is killed. The plan must complete: each engine loads once, no engine executes an order after a newer one, and
+// the weight store is asked once for each load.
+func TestPlanCompletesDespiteOutageAndStop(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		is := is.New(t)
-		f := startPlanned(t, fencing)
+		f := startPlanFleet(t, fencing)
 		client := upstream.New()
 		defer client.Close()
-		_, err := f.Apply(api.Change{Intent: ref(versioned("v2"))})
+		_, err := f.Apply(api.Change{Intent: intentPtr(intentWithVersion("v2"))})
 		is.NoErr(err)
-		eventually(t, "first engine has the new version", func() bool { return atVersion(f, client, "v2") >= 1 })
+		eventually(t, "the first engine has the new version", func() bool { return countAtVersion(f, client, "v2") >= 1 })
 
 		is.NoErr(f.Cluster.Objects.Switch(faults.RefuseEverything, true, 0))
-		time.Sleep(3 * time.Second) // longer than a lease: its holder stops by itself
-		stopped := orders(f)
+		time.Sleep(3 * time.Second) // longer than the TTL of a lease: its holder stops by itself
+		ordersBefore := ordersRun(f)
 		time.Sleep(500 * time.Millisecond)
-		is.Equal(orders(f), stopped) // nobody orders without a lease
+		is.Equal(ordersRun(f), ordersBefore) // no instance sends an order without a lease
 		is.NoErr(f.Cluster.Objects.Switch(faults.RefuseEverything, false, 0))
 
-		eventually(t, "the plan goes on", func() bool { return orders(f) > stopped })
+		eventually(t, "the plan continues", func() bool { return ordersRun(f) > ordersBefore })
 		f.Nodes[1].Kill()
-		eventually(t, "every engine has the new version", func() bool { return atVersion(f, client, "v2") == 6 })
-		is.Equal(orders(f), 6) // one load an engine
+		eventually(t, "every engine has the new version", func() bool { return countAtVersion(f, client, "v2") == 6 })
+		is.Equal(ordersRun(f), 6) // one load an engine
 		is.Equal(sum(f, func(c engine.Counters) int { return c.StaleRun }), 0)
 		is.Equal(f.Cluster.Weights.Counts().TakenGB, 240.0)
 	}
 }
 
-// An engine reboots an hour after a plan was done and serves what it was deployed with: callers get
-// answers of the old version from it. The plan in force is still the reference, and it is put right.
-func TestRebootedEngineIsPutRight(t *testing.T) {
+// An engine reboots after a plan is done and serves the version that it was deployed with, so callers receive answers of
+// the old version. The plan in force still states the target, and the executor loads the new version again.
+func TestRebootedEngineIsRepaired(t *testing.T) {
 	is := is.New(t)
-	f := startPlanned(t, false)
+	f := startPlanFleet(t, false)
 	client := upstream.New()
 	defer client.Close()
-	_, err := f.Apply(api.Change{Intent: ref(versioned("v2"))})
+	_, err := f.Apply(api.Change{Intent: intentPtr(intentWithVersion("v2"))})
 	is.NoErr(err)
-	eventually(t, "every engine has the new version", func() bool { return atVersion(f, client, "v2") == 6 })
+	eventually(t, "every engine has the new version", func() bool { return countAtVersion(f, client, "v2") == 6 })
 	e := f.Cluster.Engines[0]
 	is.NoErr(e.Switch(faults.Kill, true, 0))
 	is.NoErr(e.Switch(faults.Kill, false, 0))
-	eventually(t, "it serves the old version", func() bool { return atVersion(f, client, "v2") == 5 })
-	eventually(t, "it is put right", func() bool { return atVersion(f, client, "v2") == 6 })
+	eventually(t, "the rebooted engine serves the old version", func() bool { return countAtVersion(f, client, "v2") == 5 })
+	eventually(t, "the rebooted engine has the new version again", func() bool { return countAtVersion(f, client, "v2") == 6 })
 }
 
-func ref(in api.Intent) *api.Intent { return &in }
+func intentPtr(in api.Intent) *api.Intent { return &in }
 
-func orders(f *local.Fleet) int {
+// ordersRun returns the number of orders that all engines have executed.
+func ordersRun(f *local.Fleet) int {
 	return sum(f, func(c engine.Counters) int { return c.OrdersRun })
 }
--- a/internal/node/sink.go
+++ b/internal/node/sink.go
@@ -13,39 +13,39 @@
 	"github.com/damaskshelf/damaskshelf/internal/warm"
 )
 
-// roleLong is the role that puts an engine in a long lane.
-const roleLong = "long"
+// longLaneRole is the role of an engine that belongs to the long lane.
+const longLaneRole = "long"
 
-// sink hands engines' reports to the router and what they serve to the keeper.
+// sink distributes the reports of engines to the parts that use them. The embedded router receives the cache events.
 type sink struct {
 	*route.Router
 	keeper   *keeper.Keeper
 	follower *follow.Follower
 	limits   *warm.Limits
-	seen     *execute.ObservedModels
+	observed *execute.ObservedModels
 }
 
 var _ observe.Sink = sink{}
 
-// OnLoad takes an engine's load report, which also tells its boot and whether it is leaving.
+// OnLoad passes on an engine's load report. The follower uses its boot id and whether the engine is leaving.
 func (s sink) OnLoad(u *fleet.Upstream, l wire.LoadReport, at time.Time) {
 	s.follower.OnLoad(u, l.BootID, l.Leaving)
 	s.limits.OnLoad(u, l, at)
 	s.Router.OnLoad(u, l, at)
 }
 
-// OnSilent takes note that an engine did not report.
+// OnReportMissed passes on that an engine's report could not be read.
 func (s sink) OnReportMissed(u *fleet.Upstream, err error) {
 	s.limits.OnSilent(u, err)
 	s.Router.OnReportMissed(u, err)
 }
 
-// OnState takes what an engine serves.
+// OnState passes on an engine's state: its models and its lane go to the keeper, the loaded versions to the executor.
 func (s sink) OnState(u *fleet.Upstream, st wire.EngineState) {
-	served := keeper.ServingState{LongLane: st.Role == roleLong}
+	serving := keeper.ServingState{LongLane: st.Role == longLaneRole}
 	for _, l := range st.Loaded {
-		served.Models = append(served.Models, l.Model)
+		serving.Models = append(serving.Models, l.Model)
 	}
-	s.keeper.SetServingState(u.ID, served)
-	s.seen.Set(u.ID, st.Loaded)
+	s.keeper.SetServingState(u.ID, serving)
+	s.observed.Set(u.ID, st.Loaded)
 }
--- a/internal/node/sweep.go
+++ b/internal/node/sweep.go
@@ -15,7 +15,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream"
 )
 
-// newSweeper frees reservations of engines that nobody is left to release.
+// newSweeper returns the sweeper, which releases reservations on engines that no holder will release.
 func newSweeper(s api.Settings, r *route.Router, k *keeper.Keeper, f *follow.Follower, c *upstream.Client,
 	rec *explain.Recorder, m *metrics.Registry, log hclog.Logger) *sweep.Sweeper {
 	return sweep.New(sweep.Deps{
--- a/internal/node/warm.go
+++ b/internal/node/warm.go
@@ -14,9 +14,10 @@
 	"github.com/damaskshelf/damaskshelf/internal/warm"
 )
 
-// warmUpEvery is the pause between two prompts that warm one engine up.
-const warmUpEvery = 100 * time.Millisecond
+// warmUpInterval is the time between two warm-up prompts to one engine.
+const warmUpInterval = 100 * time.Millisecond
 
+// newLimits returns the limits of what this instance sends to cold or unhealthy upstreams.
 func newLimits(s api.Settings, k *keeper.Keeper, rec *explain.Recorder, log hclog.Logger) *warm.Limits {
 	i := s.Intervals
 	return warm.New(warm.Config{
@@ -25,25 +26,25 @@
 	})
 }
 
-// listTap tells the limits of every read of the instance list: how fresh it is decides about slots, also
-// when nothing in it changed.
-type listTap struct {
+// listObserver passes every successful read of the instance list to the limits, also if the list has not changed: the
+// limits assign slots by how fresh the list is.
+type listObserver struct {
 	list   objects.InstanceLister
 	limits *warm.Limits
 }
 
 // Instances implements objects.Instances.
-func (t listTap) Instances(ctx context.Context) (wire.InstanceList, error) {
-	began := time.Now()
+func (t listObserver) Instances(ctx context.Context) (wire.InstanceList, error) {
+	start := time.Now()
 	l, err := t.list.Instances(ctx)
 	if err == nil {
-		t.limits.OnList(l.Version, liveEntries(l), began)
+		t.limits.OnList(l.Version, liveInstances(l), start)
 	}
 	return l, err
 }
 
-// liveEntries are the instances that slots are dealt to; one that is leaving gives its own up.
-func liveEntries(l wire.InstanceList) []string {
+// liveInstances returns the ids of the instances that slots are assigned to. One that is leaving has none.
+func liveInstances(l wire.InstanceList) []string {
 	var ids []string
 	for _, i := range l.Instances {
 		if i.Kind == wire.KindEntry && i.State == wire.StateLive {
