--- a/internal/operate/command/command.go
+++ b/internal/operate/command/command.go
@@ -1,4 +1,4 @@
-// Package command holds the operators' calls that change something: propose, confirm and stop a plan.
+// Package command holds the operators' calls that change something: they propose, confirm and stop plans.
 package command
 
 import (
@@ -20,35 +20,35 @@
 	"github.com/damaskshelf/damaskshelf/internal/settle"
 )
 
-// Keys of the objects that plans live in.
+// Kinds of the objects that hold the configuration and the plans.
 const (
 	KindConfig = "config"
 	KindPlan   = "plans"
 )
 
-// ConfigKey is the one configuration's object.
+// ConfigKey is the key of the object that holds the configuration in force.
 var ConfigKey = objects.Key{Kind: KindConfig, Name: "current"}
 
-// PlanKey is a plan's object.
+// PlanKey returns the key of a plan's object.
 func PlanKey(id string) objects.Key { return objects.Key{Kind: KindPlan, Name: id} }
 
-// callTimeout bounds an operator's call. A lost answer of the store is settled within it.
+// callTimeout limits an operator's call, including the time to resolve a write whose response from the store was lost.
 const callTimeout = 10 * time.Second
 
-// maxObject is the largest value that the object API holds.
-const maxObject = 1 << 20
+// maxObjectBytes is the size of the largest value that the object API accepts.
+const maxObjectBytes = 1 << 20
 
-// Service makes the changes.
+// Service handles the calls that change something.
 type Service struct {
 	Store      objects.Store
 	View       func() *fleet.View
 	Log        hclog.Logger
 	NewID      func() string
-	Upstreams  Prober // nil: what the view shows is taken
-	WeightRate int64  // weight store's, in gigabytes an hour; 0: not known
+	Upstreams  Prober // nil: models are those of the view, utilization is unknown
+	WeightRate int64  // rate of the weight store, gigabytes per hour; 0: unknown
 }
 
-// Propose makes a plan from an api.Change and keeps it; nothing else changes.
+// Propose makes a plan for the api.Change in the request's body and stores it. It changes nothing else.
 func (s *Service) Propose(rc *fasthttp.RequestCtx) (any, error) {
 	var change api.Change
 	if err := api.DecodeStrict(rc.PostBody(), &change); err != nil {
@@ -59,11 +59,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	plan, err := s.make(ctx, change)
+	plan, err := s.newPlan(ctx, change)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.keep(ctx, plan, 0); err != nil {
+	if err := s.savePlan(ctx, plan, 0); err != nil {
 		return nil, err
 	}
 	s.Log.Info("plan proposed", "plan", plan.ID, "base_config", plan.Base.ConfigVersion, "steps", len(plan.Steps),
@@ -71,40 +71,40 @@
 	return plan, nil
 }
 
-// Stop ends the working off of a plan where it stands. A new plan can be made from there.
+// Stop stops a plan and its execution. Steps that are done stay as they are, and a new plan can be made from there.
 func (s *Service) Stop(rc *fasthttp.RequestCtx) (any, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	plan, version, err := s.load(ctx, planID(rc))
+	plan, version, err := s.loadPlan(ctx, planID(rc))
 	if err != nil {
 		return nil, err
 	}
 	if plan.State != api.PlanStopped {
 		plan.State = api.PlanStopped
-		if err := s.keep(ctx, plan, version); err != nil {
+		if err := s.savePlan(ctx, plan, version); err != nil {
 			return nil, err
 		}
 	}
-	// Executors look at the mark with the progress, not at the plan; an operator's repeat mends a mark
-	// that could not be written.
-	if err := s.mark(ctx, plan.ID); err != nil {
+	// Executors don't read the plan's state but the stop mark, together with the progress. If the mark can't be written
+	// now, it is written when the operator repeats the call.
+	if err := s.markStopped(ctx, plan.ID); err != nil {
 		return nil, err
 	}
 	s.Log.Info("plan stopped", "plan", plan.ID)
 	return plan, nil
 }
 
-// mark names the stopped plan to the executors.
-func (s *Service) mark(ctx context.Context, id string) error {
+// markStopped writes the stop mark, the object from which executors read the id of the stopped plan.
+func (s *Service) markStopped(ctx context.Context, id string) error {
 	var stop execute.StoppedPlan
-	version, err := s.read(ctx, execute.StoppedPlanKey, &stop)
+	version, err := s.readObject(ctx, execute.StoppedPlanKey, &stop)
 	if err != nil && !errors.Is(err, objects.ErrNotFound) {
 		return readFault(err)
 	}
 	if stop.PlanID == id {
 		return nil
 	}
-	_, err = s.write(ctx, execute.StoppedPlanKey, version, execute.StoppedPlan{PlanID: id})
+	_, err = s.writeObject(ctx, execute.StoppedPlanKey, version, execute.StoppedPlan{PlanID: id})
 	return err
 }
 
@@ -113,26 +113,29 @@
 	return id
 }
 
-// config gives the configuration and its version; version 0 with an empty one where there is none.
-func (s *Service) config(ctx context.Context) (api.Config, uint64, error) {
+// currentConfig returns the configuration in force and its version. If there is none yet, it returns an empty one with
+// version 0.
+func (s *Service) currentConfig(ctx context.Context) (api.Config, uint64, error) {
 	var c api.Config
-	version, err := s.read(ctx, ConfigKey, &c)
+	version, err := s.readObject(ctx, ConfigKey, &c)
 	if errors.Is(err, objects.ErrNotFound) {
 		return api.Config{}, 0, nil
 	}
 	return c, version, readFault(err)
 }
 
-func (s *Service) load(ctx context.Context, id string) (api.Plan, uint64, error) {
+// loadPlan returns a plan and the version of its object.
+func (s *Service) loadPlan(ctx context.Context, id string) (api.Plan, uint64, error) {
 	var p api.Plan
-	version, err := s.read(ctx, PlanKey(id), &p)
+	version, err := s.readObject(ctx, PlanKey(id), &p)
 	if errors.Is(err, objects.ErrNotFound) {
 		return api.Plan{}, 0, fault.New(fault.NotFound, "no plan %q", id)
 	}
 	return p, version, readFault(err)
 }
 
-func (s *Service) read(ctx context.Context, key objects.Key, out any) (uint64, error) {
+// readObject decodes an object into out and returns its version.
+func (s *Service) readObject(ctx context.Context, key objects.Key, out any) (uint64, error) {
 	o, err := s.Store.Get(ctx, key)
 	if err != nil {
 		return 0, err
@@ -147,7 +150,7 @@
 	return nil
 }
 
-// readFault is the answer to a read of the store that failed before anything was written.
+// readFault returns the fault for a failed read of the store, before anything was written; nil for a nil error.
 func readFault(err error) error {
 	if err == nil {
 		return nil
@@ -155,21 +158,22 @@
 	return &fault.Error{Kind: fault.StoreUnavailable, Run: fault.RunNo, Detail: "the object API could not be read", Cause: err}
 }
 
-// keep writes a plan's object.
-func (s *Service) keep(ctx context.Context, plan api.Plan, ifVersion uint64) error {
-	_, err := s.write(ctx, PlanKey(plan.ID), ifVersion, plan)
+// savePlan writes a plan's object if the object has version ifVersion.
+func (s *Service) savePlan(ctx context.Context, plan api.Plan, ifVersion uint64) error {
+	_, err := s.writeObject(ctx, PlanKey(plan.ID), ifVersion, plan)
 	return err
 }
 
-// write makes a conditional write and gives its version once it is known to have taken effect.
-func (s *Service) write(ctx context.Context, key objects.Key, ifVersion uint64, value any) (uint64, error) {
+// writeObject writes an object if it has version ifVersion. It returns the new version once the write is known to have
+// taken effect. An error with fault.RunUnknown means that the write may have taken effect; with any other, it has not.
+func (s *Service) writeObject(ctx context.Context, key objects.Key, ifVersion uint64, value any) (uint64, error) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return 0, fmt.Errorf("encode object %s: %w", key, err)
 	}
-	if len(data) > maxObject {
+	if len(data) > maxObjectBytes {
 		return 0, fault.New(fault.PlanRejected, "%s would take %d bytes, the object API holds %d; change less at once",
-			key, len(data), maxObject)
+			key, len(data), maxObjectBytes)
 	}
 	version, err := settle.Put(ctx, s.Store, objects.Write{
 		Key: key, IfVersion: ifVersion, WriteID: s.NewID(), Value: data,
@@ -179,13 +183,13 @@
 	case err == nil:
 		return version, nil
 	case errors.As(err, &conflict) && !errors.Is(err, settle.ErrUnknown):
-		return 0, fault.New(fault.PlanConflict, "object %s was changed meanwhile: version %d was expected, it is at %d",
+		return 0, fault.New(fault.PlanConflict, "object %s has changed: expected version %d, found version %d",
 			key, ifVersion, conflict.Current)
 	case errors.Is(err, objects.ErrUnavailable) && !errors.Is(err, settle.ErrUnknown):
 		return 0, &fault.Error{Kind: fault.StoreUnavailable, Run: fault.RunNo,
-			Detail: "the object API can't be reached; nothing was changed", Cause: err}
+			Detail: "the object API is unavailable; nothing was changed", Cause: err}
 	default:
 		return 0, &fault.Error{Kind: fault.StoreUnavailable, Run: fault.RunUnknown,
-			Detail: "the object API did not answer; ask for the status before trying again", Cause: err}
+			Detail: "the object API did not answer and the change may have taken effect; check the status before a retry", Cause: err}
 	}
 }
--- a/internal/operate/command/propose.go
+++ b/internal/operate/command/propose.go
@@ -12,53 +12,55 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// make works out the plan of a change from the current configuration and from what engines say that they
-// have loaded.
-func (s *Service) make(ctx context.Context, change api.Change) (api.Plan, error) {
-	current, version, err := s.config(ctx)
+// newPlan returns a plan for a change, computed from the current configuration and from the models that engines have
+// loaded.
+func (s *Service) newPlan(ctx context.Context, change api.Change) (api.Plan, error) {
+	current, version, err := s.currentConfig(ctx)
 	if err != nil {
 		return api.Plan{}, err
 	}
 	view := s.View()
-	if err := validate(change, current, view); err != nil {
+	if err := validateChange(change, current, view); err != nil {
 		return api.Plan{}, fault.New(fault.BadRequest, "%v", err)
 	}
 	p := api.Plan{
 		ID: s.NewID(), State: api.PlanProposed, Change: change, Base: api.Base{ConfigVersion: version, PlanID: current.PlanID},
-		After: apply(change, current),
+		After: applyChange(change, current),
 	}
 	p.After.PlanID = p.ID
 	p.Change.Intent = nil
-	return p, s.fill(ctx, &p, current, view)
+	return p, s.computeEffects(ctx, &p, current, view)
 }
 
-// fill adds steps, words and cost to a plan, or gives the reason why it is rejected.
-func (s *Service) fill(ctx context.Context, p *api.Plan, current api.Config, view *fleet.View) error {
+// computeEffects adds the steps, the cost, a summary and the impact on callers to a plan. It returns an error if the
+// plan is rejected.
+func (s *Service) computeEffects(ctx context.Context, p *api.Plan, current api.Config, view *fleet.View) error {
 	probes := s.survey(ctx, view, current.Intent)
 	if p.ChangesIntent() {
-		p.Summary = compare(current.Intent, p.After.Intent)
-	} else if err := s.assess(p, probes); err != nil {
+		p.Summary = describeIntentChange(current.Intent, p.After.Intent)
+	} else if err := s.assessDomain(p, probes); err != nil {
 		return err
 	}
 	if p.ChangesIntent() || len(p.After.Intent.Models) > 0 {
-		if err := s.place(p, current, probes); err != nil {
+		if err := s.planPlacement(p, current, probes); err != nil {
 			return err
 		}
 	}
 	for _, probe := range probes {
-		if probe.silent {
-			p.Impact = append(p.Impact, fmt.Sprintf("engine %s did not answer; it is taken as last seen", probe.upstream.ID))
+		if probe.unreachable {
+			p.Impact = append(p.Impact, fmt.Sprintf("engine %s did not answer; its last known models are assumed", probe.upstream.ID))
 		}
 	}
 	return nil
 }
 
-// assess judges a failure domain's change.
-func (s *Service) assess(p *api.Plan, probes []probe) error {
+// assessDomain assesses the drain or restoration of a failure domain. It adds the result to p, or returns an error if
+// the change is rejected.
+func (s *Service) assessDomain(p *api.Plan, probes []probeResult) error {
 	change := p.Change
 	r := drain.Assess(drain.Input{
 		Domain: change.Drain + change.Restore, Restore: change.Restore != "",
-		Groups: groups(probes, p.After), Force: change.Force,
+		Groups: drainGroups(probes, p.After), Force: change.Force,
 	})
 	s.Log.Info("failure domain judged", "plan", p.ID, "failure_domain", change.Drain+change.Restore, "reason", string(r.Reason))
 	if r.Rejected != "" {
@@ -70,10 +72,11 @@
 	return nil
 }
 
-// place plans the engines. A fleet for which no intent was ever stated keeps what it was deployed with.
-func (s *Service) place(p *api.Plan, current api.Config, probes []probe) error {
+// planPlacement adds the steps that bring the engines to the plan's intent. It returns an error if the plan is rejected.
+// It is not called while no intent has ever been stated: the engines then keep the models that they were deployed with.
+func (s *Service) planPlacement(p *api.Plan, current api.Config, probes []probeResult) error {
 	r := plan.Make(plan.Input{
-		Before: current.Intent, After: p.After.Intent, Engines: engines(probes, p.After),
+		Before: current.Intent, After: p.After.Intent, Engines: planEngines(probes, p.After),
 		WeightRate: s.WeightRate, Force: p.Change.Force,
 	})
 	s.Log.Info("placement planned", "plan", p.ID, "reason", string(r.Reason), "steps", len(r.Steps))
@@ -87,17 +90,17 @@
 	return nil
 }
 
-// validate checks a change against the fleet as it is.
-func validate(change api.Change, current api.Config, view *fleet.View) error {
+// validateChange returns an error if the current fleet and configuration don't allow a change.
+func validateChange(change api.Change, current api.Config, view *fleet.View) error {
 	domains := knownDomains(view)
 	if change.Intent != nil {
 		return change.Intent.ValidateDomains(domains)
 	}
-	out := slices.Contains(current.DomainsOut, change.Drain+change.Restore)
+	drained := slices.Contains(current.DomainsOut, change.Drain+change.Restore)
 	switch {
-	case change.Drain != "" && out:
+	case change.Drain != "" && drained:
 		return fmt.Errorf("failure domain %s is out already", change.Drain)
-	case change.Restore != "" && !out:
+	case change.Restore != "" && !drained:
 		return fmt.Errorf("failure domain %s is not out", change.Restore)
 	case change.Drain != "" && !slices.Contains(domains, change.Drain):
 		return fmt.Errorf("failure domain %q is not known; known: %v", change.Drain, domains)
@@ -105,7 +108,7 @@
 	return nil
 }
 
-// knownDomains lists the failure domains that the view shows, sorted.
+// knownDomains returns the failure domains of all upstreams and instances in view, sorted.
 func knownDomains(view *fleet.View) []string {
 	var domains []string
 	for _, u := range view.Upstreams {
@@ -118,8 +121,8 @@
 	return slices.Compact(domains)
 }
 
-// apply gives the configuration after a change.
-func apply(change api.Change, current api.Config) api.Config {
+// applyChange returns the configuration after a change. The plan's id is not set.
+func applyChange(change api.Change, current api.Config) api.Config {
 	after := api.Config{Intent: current.Intent, DomainsOut: slices.Clone(current.DomainsOut)}
 	switch {
 	case change.Intent != nil:
@@ -133,8 +136,8 @@
 	return after
 }
 
-// compare says in words how one intent differs from another.
-func compare(before, after api.Intent) []string {
+// describeIntentChange describes how one intent differs from another, one difference a line.
+func describeIntentChange(before, after api.Intent) []string {
 	var lines []string
 	for _, m := range after.Models {
 		i := slices.IndexFunc(before.Models, func(b api.Model) bool { return b.Name == m.Name })
--- a/internal/operate/command/survey.go
+++ b/internal/operate/command/survey.go
@@ -13,63 +13,66 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// Prober asks engines what they have loaded and how busy they are.
+// Prober reads which models an engine has loaded and how much of its capacity is in use.
 type Prober interface {
 	State(ctx context.Context, addr string) (wire.EngineState, error)
 	Load(ctx context.Context, addr string) (wire.LoadReport, error)
 }
 
-// surveyAtOnce bounds the engines asked at the same time.
-const surveyAtOnce = 32
+// surveyConcurrency is the largest number of engines that are queried at the same time.
+const surveyConcurrency = 32
 
-// probe is what one upstream said. Engines that did not answer are taken as the view last saw them.
-type probe struct {
-	upstream *fleet.Upstream
-	loaded   []api.LoadedModel
-	silent   bool
-	busy     float64 // below zero: not known
+// probeResult is the state of one upstream. For an engine that did not answer, loaded holds the models that the view
+// shows.
+type probeResult struct {
+	upstream    *fleet.Upstream
+	loaded      []api.LoadedModel
+	unreachable bool    // the engine did not answer
+	utilization float64 // share of the capacity in use; below zero: unknown
 }
 
-// survey asks every engine in view; the result is in the view's order.
-func (s *Service) survey(ctx context.Context, view *fleet.View, current api.Intent) []probe {
-	probes := make([]probe, len(view.Upstreams))
+// survey queries all engines in view. The results are in the view's order and include the upstreams that run no model,
+// which are not queried.
+func (s *Service) survey(ctx context.Context, view *fleet.View, current api.Intent) []probeResult {
+	probes := make([]probeResult, len(view.Upstreams))
 	var group errgroup.Group
-	group.SetLimit(surveyAtOnce)
+	group.SetLimit(surveyConcurrency)
 	for i, u := range view.Upstreams {
-		probes[i] = probe{upstream: u, busy: -1}
+		probes[i] = probeResult{upstream: u, utilization: -1}
 		if u.Kind == fleet.Engine {
 			group.Go(func() error {
-				s.ask(ctx, &probes[i], current)
+				s.queryEngine(ctx, &probes[i], current)
 				return nil
 			})
 		}
 	}
-	_ = group.Wait() // asking can't fail: silence is a result
+	_ = group.Wait() // no query returns an error: an unreachable engine is a result
 	return probes
 }
 
-func (s *Service) ask(ctx context.Context, p *probe, current api.Intent) {
+// queryEngine fills in p for one engine. current is the intent in force, for an engine that is unreachable.
+func (s *Service) queryEngine(ctx context.Context, p *probeResult, current api.Intent) {
 	if s.Upstreams == nil {
-		p.loaded = lastSeen(p.upstream, current)
+		p.loaded = modelsInView(p.upstream, current)
 		return
 	}
 	state, err := s.Upstreams.State(ctx, p.upstream.Addr)
 	if err != nil {
-		p.silent = true
-		p.loaded = lastSeen(p.upstream, current)
+		p.unreachable = true
+		p.loaded = modelsInView(p.upstream, current)
 		return
 	}
 	for _, l := range state.Loaded {
 		p.loaded = append(p.loaded, api.LoadedModel{Model: l.Model, Version: l.Version, Adapters: l.Adapters})
 	}
 	if load, err := s.Upstreams.Load(ctx, p.upstream.Addr); err == nil {
-		p.busy = busy(load)
+		p.utilization = utilization(load)
 	}
 }
 
-// busy estimates the share of an engine's capacity in use: of its memory, or of its time where prompts
-// wait. A second's worth of waiting prompts counts as fully busy.
-func busy(l wire.LoadReport) float64 {
+// utilization estimates the share of an engine's capacity that is in use. It is the greater of the share of its memory
+// and the prefill time of the queued prompts in seconds, at most 1: prompts for one second count as full use.
+func utilization(l wire.LoadReport) float64 {
 	share := 0.0
 	if l.MemoryTotal > 0 {
 		share = float64(l.MemoryUsed) / float64(l.MemoryTotal)
@@ -80,8 +83,8 @@
 	return share
 }
 
-// lastSeen takes the models that the view shows, in the versions of the intent in force.
-func lastSeen(u *fleet.Upstream, current api.Intent) []api.LoadedModel {
+// modelsInView returns the models that the view shows for an upstream, in the versions of the intent in force.
+func modelsInView(u *fleet.Upstream, current api.Intent) []api.LoadedModel {
 	var all []api.LoadedModel
 	for _, name := range u.Models {
 		l := api.LoadedModel{Model: name}
@@ -93,8 +96,8 @@
 	return all
 }
 
-// engines gives the planner's picture of a survey.
-func engines(probes []probe, after api.Config) []plan.Engine {
+// planEngines returns the engines of a survey in the form that the planner needs.
+func planEngines(probes []probeResult, after api.Config) []plan.Engine {
 	var all []plan.Engine
 	for _, p := range probes {
 		u := p.upstream
@@ -103,23 +106,24 @@
 		}
 		all = append(all, plan.Engine{
 			ID: string(u.ID), Domain: string(u.Domain), Memory: u.KVCacheTokens, Loaded: p.loaded,
-			AvailableBefore: u.AcceptsWork(), AvailableAfter: usable(u, after),
+			AvailableBefore: u.AcceptsWork(), AvailableAfter: acceptsWorkAfter(u, after),
 		})
 	}
 	return all
 }
 
-// usable tells whether an upstream takes new work once a configuration is in force.
-func usable(u *fleet.Upstream, after api.Config) bool {
+// acceptsWorkAfter reports whether an upstream accepts new work once the configuration after is in force.
+func acceptsWorkAfter(u *fleet.Upstream, after api.Config) bool {
 	return !u.Leaving && !slices.Contains(after.DomainsOut, string(u.Domain))
 }
 
-// groups sums a survey up by model and plain service.
-func groups(probes []probe, after api.Config) []drain.Group {
+// drainGroups sums up a survey for each model and each service. The utilization of a model is the mean of the engines
+// that accept work and whose utilization is known.
+func drainGroups(probes []probeResult, after api.Config) []drain.Group {
 	var all []drain.Group
-	sum := map[string]float64{}
-	known := map[string]int{}
-	at := func(kind, name string) int {
+	utilizationSum := map[string]float64{}
+	utilizationCount := map[string]int{}
+	groupIndex := func(kind, name string) int {
 		i := slices.IndexFunc(all, func(g drain.Group) bool { return g.Kind == kind && g.Name == name })
 		if i < 0 {
 			all = append(all, drain.Group{Kind: kind, Name: name, Utilization: -1})
@@ -129,31 +133,32 @@
 	}
 	for _, p := range probes {
 		if p.upstream.Kind == fleet.Service {
-			count(&all[at("service", p.upstream.Service)], p.upstream, after)
+			addToGroup(&all[groupIndex("service", p.upstream.Service)], p.upstream, after)
 			continue
 		}
 		for _, l := range p.loaded {
-			count(&all[at("model", l.Model)], p.upstream, after)
-			if p.busy >= 0 && p.upstream.AcceptsWork() {
-				sum[l.Model] += p.busy
-				known[l.Model]++
+			addToGroup(&all[groupIndex("model", l.Model)], p.upstream, after)
+			if p.utilization >= 0 && p.upstream.AcceptsWork() {
+				utilizationSum[l.Model] += p.utilization
+				utilizationCount[l.Model]++
 			}
 		}
 	}
 	for i := range all {
-		if g := &all[i]; g.Kind == "model" && known[g.Name] > 0 {
-			g.Utilization = sum[g.Name] / float64(known[g.Name])
+		if g := &all[i]; g.Kind == "model" && utilizationCount[g.Name] > 0 {
+			g.Utilization = utilizationSum[g.Name] / float64(utilizationCount[g.Name])
 		}
 	}
 	return all
 }
 
-func count(g *drain.Group, u *fleet.Upstream, after api.Config) {
+// addToGroup counts an upstream and its memory in a group, as far as it accepts work now and once after is in force.
+func addToGroup(g *drain.Group, u *fleet.Upstream, after api.Config) {
 	if u.AcceptsWork() {
 		g.UpstreamsBefore++
 		g.MemoryBefore += u.KVCacheTokens
 	}
-	if usable(u, after) {
+	if acceptsWorkAfter(u, after) {
 		g.UpstreamsAfter++
 		g.MemoryAfter += u.KVCacheTokens
 	}
--- a/internal/operate/cost_test.go
+++ b/internal/operate/cost_test.go
@@ -12,35 +12,35 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// counted counts an instance's calls to the store.
-type counted struct {
+// countingStore counts the calls to a store.
+type countingStore struct {
 	*memory.Store
 	reads, writes int
 }
 
-func (c *counted) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
+func (c *countingStore) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
 	c.reads++
 	return c.Store.Get(ctx, key)
 }
 
-func (c *counted) Put(ctx context.Context, w objects.Write) (uint64, error) {
+func (c *countingStore) Put(ctx context.Context, w objects.Write) (uint64, error) {
 	c.writes++
 	return c.Store.Put(ctx, w)
 }
 
-func (c *counted) Delete(ctx context.Context, key objects.Key, ifVersion uint64) error {
+func (c *countingStore) Delete(ctx context.Context, key objects.Key, ifVersion uint64) error {
 	c.writes++
 	return c.Store.Delete(ctx, key, ifVersion)
 }
 
-// What proposing and confirming one change costs the store: the figures of docs/design/plans.md.
-func TestStoreCallsOfAChange(t *testing.T) {
+// A proposed and confirmed change causes a bounded number of store calls; docs/design/plans.md states these numbers.
+func TestStoreCallsPerChange(t *testing.T) {
 	is := is.New(t)
-	store := &counted{Store: memory.New()}
-	s := newSide(t, store)
+	store := &countingStore{Store: memory.New()}
+	s := newTestServer(t, store)
 	const changes = 10
 	for i := range changes {
-		p := s.propose(intent(6 - i%2))
+		p := s.propose(intentChange(6 - i%2))
 		var c api.Confirmation
 		is.Equal(s.call("POST", confirmPath(p), nil, &c), 200)
 		s.view.Store(newView(p.After, c.ConfigVersion))
--- a/internal/operate/lost_test.go
+++ b/internal/operate/lost_test.go
@@ -13,57 +13,58 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/memory"
 )
 
-// An operator confirms; the store writes it, and its answer is lost. Without settling, the operator is
-// told that it failed while the whole fleet has it in force.
+// The store performs the write of a confirmation, and its response is lost. The write must be resolved: otherwise the
+// operator receives an error although the configuration is in force on the whole fleet.
 func TestConfirmationWithLostAnswerIsAccepted(t *testing.T) {
 	is := is.New(t)
-	store := &loseOnce{Store: memory.New(), before: func() {}, after: func() {}}
-	s := newSide(t, store)
-	p := s.propose(intent(2))
+	store := &lostAnswerStore{Store: memory.New(), beforeWrite: func() {}, afterWrite: func() {}}
+	s := newTestServer(t, store)
+	p := s.propose(intentChange(2))
 	store.armed.Store(true)
 	var c api.Confirmation
 	is.Equal(s.call("POST", confirmPath(p), nil, &c), 200)
 	is.Equal(c.PlanID, p.ID)
 }
 
-type loseOnce struct {
+// lostAnswerStore performs one write and returns an error for it.
+type lostAnswerStore struct {
 	*memory.Store
-	armed  atomic.Bool
-	before func() // runs before the write takes effect
-	after  func() // runs after it, before the answer is lost
+	armed       atomic.Bool // the next write's response is lost
+	beforeWrite func()      // runs before the write takes effect
+	afterWrite  func()      // runs after the write, before its response is lost
 }
 
-func (l *loseOnce) Put(ctx context.Context, w objects.Write) (uint64, error) {
+func (l *lostAnswerStore) Put(ctx context.Context, w objects.Write) (uint64, error) {
 	if !l.armed.CompareAndSwap(true, false) {
 		return l.Store.Put(ctx, w)
 	}
-	l.before()
+	l.beforeWrite()
 	_, _ = l.Store.Put(ctx, w)
-	l.after()
+	l.afterWrite()
 	return 0, errors.New("answer lost")
 }
 
-// The answer to a confirmation is lost, and another operator's change comes on top before it is settled.
-// Whether the first took effect is told from what the second was made from: "accepted" if it was made
-// from the first's version, a conflict if from the same version as the first.
-func TestConfirmationUnderAnothersIsSettled(t *testing.T) {
-	for _, afterwards := range []bool{true, false} {
+// The response to a confirmation's write is lost, and another operator's change is confirmed before that write is
+// resolved. The version that the second plan was made from shows whether the first write took effect: the first plan is
+// accepted if the second was made from its version, and is a conflict if both were made from the same version.
+func TestLostConfirmationIsResolvedAfterAnotherChange(t *testing.T) {
+	for _, rivalIsLater := range []bool{true, false} {
 		is := is.New(t)
-		nothing := func() {}
-		store := &loseOnce{Store: memory.New(), before: nothing, after: nothing}
-		s := newSide(t, store)
-		p, rival := s.propose(intent(6)), s.propose(api.Change{Drain: "a"})
+		noop := func() {}
+		store := &lostAnswerStore{Store: memory.New(), beforeWrite: noop, afterWrite: noop}
+		s := newTestServer(t, store)
+		p, rival := s.propose(intentChange(6)), s.propose(api.Change{Drain: "a"})
 		confirmRival := func() {
-			if afterwards {
+			if rivalIsLater {
 				rival = s.propose(api.Change{Drain: "a"})
 			}
 			var c api.Confirmation
 			is.Equal(s.call("POST", confirmPath(rival), nil, &c), 200)
 		}
-		if afterwards {
-			store.after = confirmRival
+		if rivalIsLater {
+			store.afterWrite = confirmRival
 		} else {
-			store.before = confirmRival
+			store.beforeWrite = confirmRival
 		}
 		store.armed.Store(true)
 		var got struct {
@@ -71,7 +72,7 @@
 			Error string
 		}
 		status := s.call("POST", confirmPath(p), nil, &got)
-		if afterwards {
+		if rivalIsLater {
 			is.Equal(status, 200)
 			is.Equal(got.Plan, p.ID)
 			continue
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -1,5 +1,5 @@
-// Package operate is the operators' HTTP side: its listener's routes, the bearer token and the one place
-// where a fault becomes an answer. Package command changes things, package query reads.
+// Package operate is the operators' HTTP API: its routes, the check of the bearer token, and the conversion of faults
+// to responses. Package command holds the calls that change something, package query those that only read.
 package operate
 
 import (
@@ -23,43 +23,44 @@
 
 // Paths of the operators' API.
 const (
-	PathPlans   = "/v1/plans"              // POST api.Change, answers api.Plan
-	PathPlan    = "/v1/plans/{id}"         // GET
-	PathConfirm = "/v1/plans/{id}/confirm" // POST, answers api.Confirmed
-	PathStop    = "/v1/plans/{id}/stop"    // POST, answers api.Plan
-	PathStatus  = "/v1/status"             // GET; ?version=N asks in how many instances N is in force
-	PathExplain = "/v1/explain/{id}"       // GET, of a request id
+	PathPlans   = "/v1/plans"              // POST an api.Change; returns an api.Plan
+	PathPlan    = "/v1/plans/{id}"         // GET; returns an api.Plan
+	PathConfirm = "/v1/plans/{id}/confirm" // POST; returns the plan's id and the version of its configuration
+	PathStop    = "/v1/plans/{id}/stop"    // POST; returns an api.Plan
+	PathStatus  = "/v1/status"             // GET; returns an api.Status; ?version=N: it counts version N in force
+	PathExplain = "/v1/explain/{id}"       // GET with a request id; returns query.Decisions
 )
 
-// Deps is what the operators' side needs of its instance.
+// Deps are the parts of the instance that the operators' API uses.
 type Deps struct {
 	Instance fleet.InstanceID
 	Store    objects.Store
 	View     func() *fleet.View
 	Log      hclog.Logger
-	NewID    func() string // fresh ids of plans and writes
-	Token    string        // bearer token; empty: none asked, the listener is bound to loopback
+	NewID    func() string // returns a new unique id for a plan or a write
+	Token    string        // bearer token; empty: no token is required, the listener is bound to loopback
 
-	// Explain gives the decisions kept for a request; nil where none are kept.
+	// Explain returns the decision lines kept for a request and whether there are any; nil: none are kept.
 	Explain func(id fleet.RequestID) ([]string, bool)
-	// InForce tells how many of the known instances have a configuration version in force; nil: unknown.
+	// CountInForce returns how many of the known instances have a configuration version in force; nil: unknown.
 	CountInForce func(version uint64) (have, of int)
-	// Upstreams asks engines what they have loaded and how busy they are; nil: taken from the View.
+	// Upstreams reads which models engines have loaded and how much of their capacity is in use; nil: the models are
+	// those of the View, and the use is unknown.
 	Upstreams command.Prober
-	// WeightRate is the weight store's rate in gigabytes an hour; 0: not known.
+	// WeightRate is the rate of the weight store in gigabytes per hour; 0: unknown.
 	WeightRate int64
 }
 
-// ErrorBody is the body of every refusal and failure.
+// ErrorBody is the body of every response that is not a success.
 type ErrorBody struct {
-	Error  string `json:"error"` // kind, of the closed list
+	Error  string `json:"error"` // name of a fault.Kind
 	Run    string `json:"run"`   // no, yes or unknown
 	Detail string `json:"detail,omitempty"`
 }
 
 // Register adds the operators' routes to r.
 func Register(r *router.Router, d Deps) {
-	s := &server{log: d.Log, token: sha256.Sum256([]byte(d.Token)), open: d.Token == ""}
+	s := &server{log: d.Log, token: sha256.Sum256([]byte(d.Token)), noAuth: d.Token == ""}
 	commands := &command.Service{
 		Store: d.Store, View: d.View, Log: d.Log, NewID: d.NewID,
 		Upstreams: d.Upstreams, WeightRate: d.WeightRate,
@@ -75,53 +76,55 @@
 	r.GET(PathExplain, s.handle(queries.Decisions))
 }
 
+// server checks the token and writes the responses.
 type server struct {
-	log   hclog.Logger
-	token [sha256.Size]byte
-	open  bool
+	log    hclog.Logger
+	token  [sha256.Size]byte // hash of the bearer token
+	noAuth bool              // no token is required
 }
 
-// handle wraps a handler that gives a value to answer as JSON, or an error.
+// handle checks the token, calls h, and writes the value that h returns as JSON, or its error.
 func (s *server) handle(h func(*fasthttp.RequestCtx) (any, error)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if !s.authorized(ctx) {
-			s.fail(ctx, fault.New(fault.Unauthorized, "a bearer token is required"))
+			s.writeError(ctx, fault.New(fault.Unauthorized, "a bearer token is required"))
 			return
 		}
 		out, err := h(ctx)
 		if err != nil {
-			s.fail(ctx, fault.From(err))
+			s.writeError(ctx, fault.From(err))
 			return
 		}
-		s.answer(ctx, fasthttp.StatusOK, out)
+		s.writeJSON(ctx, fasthttp.StatusOK, out)
 	}
 }
 
-// authorized compares hashes in constant time, so that the time taken tells neither length nor content
-// of the token.
+// authorized reports whether the request carries the bearer token. It compares hashes in constant time, so that the time
+// taken reveals neither length nor content of the token.
 func (s *server) authorized(ctx *fasthttp.RequestCtx) bool {
-	if s.open {
+	if s.noAuth {
 		return true
 	}
 	given, ok := strings.CutPrefix(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
-	sum := sha256.Sum256([]byte(given))
-	return ok && subtle.ConstantTimeCompare(sum[:], s.token[:]) == 1
+	hash := sha256.Sum256([]byte(given))
+	return ok && subtle.ConstantTimeCompare(hash[:], s.token[:]) == 1
 }
 
-func (s *server) fail(ctx *fasthttp.RequestCtx, e *fault.Error) {
+// writeError logs a failed call and writes its response, with a Retry-After header if the fault has a retry delay.
+func (s *server) writeError(ctx *fasthttp.RequestCtx, e *fault.Error) {
 	s.log.Warn("operator call failed", "method", string(ctx.Method()), "path", string(ctx.Path()),
 		"kind", e.Kind.String(), "run", e.Run.String(), "detail", e.Detail, "cause", e.Cause)
-	if wait := e.RetryDelay(); wait > 0 {
-		seconds := int(math.Ceil(wait.Seconds()))
+	if delay := e.RetryDelay(); delay > 0 {
+		seconds := int(math.Ceil(delay.Seconds()))
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
 	}
-	s.answer(ctx, e.Kind.Rule().Status, ErrorBody{Error: e.Kind.String(), Run: e.Run.String(), Detail: e.Detail})
+	s.writeJSON(ctx, e.Kind.Rule().Status, ErrorBody{Error: e.Kind.String(), Run: e.Run.String(), Detail: e.Detail})
 }
 
-func (s *server) answer(ctx *fasthttp.RequestCtx, status int, out any) {
+func (s *server) writeJSON(ctx *fasthttp.RequestCtx, status int, out any) {
 	body, err := json.Marshal(out)
 	if err != nil {
-		s.log.Error("encode answer", "path", string(ctx.Path()), "error", err)
+		s.log.Error("response could not be encoded", "path", string(ctx.Path()), "error", err)
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
 	}
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -26,20 +26,20 @@
 	upstream "github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// side is an operators' side under test, with its client.
-type side struct {
+// testServer is an operators' API under test, with a client of it.
+type testServer struct {
 	t      *testing.T
 	store  objects.Store
 	view   atomic.Pointer[fleet.View]
 	client *fasthttp.Client
 	log    strings.Builder
-	fleet  *probes
+	prober *fakeProber
 }
 
 const token = "s3cret-token"
 
-func newSide(t *testing.T, store objects.Store) *side {
-	s := &side{t: t, store: store, fleet: &probes{loaded: map[string]string{}}}
+func newTestServer(t *testing.T, store objects.Store) *testServer {
+	s := &testServer{t: t, store: store, prober: &fakeProber{loaded: map[string]string{}}}
 	s.view.Store(newView(api.Config{}, 0))
 	ids := 0
 	r := router.New()
@@ -50,7 +50,7 @@
 			ids++
 			return fmt.Sprintf("id-%d", ids)
 		},
-		Upstreams: s.fleet, WeightRate: 3600,
+		Upstreams: s.prober, WeightRate: 3600,
 		CountInForce: func(version uint64) (int, int) { return int(version), 9 },
 		Explain:      func(id fleet.RequestID) ([]string, bool) { return []string{"pick engine-1"}, id == "r1" },
 	})
@@ -62,13 +62,13 @@
 	return s
 }
 
-// probes answers for the engines: version 1 of m unless told otherwise.
-type probes struct {
-	loaded map[string]string // by address
-	busy   int64             // of 100
+// fakeProber answers for the engines. They have loaded version 1 of m unless the map says otherwise.
+type fakeProber struct {
+	loaded map[string]string // version by address; "silent": the engine does not answer
+	busy   int64             // memory in use, of 100
 }
 
-func (p *probes) State(_ context.Context, addr string) (upstream.EngineState, error) {
+func (p *fakeProber) State(_ context.Context, addr string) (upstream.EngineState, error) {
 	version := p.loaded[addr]
 	switch version {
 	case "silent":
@@ -79,11 +79,11 @@
 	return upstream.EngineState{Loaded: []upstream.LoadedModel{{Model: "m", Version: version}}}, nil
 }
 
-func (p *probes) Load(context.Context, string) (upstream.LoadReport, error) {
+func (p *fakeProber) Load(context.Context, string) (upstream.LoadReport, error) {
 	return upstream.LoadReport{MemoryUsed: p.busy, MemoryTotal: 100}, nil
 }
 
-// newView shows two engines with model m in each of three failure domains.
+// newView returns a view of two engines with model m in each of three failure domains.
 func newView(cfg api.Config, version uint64) *fleet.View {
 	var ups []*fleet.Upstream
 	for i := range 6 {
@@ -97,12 +97,12 @@
 	return fleet.NewView(version, cfg, 1, nil, ups)
 }
 
-// call gives the status and decodes the answer into out.
-func (s *side) call(method, path string, body, out any) int {
-	return s.callAs("Bearer "+token, method, path, body, out)
+// call decodes the response into out and returns its status.
+func (s *testServer) call(method, path string, body, out any) int {
+	return s.callWithAuth("Bearer "+token, method, path, body, out)
 }
 
-func (s *side) callAs(auth, method, path string, body, out any) int {
+func (s *testServer) callWithAuth(auth, method, path string, body, out any) int {
 	s.t.Helper()
 	is := is.New(s.t)
 	var req fasthttp.Request
@@ -120,7 +120,8 @@
 	return resp.StatusCode()
 }
 
-func (s *side) propose(c api.Change) api.Plan {
+// propose proposes a change and returns its plan.
+func (s *testServer) propose(c api.Change) api.Plan {
 	s.t.Helper()
 	var p api.Plan
 	is.New(s.t).Equal(s.call("POST", operate.PathPlans, c, &p), 200)
@@ -129,16 +130,17 @@
 
 func confirmPath(p api.Plan) string { return "/v1/plans/" + p.ID + "/confirm" }
 
-func intent(replicas int) api.Change {
+// intentChange returns a change to an intent of that many replicas of model m.
+func intentChange(replicas int) api.Change {
 	return api.Change{Intent: &api.Intent{Models: []api.Model{{Name: "m", Version: "1", Replicas: replicas, Floor: 1}}}}
 }
 
-func TestPlanChangesNothingAndConfirmPutsItInForce(t *testing.T) {
+func TestProposeChangesNothingAndConfirmApplies(t *testing.T) {
 	is := is.New(t)
-	s := newSide(t, memory.New())
-	p := s.propose(intent(4))
+	s := newTestServer(t, memory.New())
+	p := s.propose(intentChange(4))
 	_, err := s.store.Get(context.Background(), objects.Key{Kind: "config", Name: "current"})
-	is.True(errors.Is(err, objects.ErrNotFound)) // nothing changed yet
+	is.True(errors.Is(err, objects.ErrNotFound)) // the proposal changed nothing
 
 	var c api.Confirmation
 	is.Equal(s.call("POST", confirmPath(p), nil, &c), 200)
@@ -146,15 +148,16 @@
 	is.NoErr(err)
 	is.Equal(o.Version, c.ConfigVersion)
 	var again api.Confirmation
-	is.Equal(s.call("POST", confirmPath(p), nil, &again), 200) // an operator's repeat does no harm
+	is.Equal(s.call("POST", confirmPath(p), nil, &again), 200) // a repeated confirmation has no effect
 	is.Equal(again, c)
 }
 
-// Two operators drain different failure domains at once, each from the same version: without the
-// condition both go out and the fleet is dead. The second sees a conflict that names what came first.
+// Two operators drain different failure domains, with plans made from the same version. Without the condition on that
+// version both drains would take effect and could together leave the fleet without upstreams. The operator who confirms
+// second receives a conflict that names the change that came first.
 func TestSecondOfTwoRacingOperatorsSeesAConflict(t *testing.T) {
 	is := is.New(t)
-	s := newSide(t, memory.New())
+	s := newTestServer(t, memory.New())
 	first, second := s.propose(api.Change{Drain: "a"}), s.propose(api.Change{Drain: "b"})
 	var c api.Confirmation
 	is.Equal(s.call("POST", confirmPath(second), nil, &c), 200)
@@ -165,12 +168,12 @@
 	is.True(strings.Contains(e.Detail, "failure domains out [b]"))
 }
 
-// A year of changes must not fill the store: of the plans that were in force, two are kept.
-func TestOldPlansAreForgotten(t *testing.T) {
+// Old plans must not fill the store over time: of the plans that were in force, two are kept.
+func TestOldPlansAreDeleted(t *testing.T) {
 	is := is.New(t)
-	s := newSide(t, memory.New())
+	s := newTestServer(t, memory.New())
 	for i := range 6 {
-		p := s.propose(intent(6 - i%2))
+		p := s.propose(intentChange(6 - i%2))
 		var c api.Confirmation
 		is.Equal(s.call("POST", confirmPath(p), nil, &c), 200)
 		s.view.Store(newView(p.After, c.ConfigVersion))
@@ -180,43 +183,44 @@
 	is.Equal(len(l.Objects), 2)
 }
 
-// An operator confirms a plan made an hour ago; meanwhile an engine was replaced by one with another
-// version, so the plan's steps are not the ones needed any more. The conflict names the difference.
-func TestConfirmSeesThatEnginesHaveChanged(t *testing.T) {
+// Between proposal and confirmation, an engine is replaced by one with another version. The plan's steps are no longer
+// the right ones, and the conflict names the difference.
+func TestConfirmConflictsWhenEnginesChanged(t *testing.T) {
 	is := is.New(t)
-	s := newSide(t, memory.New())
-	p := s.propose(intent(6))
+	s := newTestServer(t, memory.New())
+	p := s.propose(intentChange(6))
 	is.Equal(len(p.Steps), 0)
-	s.fleet.loaded["engine-3"] = "0"
+	s.prober.loaded["engine-3"] = "0"
 	var e operate.ErrorBody
 	is.Equal(s.call("POST", confirmPath(p), nil, &e), 409)
 	is.Equal(e.Error, "plan_conflict")
 	is.True(strings.Contains(e.Detail, "now load m@1 on engine-3"))
 }
 
-func TestPlanShowsStepsCostAndWhoIsHurt(t *testing.T) {
+func TestPlanShowsStepsCostAndImpact(t *testing.T) {
 	is := is.New(t)
-	s := newSide(t, memory.New())
-	change := intent(4)
+	s := newTestServer(t, memory.New())
+	change := intentChange(4)
 	change.Intent.Models[0].Version = "2"
 	change.Intent.Models[0].WeightGB = 40
-	s.fleet.loaded["engine-5"] = "silent"
+	s.prober.loaded["engine-5"] = "silent"
 	p := s.propose(change)
 	is.Equal(p.Cost, api.Cost{Loads: 4, Unloads: 2, WeightStoreGB: 160, MinSeconds: 160})
 	is.Equal(p.Summary, []string{
 		"model m: new, version 2, 4 replicas",
 		"load m@2 on engine-0, engine-1, engine-2, engine-3",
 		"unload m@1 on engine-4",
-		"unload m@ on engine-5", // its version is not known: it did not answer
+		"unload m@ on engine-5", // the engine did not answer, so its version is unknown
 	})
 	is.True(strings.Contains(strings.Join(p.Impact, "\n"), "engine engine-5 did not answer"))
 }
 
-// Draining what carries the fleet is rejected in words; forced, it goes through and says so.
-func TestDrainJudgesTheRest(t *testing.T) {
+// The drain of the last failure domain in service is rejected with a reason. With force it is accepted, and the plan
+// says that it was forced and what callers lose.
+func TestDrainAssessesRemainingUpstreams(t *testing.T) {
 	is := is.New(t)
-	s := newSide(t, memory.New())
-	s.fleet.busy = 90
+	s := newTestServer(t, memory.New())
+	s.prober.busy = 90
 	p := s.propose(api.Change{Drain: "a"})
 	is.True(strings.Contains(strings.Join(p.Impact, "\n"), "about 26% of it would be refused"))
 
@@ -235,8 +239,8 @@
 
 func TestStoppedPlanCannotBeConfirmed(t *testing.T) {
 	is := is.New(t)
-	s := newSide(t, memory.New())
-	p := s.propose(intent(2))
+	s := newTestServer(t, memory.New())
+	p := s.propose(intentChange(2))
 	is.Equal(s.call("POST", "/v1/plans/"+p.ID+"/stop", nil, &p), 200)
 	is.Equal(p.State, api.PlanStopped)
 	var e operate.ErrorBody
@@ -244,21 +248,21 @@
 	is.Equal(e.Error, "plan_conflict")
 }
 
-// The token is asked on every path, a wrong one of any length is refused, and no log line has it.
-func TestTokenIsAskedAndNeverLogged(t *testing.T) {
-	s := newSide(t, memory.New())
+// Calls without the token or with a wrong one of any length are refused, and no log line contains the token.
+func TestTokenIsRequiredAndNeverLogged(t *testing.T) {
+	s := newTestServer(t, memory.New())
 	for _, auth := range []string{"", "Bearer ", "Bearer wrong", token, "Bearer " + token + "x"} {
 		is := is.New(t)
 		var e operate.ErrorBody
-		is.Equal(s.callAs(auth, "GET", operate.PathStatus, nil, &e), 401)
+		is.Equal(s.callWithAuth(auth, "GET", operate.PathStatus, nil, &e), 401)
 		is.Equal(e.Error, "unauthorized")
-		is.Equal(s.callAs(auth, "POST", operate.PathPlans, intent(1), &e), 401)
+		is.Equal(s.callWithAuth(auth, "POST", operate.PathPlans, intentChange(1), &e), 401)
 	}
 	is.New(t).True(!strings.Contains(s.log.String(), token))
 }
 
-func TestBadChangesAreRefusedWithTheirPath(t *testing.T) {
-	s := newSide(t, memory.New())
+func TestInvalidChangeErrorNamesTheField(t *testing.T) {
+	s := newTestServer(t, memory.New())
 	cases := []struct {
 		body any
 		want string
@@ -279,15 +283,15 @@
 	}
 }
 
-// While the store is down a plan is refused as "not run", with a time to come back; status still answers.
-func TestStoreOutage(t *testing.T) {
+// While the store is unavailable, a proposal is refused with run "no", and the status is still returned, with a note.
+func TestProposeAndStatusDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
-	s := newSide(t, outage{})
+	s := newTestServer(t, unavailableStore{})
 	var e operate.ErrorBody
-	is.Equal(s.call("POST", operate.PathPlans, intent(1), &e), 503)
+	is.Equal(s.call("POST", operate.PathPlans, intentChange(1), &e), 503)
 	is.Equal(e.Error, "store_unavailable")
 	is.Equal(e.Run, "no")
-	s.view.Store(newView(api.Config{PlanID: "p9", Intent: *intent(4).Intent}, 7))
+	s.view.Store(newView(api.Config{PlanID: "p9", Intent: *intentChange(4).Intent}, 7))
 	var status api.Status
 	is.Equal(s.call("GET", operate.PathStatus, nil, &status), 200)
 	is.Equal(status.ConfigVersion, uint64(7))
@@ -296,15 +300,16 @@
 	is.True(strings.Contains(status.Notes[0], "p9"))
 }
 
-type outage struct{ objects.Store }
+// unavailableStore fails every read as unavailable.
+type unavailableStore struct{ objects.Store }
 
-func (outage) Get(context.Context, objects.Key) (o wire.Object, err error) {
+func (unavailableStore) Get(context.Context, objects.Key) (o wire.Object, err error) {
 	return o, objects.ErrUnavailable
 }
 
-func TestExplainGivesTheKeptLines(t *testing.T) {
+func TestExplainReturnsDecisionLines(t *testing.T) {
 	is := is.New(t)
-	s := newSide(t, memory.New())
+	s := newTestServer(t, memory.New())
 	var d struct{ Lines []string }
 	is.Equal(s.call("GET", "/v1/explain/r1", nil, &d), 200)
 	is.Equal(d.Lines, []string{"pick engine-1"})
--- a/internal/operate/query/query.go
+++ b/internal/operate/query/query.go
@@ -1,5 +1,4 @@
-// Package query holds the operators' calls that only read: a plan, the status, and why a request was
-// decided as it was.
+// Package query holds the operators' calls that only read: a plan, the status, and the decisions made for a request.
 package query
 
 import (
@@ -17,15 +16,15 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects"
 )
 
-// readTimeout bounds the read of a plan; status waits less, since it answers without the store too.
+// Timeouts of reads of the store.
 const (
 	readTimeout   = 5 * time.Second
-	statusTimeout = 500 * time.Millisecond
+	statusTimeout = 500 * time.Millisecond // shorter, since a status is useful without the store too
 )
 
-const kindPlan = "plans"
+const kindPlan = "plans" // as in package command
 
-// Service answers the reads.
+// Service handles the calls that only read.
 type Service struct {
 	Instance     fleet.InstanceID
 	Store        objects.Store
@@ -34,38 +33,38 @@
 	CountInForce func(version uint64) (have, of int)
 }
 
-// Decisions is the answer to explain: the decision lines kept for one request, oldest first.
+// Decisions holds the decision lines kept for one request, oldest first.
 type Decisions struct {
 	Request string   `json:"request"`
 	Lines   []string `json:"lines"`
 }
 
-// Plan gives a plan as it is kept.
+// Plan returns a stored plan with its current state.
 func (s *Service) Plan(rc *fasthttp.RequestCtx) (any, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
 	id := pathID(rc)
-	plan, err := s.plan(ctx, id)
+	plan, err := s.loadPlan(ctx, id)
 	if errors.Is(err, objects.ErrNotFound) {
 		return nil, fault.New(fault.NotFound, "no plan %q", id)
 	}
 	if err != nil {
 		return nil, &fault.Error{Kind: fault.StoreUnavailable, Run: fault.RunNo, Detail: "the object API could not be read", Cause: err}
 	}
-	plan.State = s.state(plan)
+	plan.State = s.planState(plan)
 	return plan, nil
 }
 
-// state gives a plan's state as seen from here: the configuration in force names the plan that made it,
-// and nothing else records a confirmation.
-func (s *Service) state(p api.Plan) api.PlanState {
+// planState returns a plan's state as this instance sees it. A confirmation is recorded only in the configuration, which
+// names the plan that it comes from.
+func (s *Service) planState(p api.Plan) api.PlanState {
 	if p.State == api.PlanProposed && s.View().Config.PlanID == p.ID {
 		return api.PlanConfirmed
 	}
 	return p.State
 }
 
-// Decisions gives the decision lines of one request that this instance still keeps.
+// Decisions returns the decision lines of one request that this instance still keeps.
 func (s *Service) Decisions(rc *fasthttp.RequestCtx) (any, error) {
 	id := pathID(rc)
 	if s.Explain != nil {
@@ -81,7 +80,8 @@
 	return id
 }
 
-func (s *Service) plan(ctx context.Context, id string) (api.Plan, error) {
+// loadPlan reads a plan from the store.
+func (s *Service) loadPlan(ctx context.Context, id string) (api.Plan, error) {
 	var p api.Plan
 	o, err := s.Store.Get(ctx, objects.Key{Kind: kindPlan, Name: id})
 	if err != nil {
