--- a/internal/observe/observe_test.go
+++ b/internal/observe/observe_test.go
@@ -27,45 +27,48 @@
 	hangGuard = 20 * time.Second
 )
 
-// sink keeps what was reported.
-type sink struct {
+// fakeSink counts the reports and keeps the cache events.
+type fakeSink struct {
 	mu      sync.Mutex
 	loads   int                // guarded by mu
 	states  int                // guarded by mu
 	batches []wire.CacheEvents // guarded by mu
-	silent  int                // guarded by mu
+	missed  int                // guarded by mu
 }
 
-func (s *sink) OnLoad(*fleet.Upstream, wire.LoadReport, time.Time) { s.note(func() { s.loads++ }) }
-func (s *sink) OnState(*fleet.Upstream, wire.EngineState)          { s.note(func() { s.states++ }) }
-func (s *sink) OnReportMissed(*fleet.Upstream, error)              { s.note(func() { s.silent++ }) }
-func (s *sink) OnCache(_ *fleet.Upstream, e wire.CacheEvents) {
-	s.note(func() { s.batches = append(s.batches, e) })
+func (s *fakeSink) OnLoad(*fleet.Upstream, wire.LoadReport, time.Time) {
+	s.locked(func() { s.loads++ })
+}
+func (s *fakeSink) OnState(*fleet.Upstream, wire.EngineState) { s.locked(func() { s.states++ }) }
+func (s *fakeSink) OnReportMissed(*fleet.Upstream, error)     { s.locked(func() { s.missed++ }) }
+func (s *fakeSink) OnCache(_ *fleet.Upstream, e wire.CacheEvents) {
+	s.locked(func() { s.batches = append(s.batches, e) })
 }
 
-func (s *sink) note(f func()) {
+// locked calls f with the lock held.
+func (s *fakeSink) locked(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
-// eventually waits until cond, asked under the lock, holds.
-func (s *sink) eventually(t *testing.T, what string, cond func() bool) {
+// eventually waits until cond, called with the lock held, returns true, and fails the test after hangGuard.
+func (s *fakeSink) eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(hangGuard); ; time.Sleep(interval) {
 		var ok bool
-		s.note(func() { ok = cond() })
+		s.locked(func() { ok = cond() })
 		if ok {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
 
-// events counts the events of the boot of the latest batch.
-func (s *sink) events() int {
+// eventCount returns the number of events with the same boot id as the last batch.
+func (s *fakeSink) eventCount() int {
 	n := 0
 	for _, b := range s.batches {
 		if b.BootID == s.batches[len(s.batches)-1].BootID {
@@ -75,8 +78,8 @@
 	return n
 }
 
-// watched starts an engine and an observer of it.
-func watched(t *testing.T) (*engine.Engine, *sink) {
+// startObserved starts an engine and an observer that polls it.
+func startObserved(t *testing.T) (*engine.Engine, *fakeSink) {
 	t.Helper()
 	e, err := engine.Start("127.0.0.1:0", engine.Config{
 		ID: "e", Models: []wire.LoadedModel{{Model: model, Version: "v1"}}, TimeScale: 50,
@@ -85,7 +88,7 @@
 		t.Fatal(err)
 	}
 	view := fleet.NewView(1, api.Config{}, 1, nil, []*fleet.Upstream{{ID: "e", Addr: e.Addr(), Models: []string{model}}})
-	client, s := upstream.New(), &sink{}
+	client, s := upstream.New(), &fakeSink{}
 	o := observe.New(client, func() *fleet.View { return view }, s, interval, hclog.NewNullLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -102,8 +105,8 @@
 	return e, s
 }
 
-// ask sends a prompt of four cache blocks.
-func ask(t *testing.T, e *engine.Engine, id string) {
+// sendPrompt sends the engine a prompt of four cache blocks and waits for the end of its answer.
+func sendPrompt(t *testing.T, e *engine.Engine, id string) {
 	t.Helper()
 	is := is.New(t)
 	prompt := strings.Repeat("ice ", 4*wire.BlockTokens)
@@ -124,35 +127,35 @@
 	}
 }
 
-// An idle engine is asked for its load alone: its report tells that there are no new cache events.
-func TestCacheEventsAreReadOnlyWhenThereAreNewOnes(t *testing.T) {
+// The load report of an idle engine shows that there are no new cache events, so only the load is polled.
+func TestCacheEventsAreReadOnlyIfThereAreNewOnes(t *testing.T) {
 	is := is.New(t)
-	e, s := watched(t)
+	e, s := startObserved(t)
 	s.eventually(t, "ten reports", func() bool { return s.loads >= 10 })
-	s.note(func() {
+	s.locked(func() {
 		is.Equal(len(s.batches), 1) // the first round's
 		is.True(s.states < s.loads)
-		is.Equal(s.silent, 0)
+		is.Equal(s.missed, 0)
 	})
-	ask(t, e, "p1")
-	s.eventually(t, "four blocks", func() bool { return s.events() == 4 })
+	sendPrompt(t, e, "p1")
+	s.eventually(t, "four blocks", func() bool { return s.eventCount() == 4 })
 }
 
-// An engine dies and comes back with an empty cache. Its sequence numbers begin anew, below the place that
-// was read before: an observer that read on from there would never hear of the first blocks of the new boot
-// and would keep sending prompts to where their prefix is not.
-func TestEventsOfANewBootAreReadFromTheBeginning(t *testing.T) {
+// An engine restarts with an empty cache and its sequence numbers start again, below the number read last. An observer
+// that continued from that number would miss the first blocks of the new boot, and prompts would still be sent to an
+// engine that doesn't hold their prefix.
+func TestCacheEventsOfNewBootAreReadFromStart(t *testing.T) {
 	is := is.New(t)
-	e, s := watched(t)
-	ask(t, e, "p1")
-	s.eventually(t, "four blocks", func() bool { return s.events() == 4 })
+	e, s := startObserved(t)
+	sendPrompt(t, e, "p1")
+	s.eventually(t, "four blocks", func() bool { return s.eventCount() == 4 })
 	is.NoErr(e.Switch(faults.Kill, true, 0))
-	s.eventually(t, "silence", func() bool { return s.silent > 0 })
+	s.eventually(t, "a missed report", func() bool { return s.missed > 0 })
 	is.NoErr(e.Switch(faults.Kill, false, 0))
-	ask(t, e, "p2")
+	sendPrompt(t, e, "p2")
 	var first string
-	s.note(func() { first = s.batches[0].BootID })
+	s.locked(func() { first = s.batches[0].BootID })
 	s.eventually(t, "four blocks of the new boot", func() bool {
-		return s.batches[len(s.batches)-1].BootID != first && s.events() == 4
+		return s.batches[len(s.batches)-1].BootID != first && s.eventCount() == 4
 	})
 }
