--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -1,6 +1,6 @@
-// Package sweep is the shell of the sweeper: it lists the reservations of the engines that this instance is
-// home to, and releases those that nobody is left to release. Being home is an optimisation: two instances
-// that both think so release by the same ids, and the second finds nothing.
+// Package sweep executes the decisions of reserve.Sweeper: it lists the reservations on the engines that this instance
+// owns, and releases those that no holder will release. Ownership only saves calls. If two instances both own an engine
+// for a while, they release by the same ids, and the second release has no effect.
 package sweep
 
 import (
@@ -20,80 +20,81 @@
 )
 
 const (
-	// Interval is the time between two rounds; several fit in reserve.GoneFor.
+	// Interval is the time between two sweeps; several fit in reserve.MinAbsence.
 	Interval = 3 * time.Second
-	// callWait bounds one call; all engines of a round are asked side by side.
-	callWait = 2 * time.Second
+	// callTimeout limits each call to an engine. The lists of all engines are read concurrently.
+	callTimeout = 2 * time.Second
 )
 
-// Engines is what a sweeper asks of engines; upstream.Client does it.
+// Engines makes a sweeper's calls to engines. upstream.Client implements it.
 type Engines interface {
 	Reservations(ctx context.Context, addr string) (wire.Reservations, error)
 	Release(ctx context.Context, addr, id string) error
 }
 
-// Deps are what a Sweeper needs.
+// Deps are the parts of the instance that a Sweeper uses.
 type Deps struct {
 	Self        reserve.Holder
 	View        func() *fleet.View
-	CheckUsable func() error // nil where this instance's view is good enough to judge others by
+	CheckUsable func() error // returns nil if this instance's view is recent enough to decide that another is gone
 	Engines     Engines
 	Explain     *explain.Recorder
 	Metrics     *metrics.Registry
 	Log         hclog.Logger
 }
 
-// Sweeper runs rounds until its context ends.
+// Sweeper sweeps the engines that its instance owns.
 type Sweeper struct {
-	d     Deps
-	state reserve.Sweeper
-	start time.Time
+	deps   Deps
+	finder reserve.Sweeper
+	start  time.Time // zero of decide.Instant
 }
 
-// New gives a Sweeper.
-func New(d Deps) *Sweeper { return &Sweeper{d: d, start: time.Now()} }
+// New returns a Sweeper. It starts to sweep with Run.
+func New(d Deps) *Sweeper { return &Sweeper{deps: d, start: time.Now()} }
 
-// Run sweeps in rounds until ctx ends.
+// Run sweeps once every Interval until ctx ends.
 func (s *Sweeper) Run(ctx context.Context) {
 	tick := time.NewTicker(Interval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			s.round(ctx)
+			s.sweepOnce(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// listed is what one engine holds.
-type listed struct {
+// engineReservations holds the reservations on one engine, or the error of the call that lists them.
+type engineReservations struct {
 	engine       *fleet.Upstream
 	reservations wire.Reservations
 	err          error
 }
 
-func (s *Sweeper) round(ctx context.Context) {
-	v := s.d.View()
-	lists := s.list(ctx, s.home(v))
+// sweepOnce lists the reservations on all owned engines and releases the orphans among them.
+func (s *Sweeper) sweepOnce(ctx context.Context) {
+	v := s.deps.View()
+	results := s.listReservations(ctx, s.ownedEngines(v))
 	now := decide.Instant(time.Since(s.start))
 	presence := s.presence(v)
-	for i := range lists {
-		l := &lists[i]
-		if l.err != nil {
-			s.d.Log.Debug("reservations not listed", "upstream", l.engine.ID, "error", l.err)
+	for i := range results {
+		result := &results[i]
+		if result.err != nil {
+			s.deps.Log.Debug("reservations not listed", "upstream", result.engine.ID, "error", result.err)
 			continue
 		}
-		for _, swept := range s.state.FindOrphans(&l.reservations, presence, now) {
-			s.release(ctx, l.engine, swept)
+		for _, orphan := range s.finder.FindOrphans(&result.reservations, presence, now) {
+			s.release(ctx, result.engine, orphan)
 		}
 	}
-	s.state.Prune(now)
+	s.finder.Prune(now)
 }
 
-// home gives the engines whose home this instance is.
-func (s *Sweeper) home(v *fleet.View) []*fleet.Upstream {
+// ownedEngines returns the engines that this instance owns among the instances that are not leaving.
+func (s *Sweeper) ownedEngines(v *fleet.View) []*fleet.Upstream {
 	var members []string
 	for _, i := range v.Instances {
 		if !i.Leaving {
@@ -102,37 +103,39 @@
 	}
 	var engines []*fleet.Upstream
 	for _, u := range v.Upstreams {
-		if u.Kind == fleet.Engine && rendezvous.Owner(string(u.ID), members) == string(s.d.Self.Instance) {
+		if u.Kind == fleet.Engine && rendezvous.Owner(string(u.ID), members) == string(s.deps.Self.Instance) {
 			engines = append(engines, u)
 		}
 	}
 	return engines
 }
 
-func (s *Sweeper) list(ctx context.Context, engines []*fleet.Upstream) []listed {
-	lists := make([]listed, len(engines))
+// listReservations lists the reservations on the engines concurrently.
+func (s *Sweeper) listReservations(ctx context.Context, engines []*fleet.Upstream) []engineReservations {
+	results := make([]engineReservations, len(engines))
 	var group sync.WaitGroup
 	for i, u := range engines {
 		group.Go(func() {
-			call, cancel := context.WithTimeout(ctx, callWait)
+			call, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
-			r, err := s.d.Engines.Reservations(call, u.Addr)
-			lists[i] = listed{u, r, err}
+			r, err := s.deps.Engines.Reservations(call, u.Addr)
+			results[i] = engineReservations{u, r, err}
 		})
 	}
 	group.Wait()
-	return lists
+	return results
 }
 
-// presence judges holders by the instance list. An instance that is listed may be a later life of the
-// holder; only our own lives can be told apart here, others' reservations then end by their deadline.
+// presence returns a function that decides by the instance list whether a holder is present. The list doesn't show
+// incarnations, so a holder whose instance has restarted counts as present, and its reservations are released by their
+// deadline. Only this instance's own earlier incarnations are recognized as missing in that case, whatever the list is.
 func (s *Sweeper) presence(v *fleet.View) func(reserve.Holder) reserve.Presence {
-	unsure := v.ListVersion == 0 || s.d.CheckUsable() != nil
+	undetermined := v.ListVersion == 0 || s.deps.CheckUsable() != nil
 	return func(h reserve.Holder) reserve.Presence {
 		switch {
-		case h.Instance == s.d.Self.Instance && h.Incarnation != s.d.Self.Incarnation:
+		case h.Instance == s.deps.Self.Instance && h.Incarnation != s.deps.Self.Incarnation:
 			return reserve.Missing
-		case unsure:
+		case undetermined:
 			return reserve.Undetermined
 		}
 		for _, i := range v.Instances {
@@ -144,11 +147,12 @@
 	}
 }
 
-func (s *Sweeper) release(ctx context.Context, u *fleet.Upstream, swept reserve.Orphan) {
-	call, cancel := context.WithTimeout(ctx, callWait)
+// release releases one orphan and records the result. If the call fails, a later sweep finds the orphan again.
+func (s *Sweeper) release(ctx context.Context, u *fleet.Upstream, orphan reserve.Orphan) {
+	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := s.d.Engines.Release(call, u.Addr, swept.ID)
-	s.d.Explain.Record("sweep", swept.ID, swept.Reason, "upstream", u.ID,
-		"holder", swept.Holder.Instance, "incarnation", swept.Holder.Incarnation, "error", err)
-	s.d.Metrics.Counter("reservations_swept", "reason", string(swept.Reason)).Inc(1)
+	err := s.deps.Engines.Release(call, u.Addr, orphan.ID)
+	s.deps.Explain.Record("sweep", orphan.ID, orphan.Reason, "upstream", u.ID,
+		"holder", orphan.Holder.Instance, "incarnation", orphan.Holder.Incarnation, "error", err)
+	s.deps.Metrics.Counter("reservations_swept", "reason", string(orphan.Reason)).Inc(1)
 }
--- a/internal/sweep/sweep_test.go
+++ b/internal/sweep/sweep_test.go
@@ -21,11 +21,11 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// fakeEngines is reservations by engine address. They have no expiry.
+// fakeEngines holds reservations by engine address. They don't expire.
 type fakeEngines struct {
-	mu   sync.Mutex
-	held map[string][]wire.Reservation // guarded by mu
-	down bool                          // guarded by mu
+	mu           sync.Mutex
+	reservations map[string][]wire.Reservation // guarded by mu
+	down         bool                          // guarded by mu: the engines answer no list call
 }
 
 func (f *fakeEngines) Reservations(_ context.Context, addr string) (wire.Reservations, error) {
@@ -34,50 +34,52 @@
 	if f.down {
 		return wire.Reservations{}, errors.New("down")
 	}
-	return wire.Reservations{Reservations: append([]wire.Reservation(nil), f.held[addr]...)}, nil
+	return wire.Reservations{Reservations: append([]wire.Reservation(nil), f.reservations[addr]...)}, nil
 }
 
 func (f *fakeEngines) Release(_ context.Context, addr, id string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var rest []wire.Reservation
-	for _, r := range f.held[addr] {
+	var remaining []wire.Reservation
+	for _, r := range f.reservations[addr] {
 		if r.ID != id {
-			rest = append(rest, r)
+			remaining = append(remaining, r)
 		}
 	}
-	f.held[addr] = rest
+	f.reservations[addr] = remaining
 	return nil
 }
 
-func (f *fakeEngines) ids() (ids []string) {
+// reservationIDs returns the ids of the reservations on engine "e".
+func (f *fakeEngines) reservationIDs() (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, r := range f.held["e"] {
+	for _, r := range f.reservations["e"] {
 		ids = append(ids, r.ID)
 	}
 	return ids
 }
 
-// run sweeps as instance "me" for a while, with the given instances listed.
-func run(t *testing.T, f *fakeEngines, usable error, d time.Duration, instances ...string) {
+// runSweeper runs the sweeper of instance "me" for the given time, with the given instances in the instance list.
+// usable is the result of CheckUsable.
+func runSweeper(t *testing.T, f *fakeEngines, usable error, duration time.Duration, instances ...string) {
 	var listed []*fleet.Instance
 	for _, id := range instances {
 		listed = append(listed, &fleet.Instance{ID: fleet.InstanceID(id)})
 	}
-	v := fleet.NewView(1, api.Config{}, 1, listed, []*fleet.Upstream{{ID: homeOf("me", instances), Addr: "e"}})
+	v := fleet.NewView(1, api.Config{}, 1, listed, []*fleet.Upstream{{ID: ownedBy("me", instances), Addr: "e"}})
 	s := New(Deps{
 		Self: reserve.Holder{Instance: "me", Incarnation: "me-2"}, View: func() *fleet.View { return v },
 		CheckUsable: func() error { return usable }, Engines: f, Explain: explain.New(hclog.NewNullLogger()),
 		Metrics: metrics.New(), Log: hclog.NewNullLogger(),
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), d)
+	ctx, cancel := context.WithTimeout(t.Context(), duration)
 	defer cancel()
 	s.Run(ctx)
 }
 
-// homeOf names an engine whose home is the member, or where it is none any engine.
-func homeOf(member string, members []string) fleet.UpstreamID {
+// ownedBy returns the name of an engine that the member owns, or of any engine if the member owns none.
+func ownedBy(member string, members []string) fleet.UpstreamID {
 	for i := range 100 {
 		name := fmt.Sprintf("engine-%d", i)
 		if rendezvous.Owner(name, members) == member {
@@ -87,8 +89,10 @@
 	return "engine"
 }
 
-func reservations() *fakeEngines {
-	return &fakeEngines{held: map[string][]wire.Reservation{"e": {
+// newFakeEngines returns an engine "e" that holds, in this order, a reservation of another live instance, one of this
+// instance, one of its earlier incarnation, one of a dead instance, and one whose deadline has passed.
+func newFakeEngines() *fakeEngines {
+	return &fakeEngines{reservations: map[string][]wire.Reservation{"e": {
 		{ID: "live", Holder: "other", Incarnation: "other-1"},
 		{ID: "mine", Holder: "me", Incarnation: "me-2"},
 		{ID: "former", Holder: "me", Incarnation: "me-1"},
@@ -97,44 +101,44 @@
 	}}}
 }
 
-func TestSweeperFreesWhatNobodyReleases(t *testing.T) {
+func TestSweeperReleasesOrphans(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := reservations()
+		f := newFakeEngines()
 		listed := []string{"me", "other"}
-		run(t, f, nil, Interval+time.Second, listed...)
-		is.Equal(f.ids(), []string{"live", "mine", "former", "gone"}) // the deadline is enough at once
-		run(t, f, nil, 30*time.Second, listed...)
-		is.Equal(f.ids(), []string{"live", "mine"})
+		runSweeper(t, f, nil, Interval+time.Second, listed...)
+		is.Equal(f.reservationIDs(), []string{"live", "mine", "former", "gone"}) // a passed deadline suffices
+		runSweeper(t, f, nil, 30*time.Second, listed...)
+		is.Equal(f.reservationIDs(), []string{"live", "mine"})
 	})
 }
 
-// Running prompts of all other instances end in errors. Order: this instance is cut off, its list shows
-// only itself. Cause: it takes its own blindness for the others' death.
-func TestCutOffSweeperJudgesNobody(t *testing.T) {
+// An isolated instance, whose list shows only itself, must not treat all other instances as gone. Releasing their
+// reservations would make their running prompts fail.
+func TestIsolatedSweeperSparesOtherInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := reservations()
-		run(t, f, errors.New("cut off"), time.Minute, "me")
-		is.Equal(f.ids(), []string{"live", "mine", "gone"}) // its own former life it knows for sure
+		f := newFakeEngines()
+		runSweeper(t, f, errors.New("isolated"), time.Minute, "me")
+		is.Equal(f.reservationIDs(), []string{"live", "mine", "gone"}) // its own earlier incarnation is certainly gone
 	})
 }
 
-func TestOnlyTheHomeSweeps(t *testing.T) {
+func TestOnlyTheOwnerSweeps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := reservations()
-		run(t, f, nil, time.Minute, "somebody", "else")
-		is.Equal(len(f.ids()), 5)
+		f := newFakeEngines()
+		runSweeper(t, f, nil, time.Minute, "somebody", "else")
+		is.Equal(len(f.reservationIDs()), 5)
 	})
 }
 
-func TestSweeperOutlivesEnginesThatDoNotAnswer(t *testing.T) {
+func TestSweeperContinuesWhenEnginesDoNotAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := reservations()
+		f := newFakeEngines()
 		f.down = true
-		run(t, f, nil, time.Minute, "me")
-		is.Equal(len(f.ids()), 5)
+		runSweeper(t, f, nil, time.Minute, "me")
+		is.Equal(len(f.reservationIDs()), 5)
 	})
 }
