--- a/internal/demo/check.go
+++ b/internal/demo/check.go
@@ -24,7 +24,7 @@
 		return ""
 	case !s.r.Whole:
 		return "answer without its end mark"
-	case s.r.Text != answer.Answer(s.q.ID, s.q.MaxTokens):
+	case s.r.Text != answer.Text(s.q.ID, s.q.MaxTokens):
 		return "answer is not this request's"
 	}
 	return ""
--- a/internal/demo/fault.go
+++ b/internal/demo/fault.go
@@ -22,9 +22,9 @@
 	{},
 	switched("kill", engineOf, faults.Kill),
 	switched("cold", engineOf, faults.Cold),
-	switched("silent", engineOf, faults.Silent),
+	switched("silent", engineOf, faults.SilentConnections),
 	switched("store", func(*run) string { return cluster.TargetObjects }, faults.RefuseEverything),
-	switched("lag", func(*run) string { return cluster.TargetInstances }, faults.Lag),
+	switched("lag", func(*run) string { return cluster.TargetInstances }, faults.StaleInstanceList),
 	{name: "drain", on: func(d *run) error { return d.apply(api.Change{Drain: d.p.Domains[0]}) },
 		off: func(d *run) error { return d.apply(api.Change{Restore: d.p.Domains[0]}) }},
 }
--- a/internal/entry/outcome_test.go
+++ b/internal/entry/outcome_test.go
@@ -154,10 +154,10 @@
 // an idempotency key. A repeat with the key goes through the other instance.
 func TestRunOutcomeOfBookings(t *testing.T) {
 	serviceFaults := []faults.Fault{
-		"", faults.Kill, faults.Silent, faults.Cut, faults.Hang, faults.LoseAnswer, faults.CrashBeforeRun,
+		"", faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.Hang, faults.LoseAnswer, faults.CrashBeforeRun,
 		faults.CrashAfterRun, faults.RefuseStart, faults.RefuseEverything, faults.Leaving,
 	}
-	storeFaults := []faults.Fault{faults.Kill, faults.Hang, faults.LoseAnswer, faults.RefuseEverything, faults.Silent, faults.Cut}
+	storeFaults := []faults.Fault{faults.Kill, faults.Hang, faults.LoseAnswer, faults.RefuseEverything, faults.SilentConnections, faults.CloseConnections}
 	for _, s := range []faultTime{beforeRequest, duringWork} {
 		for _, key := range []bool{false, true} {
 			t.Run(fmt.Sprintf("step %d keyed %v", s, key), func(t *testing.T) {
@@ -224,7 +224,7 @@
 // and belongs to the prompt, or it is an explicit error. The run outcome is "no" only if no engine began the prompt.
 func TestRunOutcomeOfPrompts(t *testing.T) {
 	engineFaults := []faults.Fault{
-		"", faults.Kill, faults.Silent, faults.Cut, faults.SlowFirstByte, faults.DuplicateParts,
+		"", faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.SlowFirstByte, faults.DuplicateParts,
 		faults.ReorderedParts, faults.LateParts, faults.ForeignParts, faults.NoEndMark, faults.LoseAnswer,
 		faults.RefuseStart, faults.RefuseEverything, faults.Leaving,
 	}
@@ -262,7 +262,7 @@
 			began += e.Counters().Runs[q.ID]
 		}
 		is.NoErr(r.Err)
-		complete := answer.Answer(q.ID, answerTokens)
+		complete := answer.Text(q.ID, answerTokens)
 		switch {
 		case r.Whole:
 			is.Equal(r.Text, complete)
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -87,7 +87,7 @@
 	is.NoErr(<-stopped)
 	for i, r := range results {
 		is.True(r.OK())
-		is.Equal(r.Text, answer.Answer(fmt.Sprint("long-", i), tokens))
+		is.Equal(r.Text, answer.Text(fmt.Sprint("long-", i), tokens))
 	}
 	is.Equal(booking.Run, "yes")
 	repeat := keyed
@@ -115,7 +115,7 @@
 	is.True(!r.Whole)
 	is.Equal(r.Kind, "cancelled")
 	is.True(r.Run != "no")
-	is.True(strings.HasPrefix(answer.Answer("long", tokens), r.Text))
+	is.True(strings.HasPrefix(answer.Text("long", tokens), r.Text))
 	eventually(t, "no prompt in flight after its stream was cut off", func() bool { return b.engineInFlight() == 0 })
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -67,7 +67,7 @@
 			is.Equal(r.Kind, "")
 			is.True(r.OK())
 			is.Equal(r.Run, "yes")
-			is.Equal(r.Text, answer.Answer(id, 20+i))
+			is.Equal(r.Text, answer.Text(id, 20+i))
 		}()
 	}
 	wg.Wait()
@@ -127,7 +127,7 @@
 		})
 		is.NoErr(r.Err)
 		is.Equal(r.Kind, "")
-		is.Equal(r.Text, answer.Answer(id, 5))
+		is.Equal(r.Text, answer.Text(id, 5))
 	}
 }
 
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -11,13 +11,13 @@
 )
 
 // AnswerToken is the text of the token at offset in the answer to a request. It ends with one space.
-func AnswerToken(requestID string, offset int) string {
+func Token(requestID string, offset int) string {
 	sum := xxhash.Sum64String(requestID + "/" + strconv.Itoa(offset))
 	return strconv.FormatUint(sum, 36) + " "
 }
 
 // Answer is the text of the first tokens of the answer to a request.
-func Answer(requestID string, tokens int) string {
+func Text(requestID string, tokens int) string {
 	return Range(requestID, 0, tokens)
 }
 
@@ -25,7 +25,7 @@
 func Range(requestID string, from, to int) string {
 	var b strings.Builder
 	for offset := from; offset < to; offset++ {
-		b.WriteString(AnswerToken(requestID, offset))
+		b.WriteString(Token(requestID, offset))
 	}
 	return b.String()
 }
--- a/internal/standin/answer/answer_test.go
+++ b/internal/standin/answer/answer_test.go
@@ -12,14 +12,14 @@
 func TestAnswersTellRequestsAndOffsetsApart(t *testing.T) {
 	is := is.New(t)
 	const tokens = 50
-	text := answer.Answer("r1", tokens)
+	text := answer.Text("r1", tokens)
 	is.Equal(strings.Count(text, " "), tokens) // each token ends with its only space
 	is.True(strings.HasSuffix(text, " "))
 	is.Equal(answer.Range("r1", 0, 20)+answer.Range("r1", 20, tokens), text)
 	seen := map[string]bool{}
 	for offset := range tokens {
 		for _, id := range []string{"r1", "r2", "r11", "r"} {
-			seen[answer.AnswerToken(id, offset)] = true
+			seen[answer.Token(id, offset)] = true
 		}
 	}
 	is.Equal(len(seen), 4*tokens) // no token of one stands for another
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -146,7 +146,7 @@
 	c.Engines = append(c.Engines, e)
 	c.Instances.Register(wire.Instance{
 		ID: e.ID(), Kind: wire.KindEngine, Addr: e.Addr(), Domain: domain, Region: c.cfg.Region,
-		Fencing: e.Fencing(), KVCacheTokens: e.Memory(),
+		Fencing: e.Fencing(), KVCacheTokens: e.KVCacheTokens(),
 	})
 	return nil
 }
--- a/internal/standin/engine/completions_test.go
+++ b/internal/standin/engine/completions_test.go
@@ -33,13 +33,13 @@
 	e := start(t, engine.Config{})
 	call := rawhttp.Completion("r1", wire.CompletionRequest{Model: model, Prompt: "x", MaxTokens: 7})
 	whole := ask[wire.CompletionAnswer](t, e, call)
-	is.Equal(whole, wire.CompletionAnswer{ID: "r1", Model: model, Text: answer.Answer("r1", 7), Tokens: 7, FinishReason: "length"})
+	is.Equal(whole, wire.CompletionAnswer{ID: "r1", Model: model, Text: answer.Text("r1", 7), Tokens: 7, FinishReason: "length"})
 	rest := ask[wire.CompletionAnswer](t, e, call.With(wire.HeaderResumeOffset, "5"))
 	is.Equal(rest.Text, answer.Range("r1", 5, 7))
 }
 
 func TestRefusals(t *testing.T) {
-	e := start(t, engine.Config{Memory: 5000, Models: []wire.LoadedModel{{Model: model, Version: "v1", Adapters: []string{"ice"}}}})
+	e := start(t, engine.Config{KVCacheTokens: 5000, Models: []wire.LoadedModel{{Model: model, Version: "v1", Adapters: []string{"ice"}}}})
 	with := func(c wire.CompletionRequest) rawhttp.Call { return rawhttp.Completion("r1", c) }
 	cases := []struct {
 		name   string
@@ -99,7 +99,7 @@
 	last := first.Parts[len(first.Parts)-1]
 	next := last.Offset + last.Tokens
 	rest := streamed("r1", 2000, 100).With(wire.HeaderResumeOffset, jsonInt(next)).Do(other.Addr())
-	is.Equal(first.Text()+rest.Text(), answer.Answer("r1", 100))
+	is.Equal(first.Text()+rest.Text(), answer.Text("r1", 100))
 	is.Equal(rest.Parts[0].Offset, next)
 	is.Equal(other.Counters().Resumes, 1)
 
@@ -170,7 +170,7 @@
 
 func TestCachedPrefixIsNotComputedAgain(t *testing.T) {
 	is := is.New(t)
-	e := start(t, engine.Config{EventLag: time.Millisecond})
+	e := start(t, engine.Config{EventDelay: time.Millisecond})
 	is.NoErr(streamed("r1", 2*wire.BlockTokens+100, 5).Do(e.Addr()).CheckStream("r1", 5))
 	is.Equal(e.Counters().CachedTokens, int64(0))
 	is.NoErr(streamed("r2", 3*wire.BlockTokens, 5).Do(e.Addr()).CheckStream("r2", 5))
@@ -193,16 +193,16 @@
 // The load report shows the state of a while ago: an engine that has just taken work still reports none.
 func TestLoadReportLags(t *testing.T) {
 	is := is.New(t)
-	e := start(t, engine.Config{ReportLag: 10 * time.Hour, DecodeInterval: time.Hour})
+	e := start(t, engine.Config{ReportInterval: 10 * time.Hour, DecodeInterval: time.Hour})
 	done := begin(t, e, streamed("r1", 10, 1000))
 	load := ask[wire.LoadReport](t, e, get(wire.PathLoad))
 	is.Equal(load.Running, 0)
-	is.Equal(load.MemoryTotal, int64(engine.DefaultMemory))
+	is.Equal(load.MemoryTotal, int64(engine.DefaultKVCacheTokens))
 	is.Equal(load.PrefillRate, int64(engine.DefaultPrefillRate*fast))
 	e.Close()
 	<-done
 
-	prompt := start(t, engine.Config{ReportLag: time.Millisecond, DecodeInterval: time.Hour})
+	prompt := start(t, engine.Config{ReportInterval: time.Millisecond, DecodeInterval: time.Hour})
 	done = begin(t, prompt, streamed("r1", 10, 1000))
 	var fresh wire.LoadReport
 	eventually(t, "the report shows the request", func() bool {
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -21,18 +21,18 @@
 	PrefillRate    int64         // prompt tokens a second, shared in order of priority
 	DecodeInterval time.Duration // between two tokens of one answer
 	MaxRunning     int           // requests at once
-	Memory         int64         // KV cache in tokens
+	KVCacheTokens  int64         // KV cache in tokens
 
 	ColdLimit    int           // requests at once that it bears while cold
 	ColdSlowdown int64         // its prefill rate is divided by this while cold
 	WarmAfter    int           // successes until it is warm
 	CollapseTime time.Duration // out of service after it fell over
 
-	ReportLag    time.Duration // between two load reports
-	EventLag     time.Duration // until a cache event is published
-	EventHistory int           // cache events kept
-	EventLoss    uint64        // one event in so many is never published; 0: none
-	LoadTime     time.Duration // to carry out a load order
+	ReportInterval time.Duration // between two load reports
+	EventDelay     time.Duration // until a cache event is published
+	EventHistory   int           // cache events kept
+	EventLoss      uint64        // one event in so many is never published; 0: none
+	LoadTime       time.Duration // to carry out a load order
 }
 
 // Defaults of Config.
@@ -40,14 +40,14 @@
 	DefaultPrefillRate    = 20_000
 	DefaultDecodeInterval = 10 * time.Millisecond
 	DefaultMaxRunning     = 32
-	DefaultMemory         = 400_000
+	DefaultKVCacheTokens  = 400_000
 	DefaultQueueLimit     = 256
 	DefaultColdLimit      = 2
 	DefaultColdSlowdown   = 4
 	DefaultWarmAfter      = 8
 	DefaultCollapseTime   = 2 * time.Second
-	DefaultReportLag      = 500 * time.Millisecond
-	DefaultEventLag       = 500 * time.Millisecond
+	DefaultReportInterval = 500 * time.Millisecond
+	DefaultEventDelay     = 500 * time.Millisecond
 	DefaultEventHistory   = 4096
 	DefaultLoadTime       = 2 * time.Second
 )
@@ -57,14 +57,14 @@
 	orDefault(&c.PrefillRate, DefaultPrefillRate)
 	orDefault(&c.DecodeInterval, DefaultDecodeInterval)
 	orDefault(&c.MaxRunning, DefaultMaxRunning)
-	orDefault(&c.Memory, DefaultMemory)
+	orDefault(&c.KVCacheTokens, DefaultKVCacheTokens)
 	orDefault(&c.QueueLimit, DefaultQueueLimit)
 	orDefault(&c.ColdLimit, DefaultColdLimit)
 	orDefault(&c.ColdSlowdown, DefaultColdSlowdown)
 	orDefault(&c.WarmAfter, DefaultWarmAfter)
 	orDefault(&c.CollapseTime, DefaultCollapseTime)
-	orDefault(&c.ReportLag, DefaultReportLag)
-	orDefault(&c.EventLag, DefaultEventLag)
+	orDefault(&c.ReportInterval, DefaultReportInterval)
+	orDefault(&c.EventDelay, DefaultEventDelay)
 	orDefault(&c.EventHistory, DefaultEventHistory)
 	orDefault(&c.LoadTime, DefaultLoadTime)
 	return c
--- a/internal/standin/engine/control_test.go
+++ b/internal/standin/engine/control_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestReservations(t *testing.T) {
-	e := start(t, engine.Config{Memory: 1000})
+	e := start(t, engine.Config{KVCacheTokens: 1000})
 	cases := []struct {
 		name   string
 		call   rawhttp.Call
@@ -88,7 +88,7 @@
 func TestPromptLargerThanOneEngine(t *testing.T) {
 	is := is.New(t)
 	const memory = 10_000
-	lead, second, third := start(t, engine.Config{Memory: memory}), start(t, engine.Config{Memory: memory}), start(t, engine.Config{Memory: memory})
+	lead, second, third := start(t, engine.Config{KVCacheTokens: memory}), start(t, engine.Config{KVCacheTokens: memory}), start(t, engine.Config{KVCacheTokens: memory})
 	is.Equal(reserve("a", 9000, 60_000).Do(lead.Addr()).Status, 201)
 	is.Equal(reserve("b", 9000, 60_000).Do(second.Addr()).Status, 201)
 	is.Equal(reserve("c", 9000, 60_000).Do(third.Addr()).Status, 201)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -48,7 +48,7 @@
 	e := &Engine{
 		cfg: cfg.withDefaults(), start: time.Now(),
 		wake: make(chan struct{}, 1), stop: make(chan struct{}),
-		faults: faults.NewSet(faults.Kill, faults.Silent, faults.Cut, faults.Hang, faults.SlowFirstByte, faults.Cold,
+		faults: faults.NewSet(faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.Hang, faults.SlowFirstByte, faults.Cold,
 			faults.DuplicateParts, faults.ReorderedParts, faults.LateParts, faults.ForeignParts, faults.NoEndMark,
 			faults.LoseAnswer, faults.DelayOrders, faults.Leaving, faults.RefuseStart, faults.RefuseEverything),
 	}
@@ -70,7 +70,7 @@
 func (e *Engine) Addr() string { return e.http.Addr() }
 
 // Memory is the size of its KV cache in tokens.
-func (e *Engine) Memory() int64 { return e.cfg.Memory }
+func (e *Engine) KVCacheTokens() int64 { return e.cfg.KVCacheTokens }
 
 // Fencing tells whether it refuses orders with an old fencing number.
 func (e *Engine) Fencing() bool { return e.cfg.Fencing }
@@ -117,7 +117,7 @@
 	e.reservations = map[string]*reservation{}
 	e.orders = newOrderBook(e.cfg)
 	e.warmth = warmth{cold: cold, since: e.nextJob}
-	e.report = wire.LoadReport{BootID: e.boot, Cold: cold, ColdLimit: e.cfg.ColdLimit, MemoryTotal: e.cfg.Memory, PrefillRate: e.wallRate()}
+	e.report = wire.LoadReport{BootID: e.boot, Cold: cold, ColdLimit: e.cfg.ColdLimit, MemoryTotal: e.cfg.KVCacheTokens, PrefillRate: e.wallRate()}
 	e.reported = e.now()
 }
 
@@ -181,7 +181,7 @@
 func (e *Engine) wallRate() int64 { return int64(float64(e.cfg.PrefillRate) * e.cfg.TimeScale) }
 
 func (e *Engine) refreshReport(now time.Duration) {
-	if now-e.reported < e.cfg.ReportLag {
+	if now-e.reported < e.cfg.ReportInterval {
 		return
 	}
 	running := e.running()
@@ -197,7 +197,7 @@
 	e.report = wire.LoadReport{
 		BootID: e.boot, Seq: e.report.Seq + 1, Cold: e.warmth.cold, ColdLimit: e.cfg.ColdLimit,
 		Running: running, Queued: len(e.jobs) - running, QueuedTokens: int64(queuedTokens),
-		MemoryUsed: e.held(), MemoryTotal: e.cfg.Memory, PrefillRate: e.wallRate(),
+		MemoryUsed: e.held(), MemoryTotal: e.cfg.KVCacheTokens, PrefillRate: e.wallRate(),
 		Leaving: e.faults.On(faults.Leaving),
 	}
 }
--- a/internal/standin/engine/faults_test.go
+++ b/internal/standin/engine/faults_test.go
@@ -36,7 +36,7 @@
 			is.True(r.Done)
 			is.True(r.CheckStream("r1", 40) != nil) // the fault shows
 			sorted := &rawhttp.Result{Parts: own(r.Parts, "r1")}
-			is.Equal(sorted.Text(), answer.Answer("r1", 40))
+			is.Equal(sorted.Text(), answer.Text("r1", 40))
 		})
 	}
 }
@@ -51,7 +51,7 @@
 	is.True(!r.Done)
 	is.Equal(r.Finish(), "")
 	is.NoErr(r.CheckPrefix("r1"))
-	is.True(r.Text() != answer.Answer("r1", 40))
+	is.True(r.Text() != answer.Text("r1", 40))
 	is.True(nothingHeld(e)())
 }
 
@@ -85,7 +85,7 @@
 	c.OnPart = func(wire.Part) bool {
 		if first {
 			first = false
-			is.NoErr(e.Switch(faults.Silent, true, 0))
+			is.NoErr(e.Switch(faults.SilentConnections, true, 0))
 		}
 		return true
 	}
@@ -98,7 +98,7 @@
 	last := r.Parts[len(r.Parts)-1]
 	next := last.Offset + last.Tokens
 	resumed := streamed("r1", 10, next+10).With(wire.HeaderResumeOffset, jsonInt(next)).With(wire.HeaderAttempt, "2").Do(e.Addr())
-	is.Equal(r.Text()+resumed.Text(), answer.Answer("r1", next+10))
+	is.Equal(r.Text()+resumed.Text(), answer.Text("r1", next+10))
 	is.Equal(rawhttp.Call{Path: "/v1/cancel/r1"}.Do(e.Addr()).Status, 204)
 	is.True(nothingHeld(e)())
 }
@@ -107,7 +107,7 @@
 // reservations, cache and orders.
 func TestKilledEngineForgets(t *testing.T) {
 	is := is.New(t)
-	e := start(t, engine.Config{Memory: 100_000, DecodeInterval: time.Hour})
+	e := start(t, engine.Config{KVCacheTokens: 100_000, DecodeInterval: time.Hour})
 	running := begin(t, e, streamed("r1", 3000, 1000))
 	is.Equal(post(wire.PathReservations, wire.Reservation{ID: "a", Tokens: 10}).Do(e.Addr()).Status, 201)
 	is.Equal(post(wire.PathOrders, wire.Order{ID: "o", Fence: 9, Kind: engine.OrderRole, Role: engine.RoleLong}).Do(e.Addr()).Status, 202)
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -34,7 +34,7 @@
 // gate plays the faults that concern every call.
 func (e *Engine) gate(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		if e.faults.Hang(faults.Hang, serve.Gone(ctx)) {
+		if e.faults.WaitUntilOff(faults.Hang, serve.Gone(ctx)) {
 			serve.Drop(ctx)
 			return
 		}
@@ -72,7 +72,7 @@
 	e.locked(func(now time.Duration) {
 		report = e.report
 		report.AgeMs = e.wall(now - e.reported).Milliseconds()
-		report.CacheNext = e.cache.published(now - e.cfg.EventLag)
+		report.CacheNext = e.cache.published(now - e.cfg.EventDelay)
 	})
 	serve.JSON(ctx, fasthttp.StatusOK, report)
 }
@@ -85,7 +85,7 @@
 	}
 	var answer wire.CacheEvents
 	e.locked(func(now time.Duration) {
-		answer = e.cache.since(from, now-e.cfg.EventLag)
+		answer = e.cache.since(from, now-e.cfg.EventDelay)
 		answer.BootID = e.boot
 	})
 	serve.JSON(ctx, fasthttp.StatusOK, answer)
--- a/internal/standin/engine/job.go
+++ b/internal/standin/engine/job.go
@@ -74,7 +74,7 @@
 		if j.running {
 			continue
 		}
-		if running >= e.cfg.MaxRunning || e.held()+j.need > e.cfg.Memory {
+		if running >= e.cfg.MaxRunning || e.held()+j.need > e.cfg.KVCacheTokens {
 			return
 		}
 		j.running = true
@@ -83,7 +83,7 @@
 		e.counters.CachedTokens += int64(hits) * wire.BlockTokens
 		j.left = max(1, float64(j.prompt+j.offset-hits*wire.BlockTokens))
 		e.cache.add(j.blocks[:hits], now)
-		e.cache.shrink(e.cfg.Memory-e.held(), now)
+		e.cache.shrink(e.cfg.KVCacheTokens-e.held(), now)
 	}
 }
 
@@ -105,7 +105,7 @@
 			return
 		}
 		e.cache.add(j.blocks, now)
-		e.cache.shrink(e.cfg.Memory-e.held(), now)
+		e.cache.shrink(e.cfg.KVCacheTokens-e.held(), now)
 		e.produce(j, 1)
 	}
 }
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -119,7 +119,7 @@
 	blocks := m.Blocks[:min(int64(len(m.Blocks)), tokens/wire.BlockTokens)]
 	e.locked(func(now time.Duration) {
 		e.cache.add(blocks, now)
-		e.cache.shrink(e.cfg.Memory-e.held(), now)
+		e.cache.shrink(e.cfg.KVCacheTokens-e.held(), now)
 	})
 	serve.JSON(ctx, fasthttp.StatusOK, wire.KVExportResult{ID: m.ID, Blocks: len(blocks), Tokens: int64(len(blocks)) * wire.BlockTokens})
 }
--- a/internal/standin/engine/reservations.go
+++ b/internal/standin/engine/reservations.go
@@ -54,13 +54,13 @@
 		}
 		return fasthttp.StatusConflict
 	}
-	if e.held()+r.Tokens > e.cfg.Memory {
+	if e.held()+r.Tokens > e.cfg.KVCacheTokens {
 		return fasthttp.StatusServiceUnavailable
 	}
 	e.reservations[r.ID] = &reservation{
 		Reservation: r, created: now, expires: e.instant(r.TTLMs, now), over: e.instant(r.DeadlineMs, now),
 	}
-	e.cache.shrink(e.cfg.Memory-e.held(), now)
+	e.cache.shrink(e.cfg.KVCacheTokens-e.held(), now)
 	return fasthttp.StatusCreated
 }
 
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -58,7 +58,7 @@
 	for p.finish == "" && ok {
 		p, ok = e.await(j, p.to, gone, func() bool { return true })
 	}
-	e.faults.Hold(faults.SlowFirstByte, gone)
+	e.faults.WaitDelay(faults.SlowFirstByte, gone)
 	switch {
 	case !ok || e.faults.On(faults.LoseAnswer):
 		serve.Drop(ctx)
@@ -96,7 +96,7 @@
 			return false
 		}
 		if first {
-			e.faults.Hold(faults.SlowFirstByte, gone)
+			e.faults.WaitDelay(faults.SlowFirstByte, gone)
 			first = false
 		}
 		if e.faults.On(faults.LoseAnswer) {
--- a/internal/standin/engine/submit.go
+++ b/internal/standin/engine/submit.go
@@ -136,7 +136,7 @@
 		need -= held.Tokens + grouped
 	}
 	j.need = max(0, need)
-	if j.need > e.cfg.Memory {
+	if j.need > e.cfg.KVCacheTokens {
 		return &refusal{fasthttp.StatusRequestEntityTooLarge, "larger than the memory", false}
 	}
 	return nil
--- a/internal/standin/faults/faults.go
+++ b/internal/standin/faults/faults.go
@@ -14,27 +14,27 @@
 
 // The closed list.
 const (
-	Kill             Fault = "kill"              // listener and all connections are closed; off starts the process anew
-	Silent           Fault = "silent"            // connections open now deliver nothing more, new ones work; off has no effect on them
-	Cut              Fault = "cut"               // connections open now are closed, new ones work
-	Hang             Fault = "hang"              // requests are read and not answered
-	Slow             Fault = "slow"              // requests wait before they are handled
-	SlowFirstByte    Fault = "slow_first_byte"   // the first token waits
-	Cold             Fault = "cold"              // the engine is cold again, with the same boot id
-	DuplicateParts   Fault = "duplicate_parts"   // every part is sent twice
-	ReorderedParts   Fault = "reordered_parts"   // pairs of parts change places
-	LateParts        Fault = "late_parts"        // an old part is sent again much later
-	ForeignParts     Fault = "foreign_parts"     // parts of another request are mixed in
-	NoEndMark        Fault = "no_end_mark"       // streams end early, without an end mark
-	LoseAnswer       Fault = "lose_answer"       // the work is done, then the connection is closed without an answer
-	DelayOrders      Fault = "delay_orders"      // orders are acknowledged and carried out later
-	StaleReads       Fault = "stale_reads"       // reads show the state of the moment the fault was switched on
-	Lag              Fault = "lag"               // as StaleReads, for the instance list
-	Leaving          Fault = "leaving"           // new requests are refused as not started, those in flight go on
-	RefuseStart      Fault = "refuse_start"      // requests are refused with the word that they did not start
-	CrashBeforeRun   Fault = "crash_before_run"  // the connection is closed before the request runs
-	CrashAfterRun    Fault = "crash_after_run"   // the connection is closed after the request ran
-	RefuseEverything Fault = "refuse_everything" // answers 503 to everything, without a word on whether it started
+	Kill              Fault = "kill"              // listener and all connections are closed; off starts the process anew
+	SilentConnections Fault = "silent"            // connections open now deliver nothing more, new ones work; off has no effect on them
+	CloseConnections  Fault = "cut"               // connections open now are closed, new ones work
+	Hang              Fault = "hang"              // requests are read and not answered
+	Slow              Fault = "slow"              // requests wait before they are handled
+	SlowFirstByte     Fault = "slow_first_byte"   // the first token waits
+	Cold              Fault = "cold"              // the engine is cold again, with the same boot id
+	DuplicateParts    Fault = "duplicate_parts"   // every part is sent twice
+	ReorderedParts    Fault = "reordered_parts"   // pairs of parts change places
+	LateParts         Fault = "late_parts"        // an old part is sent again much later
+	ForeignParts      Fault = "foreign_parts"     // parts of another request are mixed in
+	NoEndMark         Fault = "no_end_mark"       // streams end early, without an end mark
+	LoseAnswer        Fault = "lose_answer"       // the work is done, then the connection is closed without an answer
+	DelayOrders       Fault = "delay_orders"      // orders are acknowledged and carried out later
+	StaleReads        Fault = "stale_reads"       // reads show the state of the moment the fault was switched on
+	StaleInstanceList Fault = "lag"               // as StaleReads, for the instance list
+	Leaving           Fault = "leaving"           // new requests are refused as not started, those in flight go on
+	RefuseStart       Fault = "refuse_start"      // requests are refused with the word that they did not start
+	CrashBeforeRun    Fault = "crash_before_run"  // the connection is closed before the request runs
+	CrashAfterRun     Fault = "crash_after_run"   // the connection is closed after the request ran
+	RefuseEverything  Fault = "refuse_everything" // answers 503 to everything, without a word on whether it started
 )
 
 // DefaultDelay is how long Slow, SlowFirstByte, LateParts and DelayOrders wait unless told otherwise.
@@ -95,7 +95,7 @@
 }
 
 // Hold waits for the fault's delay if it is on, at most until gone is closed.
-func (s *Set) Hold(f Fault, gone <-chan struct{}) {
+func (s *Set) WaitDelay(f Fault, gone <-chan struct{}) {
 	delay := s.Delay(f)
 	if delay == 0 {
 		return
@@ -109,7 +109,7 @@
 }
 
 // Hang waits until the fault is switched off or gone is closed. It tells whether it waited.
-func (s *Set) Hang(f Fault, gone <-chan struct{}) bool {
+func (s *Set) WaitUntilOff(f Fault, gone <-chan struct{}) bool {
 	s.mu.Lock()
 	e := s.on[f]
 	s.mu.Unlock()
--- a/internal/standin/faults/faults_test.go
+++ b/internal/standin/faults/faults_test.go
@@ -26,14 +26,14 @@
 func TestHangEndsWithTheFaultOrTheCaller(t *testing.T) {
 	is := is.New(t)
 	s := faults.NewSet(faults.Hang)
-	is.True(!s.Hang(faults.Hang, nil)) // off: no wait
+	is.True(!s.WaitUntilOff(faults.Hang, nil)) // off: no wait
 	is.NoErr(s.Switch(faults.Hang, true, 0))
 	ended := make(chan bool, 2)
 	gone := make(chan struct{})
-	go func() { ended <- s.Hang(faults.Hang, gone) }()
+	go func() { ended <- s.WaitUntilOff(faults.Hang, gone) }()
 	close(gone)
 	is.True(<-ended)
-	go func() { ended <- s.Hang(faults.Hang, nil) }()
+	go func() { ended <- s.WaitUntilOff(faults.Hang, nil) }()
 	time.Sleep(10 * time.Millisecond) // lets it wait, as a rule; it ends either way
 	is.NoErr(s.Switch(faults.Hang, false, 0))
 	<-ended
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -40,7 +40,7 @@
 	s := &Server{
 		lag:    lag,
 		states: []state{{list: wire.InstanceList{Instances: []wire.Instance{}}}},
-		faults: faults.NewSet(faults.Kill, faults.Silent, faults.Cut, faults.Hang, faults.Slow, faults.Lag, faults.RefuseEverything),
+		faults: faults.NewSet(faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.Hang, faults.Slow, faults.StaleInstanceList, faults.RefuseEverything),
 	}
 	r := router.New()
 	r.GET(wire.PathInstances, s.get)
@@ -73,7 +73,7 @@
 	if err := s.faults.Switch(f, on, delay); err != nil {
 		return err
 	}
-	if f == faults.Lag {
+	if f == faults.StaleInstanceList {
 		s.freeze(on)
 	}
 	return s.http.Switch(f, on)
@@ -153,7 +153,7 @@
 
 func (s *Server) get(ctx *fasthttp.RequestCtx) {
 	s.reads.Add(1)
-	if s.faults.Hang(faults.Hang, serve.Gone(ctx)) {
+	if s.faults.WaitUntilOff(faults.Hang, serve.Gone(ctx)) {
 		serve.Drop(ctx)
 		return
 	}
@@ -161,7 +161,7 @@
 		ctx.Error("out of service", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	s.faults.Hold(faults.Slow, serve.Gone(ctx))
+	s.faults.WaitDelay(faults.Slow, serve.Gone(ctx))
 	list := s.answer()
 	tag := wire.InstancesETag(list.Version)
 	ctx.Response.Header.Set(fasthttp.HeaderETag, tag)
--- a/internal/standin/instances/instances_test.go
+++ b/internal/standin/instances/instances_test.go
@@ -80,9 +80,9 @@
 	is := is.New(t)
 	s := start(t, 0)
 	s.Register(wire.Instance{ID: "a"})
-	is.NoErr(s.Switch(faults.Lag, true, 0))
+	is.NoErr(s.Switch(faults.StaleInstanceList, true, 0))
 	s.Remove("a")
 	is.Equal(states(read(t, s)), []string{"a live"})
-	is.NoErr(s.Switch(faults.Lag, false, 0))
+	is.NoErr(s.Switch(faults.StaleInstanceList, false, 0))
 	is.Equal(states(read(t, s)), []string{})
 }
--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -45,7 +45,7 @@
 
 // Start serves store on addr.
 func Start(addr string, store *Store) (*Server, error) {
-	s := &Server{store: store, faults: faults.NewSet(faults.Kill, faults.Silent, faults.Cut, faults.Hang, faults.Slow,
+	s := &Server{store: store, faults: faults.NewSet(faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.Hang, faults.Slow,
 		faults.LoseAnswer, faults.StaleReads, faults.RefuseEverything)}
 	r := router.New()
 	r.GET(wire.PathObject, s.gate(s.get))
@@ -109,7 +109,7 @@
 
 func (s *Server) gate(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		if s.faults.Hang(faults.Hang, serve.Gone(ctx)) {
+		if s.faults.WaitUntilOff(faults.Hang, serve.Gone(ctx)) {
 			serve.Drop(ctx)
 			return
 		}
@@ -117,7 +117,7 @@
 			ctx.Error("out of service", fasthttp.StatusServiceUnavailable)
 			return
 		}
-		s.faults.Hold(faults.Slow, serve.Gone(ctx))
+		s.faults.WaitDelay(faults.Slow, serve.Gone(ctx))
 		next(ctx)
 	}
 }
--- a/internal/standin/rawhttp/rawhttp.go
+++ b/internal/standin/rawhttp/rawhttp.go
@@ -84,7 +84,7 @@
 	switch {
 	case next != tokens:
 		return fmt.Errorf("%d tokens of %d, finish reason %q", next, tokens, r.Finish())
-	case r.Text() != answer.Answer(requestID, tokens):
+	case r.Text() != answer.Text(requestID, tokens):
 		return fmt.Errorf("text is not the answer to %s", requestID)
 	case r.Finish() != "length":
 		return fmt.Errorf("finish reason %q", r.Finish())
--- a/internal/standin/serve/serve.go
+++ b/internal/standin/serve/serve.go
@@ -203,9 +203,9 @@
 		s.Kill()
 	case f == faults.Kill:
 		return s.Restart()
-	case f == faults.Silent && on:
+	case f == faults.SilentConnections && on:
 		s.Silence()
-	case f == faults.Cut && on:
+	case f == faults.CloseConnections && on:
 		s.Cut()
 	}
 	return nil
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -124,7 +124,7 @@
 
 // Start serves one instance on addr.
 func Start(addr, id string, ledger *Ledger) (*Server, error) {
-	s := &Server{id: id, ledger: ledger, boot: uuid.NewString(), faults: faults.NewSet(faults.Kill, faults.Silent, faults.Cut,
+	s := &Server{id: id, ledger: ledger, boot: uuid.NewString(), faults: faults.NewSet(faults.Kill, faults.SilentConnections, faults.CloseConnections,
 		faults.Hang, faults.Slow, faults.LoseAnswer, faults.Leaving, faults.RefuseStart, faults.RefuseEverything,
 		faults.CrashBeforeRun, faults.CrashAfterRun)}
 	r := router.New()
@@ -178,7 +178,7 @@
 func (s *Server) gate(run fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.Response.Header.Set(wire.HeaderBootID, s.bootID())
-		if s.faults.Hang(faults.Hang, serve.Gone(ctx)) || s.faults.On(faults.CrashBeforeRun) {
+		if s.faults.WaitUntilOff(faults.Hang, serve.Gone(ctx)) || s.faults.On(faults.CrashBeforeRun) {
 			serve.Drop(ctx)
 			return
 		}
@@ -191,7 +191,7 @@
 			serve.JSON(ctx, fasthttp.StatusServiceUnavailable, wire.Refusal{Error: "out of service"})
 			return
 		}
-		s.faults.Hold(faults.Slow, serve.Gone(ctx))
+		s.faults.WaitDelay(faults.Slow, serve.Gone(ctx))
 		s.ledger.run(execution(s.id, ctx))
 		run(ctx)
 		if s.faults.On(faults.LoseAnswer) || s.faults.On(faults.CrashAfterRun) {
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -61,7 +61,7 @@
 func Start(addr string, rate, burst float64) (*Server, error) {
 	s := &Server{
 		budget: Budget{Rate: rate, Burst: burst},
-		faults: faults.NewSet(faults.Kill, faults.Silent, faults.Cut, faults.Hang, faults.Slow),
+		faults: faults.NewSet(faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.Hang, faults.Slow),
 	}
 	r := router.New()
 	r.POST(wire.PathWeights, s.take)
@@ -95,11 +95,11 @@
 }
 
 func (s *Server) take(ctx *fasthttp.RequestCtx) {
-	if s.faults.Hang(faults.Hang, serve.Gone(ctx)) {
+	if s.faults.WaitUntilOff(faults.Hang, serve.Gone(ctx)) {
 		serve.Drop(ctx)
 		return
 	}
-	s.faults.Hold(faults.Slow, serve.Gone(ctx))
+	s.faults.WaitDelay(faults.Slow, serve.Gone(ctx))
 	gb, err := strconv.ParseFloat(string(ctx.QueryArgs().Peek("gb")), 64)
 	if err != nil || gb <= 0 || math.IsInf(gb, 0) || math.IsNaN(gb) {
 		ctx.Error("gb: not a positive number", fasthttp.StatusBadRequest)
--- a/test/e2e/chaos_test.go
+++ b/test/e2e/chaos_test.go
@@ -13,13 +13,13 @@
 // Faults of one target each, from which a seeded choice is made.
 var (
 	engineFaults = []faults.Fault{
-		faults.Kill, faults.Silent, faults.Cut, faults.Cold, faults.Hang, faults.LoseAnswer, faults.NoEndMark,
+		faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.Cold, faults.Hang, faults.LoseAnswer, faults.NoEndMark,
 		faults.DuplicateParts, faults.ReorderedParts, faults.LateParts, faults.ForeignParts, faults.RefuseEverything,
 	}
 	serviceFaults = []faults.Fault{
-		faults.Kill, faults.Silent, faults.Cut, faults.LoseAnswer, faults.RefuseStart, faults.CrashBeforeRun, faults.CrashAfterRun,
+		faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.LoseAnswer, faults.RefuseStart, faults.CrashBeforeRun, faults.CrashAfterRun,
 	}
-	platformFaults = []faults.Fault{faults.Kill, faults.Hang, faults.Slow, faults.Cut, faults.Silent}
+	platformFaults = []faults.Fault{faults.Kill, faults.Hang, faults.Slow, faults.CloseConnections, faults.SilentConnections}
 )
 
 // Faults come together and twice: engines, services, object API and instance list fail in turns, several at
--- a/test/e2e/crowd_test.go
+++ b/test/e2e/crowd_test.go
@@ -282,7 +282,7 @@
 	if err := json.Unmarshal(o.Body, &c); err != nil {
 		return err
 	}
-	if len(c.Choices) != 1 || c.Choices[0].Text != answer.Answer(o.id, o.tokens) || c.Choices[0].FinishReason != "length" {
+	if len(c.Choices) != 1 || c.Choices[0].Text != answer.Text(o.id, o.tokens) || c.Choices[0].FinishReason != "length" {
 		return fmt.Errorf("the answer is not whole or not its own")
 	}
 	return nil
--- a/test/e2e/e2e_test.go
+++ b/test/e2e/e2e_test.go
@@ -117,10 +117,10 @@
 
 	// All connections to two engines and a service break in mid-answer. Prompts go on elsewhere; a booking
 	// that was sent is of unknown outcome and is not sent again.
-	{"cut connections", []string{busiest, second, "bookdesk-0"}, faults.Cut, served},
+	{"cut connections", []string{busiest, second, "bookdesk-0"}, faults.CloseConnections, served},
 
 	// All connections open to an engine go silent for good while new ones work.
-	{"silent connections", []string{busiest, second}, faults.Silent, all},
+	{"silent connections", []string{busiest, second}, faults.SilentConnections, all},
 
 	// An engine dies under load and comes back cold.
 	{"engine killed", []string{busiest}, faults.Kill, all},
@@ -159,7 +159,7 @@
 
 	// The instance list is down or stands still.
 	{"instance list down", []string{cluster.TargetInstances}, faults.Kill, all},
-	{"instance list stands still", []string{cluster.TargetInstances}, faults.Lag, all},
+	{"instance list stands still", []string{cluster.TargetInstances}, faults.StaleInstanceList, all},
 }
 
 // budgeted lets prompts fail, in words, that met a fault which hits every request on an engine: retries have a
