--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -6,36 +6,36 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// Config is what an engine is built with. Times are engine times: TimeScale of them pass in one of the
-// clock on the wall. Zero values mean the defaults.
+// Config holds the settings of an engine. Durations and rates are in engine time, which runs TimeScale times as fast as
+// wall-clock time. A field that is zero has its default.
 type Config struct {
 	ID         string
-	Models     []wire.LoadedModel // loaded whenever it boots
-	TimeScale  float64            // engine seconds in one second
+	Models     []wire.LoadedModel // loaded at every boot
+	TimeScale  float64            // seconds of engine time in one second of wall-clock time
 	Seed       uint64             // of the choice which cache events are lost
 	StartCold  bool               // cold at the first boot; later boots are always cold
-	Fencing    bool               // refuses orders with an old fencing number
-	NoExpiry   bool               // reservations stay until they are released
-	QueueLimit int                // requests that wait; more are refused as not started
+	Fencing    bool               // refuses an order whose fencing number is lower than the highest seen
+	NoExpiry   bool               // reservations last until they are released
+	QueueLimit int                // queued requests; further ones are refused as not started
 
-	PrefillRate    int64         // prompt tokens a second, shared in order of priority
-	DecodeInterval time.Duration // between two tokens of one answer
-	MaxRunning     int           // requests at once
-	KVCacheTokens  int64         // KV cache in tokens
+	PrefillRate    int64         // prompt tokens a second; jobs of higher priority get their share first
+	DecodeInterval time.Duration // time between two tokens of one answer
+	MaxRunning     int           // requests that run at the same time
+	KVCacheTokens  int64         // size of the KV cache
 
-	ColdLimit    int           // requests at once that it bears while cold
-	ColdSlowdown int64         // its prefill rate is divided by this while cold
-	WarmAfter    int           // successes until it is warm
-	CollapseTime time.Duration // out of service after it fell over
+	ColdLimit    int           // requests in flight while cold; one more makes the engine collapse
+	ColdSlowdown int64         // divisor of the prefill rate while cold
+	WarmAfter    int           // completed requests until a cold engine is warm
+	CollapseTime time.Duration // time out of service after a collapse
 
-	ReportInterval time.Duration // between two load reports
-	EventDelay     time.Duration // until a cache event is published
+	ReportInterval time.Duration // time between two updates of the load report
+	EventDelay     time.Duration // time until a cache event is published
 	EventHistory   int           // cache events kept
-	EventLoss      uint64        // one event in so many is never published; 0: none
-	LoadTime       time.Duration // to carry out a load order
+	EventLoss      uint64        // one event in so many, on average, is never published; 0: none
+	LoadTime       time.Duration // time that a load order takes
 }
 
-// Defaults of Config.
+// Defaults of Config, in the units of its fields.
 const (
 	DefaultPrefillRate    = 20_000
 	DefaultDecodeInterval = 10 * time.Millisecond
@@ -52,6 +52,7 @@
 	DefaultLoadTime       = 2 * time.Second
 )
 
+// withDefaults returns c with the defaults in place of zero values.
 func (c Config) withDefaults() Config {
 	orDefault(&c.TimeScale, 1)
 	orDefault(&c.PrefillRate, DefaultPrefillRate)
@@ -70,6 +71,7 @@
 	return c
 }
 
+// orDefault sets the field to value if it is zero.
 func orDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/internal/standin/engine/control_test.go
+++ b/internal/standin/engine/control_test.go
@@ -12,6 +12,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
+// reserve returns the call that reserves memory for a request with 60 s until its deadline.
 func reserve(id string, tokens, ttlMs int64) rawhttp.Call {
 	return post(wire.PathReservations, wire.Reservation{
 		ID: id, Holder: "entry-1", Incarnation: "i1", Tokens: tokens, TTLMs: ttlMs, DeadlineMs: 60_000,
@@ -23,7 +24,7 @@
 }
 
 func TestReservations(t *testing.T) {
-	e := start(t, engine.Config{KVCacheTokens: 1000})
+	e := startEngine(t, engine.Config{KVCacheTokens: 1000})
 	cases := []struct {
 		name   string
 		call   rawhttp.Call
@@ -32,7 +33,7 @@
 	}{
 		{"first", reserve("a", 600, 60_000), 201, 600},
 		{"the same again", reserve("a", 600, 60_000), 200, 600},
-		{"same id, other contents", reserve("a", 500, 60_000), 409, 600},
+		{"same id, other size", reserve("a", 500, 60_000), 409, 600},
 		{"no memory", reserve("b", 401, 60_000), 503, 600},
 		{"fits", reserve("b", 400, 60_000), 201, 1000},
 		{"no id", reserve("", 1, 1), 400, 1000},
@@ -48,7 +49,7 @@
 		})
 	}
 	is := is.New(t)
-	list := ask[wire.Reservations](t, e, get(wire.PathReservations))
+	list := fetch[wire.Reservations](t, e, get(wire.PathReservations))
 	is.Equal(len(list.Reservations), 1)
 	b := list.Reservations[0]
 	is.Equal(b.ID, "b")
@@ -56,67 +57,68 @@
 	is.True(b.TTLMs > 0 && b.TTLMs <= 60_000)
 }
 
-// An instance reserved memory and died: the engine gives it back by itself, or, where it has no expiry,
-// keeps it until somebody releases it.
-func TestForgottenReservation(t *testing.T) {
+// An instance reserves memory and crashes. The engine must release the memory when its time to live has passed. An engine
+// without expiry keeps it until a call releases it.
+func TestAbandonedReservation(t *testing.T) {
 	is := is.New(t)
-	e := start(t, engine.Config{})
+	e := startEngine(t, engine.Config{})
 	is.Equal(reserve("a", 100, 50).Do(e.Addr()).Status, 201)
-	eventually(t, "the reservation expires", nothingHeld(e))
+	waitFor(t, "the reservation expires", isIdle(e))
 
-	forever := start(t, engine.Config{NoExpiry: true})
+	forever := startEngine(t, engine.Config{NoExpiry: true})
 	is.Equal(post(wire.PathReservations, wire.Reservation{ID: "a", Tokens: 100, TTLMs: 1, DeadlineMs: 1}).Do(forever.Addr()).Status, 201)
-	eventually(t, "its deadline passes", func() bool { return forever.Counters().OverdueTokens == 100 })
-	is.Equal(ask[wire.Reservations](t, forever, get(wire.PathReservations)).Reservations[0].TTLMs, int64(0))
+	waitFor(t, "its deadline passes", func() bool { return forever.Counters().OverdueTokens == 100 })
+	is.Equal(fetch[wire.Reservations](t, forever, get(wire.PathReservations)).Reservations[0].TTLMs, int64(0))
 	is.Equal(release("a").Do(forever.Addr()).Status, 204)
-	is.True(nothingHeld(forever)())
+	is.True(isIdle(forever)())
 }
 
-func TestWorkUsesItsReservationAndEndsWithIt(t *testing.T) {
+func TestJobUsesItsReservationAndEndsWithIt(t *testing.T) {
 	is := is.New(t)
-	e := start(t, engine.Config{DecodeInterval: time.Hour})
+	e := startEngine(t, engine.Config{DecodeInterval: time.Hour})
 	is.Equal(reserve("a", 1010, 60_000).Do(e.Addr()).Status, 201)
-	running := begin(t, e, streamed("r1", 10, 1000).With(wire.HeaderReservation, "a"))
-	is.Equal(e.Counters().HeldTokens, int64(1010)) // not twice
+	running := startCall(t, e, streamCall("r1", 10, 1000).With(wire.HeaderReservation, "a"))
+	is.Equal(e.Counters().HeldTokens, int64(1010)) // the reserved memory counts once
 	is.Equal(release("a").Do(e.Addr()).Status, 204)
 	is.Equal((<-running).Finish(), "error")
-	is.True(nothingHeld(e)())
+	is.True(isIdle(e)())
 }
 
-// A prompt that is more than twice an engine's memory runs on a group that has reserved memory for it, and
-// is refused as not started without that.
+// A prompt that needs more than twice an engine's memory runs on a group of engines that have reserved memory for it. It
+// is refused as not started if the call names no group, or if one of the group's reservations is missing.
 func TestPromptLargerThanOneEngine(t *testing.T) {
 	is := is.New(t)
 	const memory = 10_000
-	lead, second, third := start(t, engine.Config{KVCacheTokens: memory}), start(t, engine.Config{KVCacheTokens: memory}), start(t, engine.Config{KVCacheTokens: memory})
-	is.Equal(reserve("a", 9000, 60_000).Do(lead.Addr()).Status, 201)
+	first, second, third := startEngine(t, engine.Config{KVCacheTokens: memory}), startEngine(t, engine.Config{KVCacheTokens: memory}), startEngine(t, engine.Config{KVCacheTokens: memory})
+	is.Equal(reserve("a", 9000, 60_000).Do(first.Addr()).Status, 201)
 	is.Equal(reserve("b", 9000, 60_000).Do(second.Addr()).Status, 201)
 	is.Equal(reserve("c", 9000, 60_000).Do(third.Addr()).Status, 201)
-	call := streamed("r1", 25_000, 20).With(wire.HeaderReservation, "a")
-	alone := call.Do(lead.Addr())
+	call := streamCall("r1", 25_000, 20).With(wire.HeaderReservation, "a")
+	alone := call.Do(first.Addr())
 	is.Equal(alone.Status, 413)
 	is.Equal(alone.Header[wire.HeaderNotStarted], "true")
 	group := call.With(wire.HeaderGroup, "b@"+second.Addr()+",c@"+third.Addr())
-	is.NoErr(group.Do(lead.Addr()).CheckStream("r1", 20))
+	is.NoErr(group.Do(first.Addr()).CheckStream("r1", 20))
 
 	is.Equal(release("c").Do(third.Addr()).Status, 204)
-	lost := group.Do(lead.Addr())
+	lost := group.Do(first.Addr())
 	is.Equal(lost.Status, 503)
 	is.Equal(lost.Header[wire.HeaderNotStarted], "true")
-	is.Equal(lead.Counters().Runs["r1"], 1)
+	is.Equal(first.Counters().Runs["r1"], 1)
 }
 
+// order returns the call that sends an order for the model "lake".
 func order(id string, fence uint64, kind, version, adapter string) rawhttp.Call {
 	return post(wire.PathOrders, wire.Order{ID: id, Fence: fence, Kind: kind, Model: "lake", Version: version, Adapter: adapter})
 }
 
 func TestOrders(t *testing.T) {
-	e := start(t, engine.Config{Models: []wire.LoadedModel{}, Fencing: true, LoadTime: time.Second})
+	e := startEngine(t, engine.Config{Models: []wire.LoadedModel{}, Fencing: true, LoadTime: time.Second})
 	cases := []struct {
 		name   string
 		call   rawhttp.Call
 		status int
-		last   string // order carried out last
+		last   string // id of the last order that was carried out
 		loaded []wire.LoadedModel
 	}{
 		{"load", order("o1", 1, engine.OrderLoad, "v1", ""), 202, "o1", []wire.LoadedModel{{Model: "lake", Version: "v1"}}},
@@ -133,8 +135,8 @@
 			is := is.New(t)
 			is.Equal(c.call.Do(e.Addr()).Status, c.status)
 			var state wire.EngineState
-			eventually(t, "the order is carried out", func() bool {
-				state = ask[wire.EngineState](t, e, get(wire.PathState))
+			waitFor(t, "the order is carried out", func() bool {
+				state = fetch[wire.EngineState](t, e, get(wire.PathState))
 				return state.LastOrder == c.last
 			})
 			is.Equal(state.Loaded, c.loaded)
@@ -145,47 +147,47 @@
 	is.Equal(counters.RepeatedOrders, 1)
 	is.Equal(counters.StaleRefused, 1)
 	is.Equal(counters.OrdersRun, 5)
-	is.Equal(ask[wire.EngineState](t, e, get(wire.PathState)).HighestFence, uint64(5))
+	is.Equal(fetch[wire.EngineState](t, e, get(wire.PathState)).HighestFence, uint64(5))
 }
 
-// The holder of an old lease was paused with an order on its way; the new holder's order overtakes it. An
-// engine that ignores fencing numbers carries out the old order last, and serves the old version.
-func TestDelayedOrderOverwritesANewerOne(t *testing.T) {
+// An order of a former lease holder is delayed, and the order of the new holder overtakes it. An engine that ignores
+// fencing numbers carries out the old order last and then serves the old version.
+func TestDelayedOrderOverwritesNewerOrder(t *testing.T) {
 	is := is.New(t)
-	e := start(t, engine.Config{Models: []wire.LoadedModel{}, LoadTime: time.Millisecond})
+	e := startEngine(t, engine.Config{Models: []wire.LoadedModel{}, LoadTime: time.Millisecond})
 	is.NoErr(e.Switch(faults.DelayOrders, true, 500*time.Millisecond))
 	is.Equal(order("old", 1, engine.OrderLoad, "v1", "").Do(e.Addr()).Status, 202)
 	is.NoErr(e.Switch(faults.DelayOrders, false, 0))
 	is.Equal(order("new", 2, engine.OrderLoad, "v2", "").Do(e.Addr()).Status, 202)
 	version := func() string {
-		loaded := ask[wire.EngineState](t, e, get(wire.PathState)).Loaded
+		loaded := fetch[wire.EngineState](t, e, get(wire.PathState)).Loaded
 		if len(loaded) == 0 {
 			return ""
 		}
 		return loaded[0].Version
 	}
-	eventually(t, "the new order is carried out", func() bool { return version() == "v2" })
-	eventually(t, "the old order is carried out", func() bool { return version() == "v1" })
+	waitFor(t, "the new order is carried out", func() bool { return version() == "v2" })
+	waitFor(t, "the old order is carried out", func() bool { return version() == "v1" })
 	is.Equal(e.Counters().StaleRun, 1)
 }
 
 func TestKVExportAndImport(t *testing.T) {
 	is := is.New(t)
-	from, to := start(t, engine.Config{}), start(t, engine.Config{})
+	from, to := startEngine(t, engine.Config{}), startEngine(t, engine.Config{})
 	text := prompt(3 * wire.BlockTokens)
 	blocks := wire.BlockHashes([]byte(text))
 	export := post(wire.PathKVExport, wire.KVExport{ID: "x", Holder: "entry-1", Blocks: blocks, TTLMs: 60_000})
 	is.Equal(export.Do(from.Addr()).Status, 404) // nothing cached yet
-	is.NoErr(streamed("r1", 3*wire.BlockTokens, 1).Do(from.Addr()).CheckStream("r1", 1))
-	is.Equal(ask[wire.KVExportResult](t, from, export), wire.KVExportResult{ID: "x", Blocks: 3, Tokens: 3 * wire.BlockTokens})
-	is.Equal(from.Counters().ReservedTokens, int64(3*wire.BlockTokens)) // a copy is memory too
+	is.NoErr(streamCall("r1", 3*wire.BlockTokens, 1).Do(from.Addr()).CheckStream("r1", 1))
+	is.Equal(fetch[wire.KVExportResult](t, from, export), wire.KVExportResult{ID: "x", Blocks: 3, Tokens: 3 * wire.BlockTokens})
+	is.Equal(from.Counters().ReservedTokens, int64(3*wire.BlockTokens)) // the copy uses memory
 
 	load := post(wire.PathKVImport, wire.KVImport{ID: "x", Addr: from.Addr(), Blocks: blocks})
-	is.Equal(ask[wire.KVExportResult](t, to, load).Blocks, 3)
-	is.NoErr(streamed("r2", 3*wire.BlockTokens, 1).Do(to.Addr()).CheckStream("r2", 1))
+	is.Equal(fetch[wire.KVExportResult](t, to, load).Blocks, 3)
+	is.NoErr(streamCall("r2", 3*wire.BlockTokens, 1).Do(to.Addr()).CheckStream("r2", 1))
 	is.Equal(to.Counters().CachedTokens, int64(3*wire.BlockTokens))
 
 	is.Equal(release("x").Do(from.Addr()).Status, 204)
 	is.Equal(load.Do(to.Addr()).Status, 404)
-	is.True(nothingHeld(from)())
+	is.True(isIdle(from)())
 }
--- a/internal/standin/engine/helpers_test.go
+++ b/internal/standin/engine/helpers_test.go
@@ -20,16 +20,17 @@
 }
 
 const (
-	model = "guide"
-	fast  = 50               // engine seconds in a second
-	guard = 20 * time.Second // of waits in tests
+	model         = "guide"
+	fastTimeScale = 50               // TimeScale of most engines
+	waitTimeout   = 20 * time.Second // limit of each wait
 )
 
-// start boots a warm engine that runs fast, with the model loaded, unless cfg says otherwise.
-func start(t *testing.T, cfg engine.Config) *engine.Engine {
+// startEngine starts an engine that is warm, runs at fastTimeScale and has the model loaded, unless cfg has other values.
+// The engine is closed at the end of the test.
+func startEngine(t *testing.T, cfg engine.Config) *engine.Engine {
 	t.Helper()
 	if cfg.TimeScale == 0 {
-		cfg.TimeScale = fast
+		cfg.TimeScale = fastTimeScale
 	}
 	if cfg.Models == nil {
 		cfg.Models = []wire.LoadedModel{{Model: model, Version: "v1"}}
@@ -40,15 +41,16 @@
 	return e
 }
 
-// prompt is a text of so many tokens.
+// prompt returns a text of the given number of tokens.
 func prompt(tokens int) string { return strings.Repeat("abc ", tokens) }
 
-func streamed(id string, promptTokens, answerTokens int) rawhttp.Call {
+// streamCall returns the call for a streamed answer.
+func streamCall(id string, promptTokens, answerTokens int) rawhttp.Call {
 	return rawhttp.Completion(id, wire.CompletionRequest{Model: model, Prompt: prompt(promptTokens), MaxTokens: answerTokens, Stream: true})
 }
 
-// begin makes the call in the background and waits for its first part.
-func begin(t *testing.T, e *engine.Engine, c rawhttp.Call) <-chan *rawhttp.Result {
+// startCall makes the call in the background and waits for the first part of its answer. The channel receives the result.
+func startCall(t *testing.T, e *engine.Engine, c rawhttp.Call) <-chan *rawhttp.Result {
 	t.Helper()
 	first := make(chan struct{}, 1)
 	c.OnPart = func(wire.Part) bool {
@@ -62,8 +64,8 @@
 	go func() { done <- c.Do(e.Addr()) }()
 	select {
 	case <-first:
-	case <-time.After(guard):
-		t.Fatal("no first part")
+	case <-time.After(waitTimeout):
+		t.Fatal("the first part did not arrive in time")
 	}
 	return done
 }
@@ -71,15 +73,15 @@
 func post(path string, body any) rawhttp.Call {
 	data, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // wire messages encode
+		panic(err) // wire messages can always be encoded
 	}
 	return rawhttp.Call{Path: path, Body: data}
 }
 
 func get(path string) rawhttp.Call { return rawhttp.Call{Method: fasthttp.MethodGet, Path: path} }
 
-// ask makes the call and decodes its answer.
-func ask[T any](t *testing.T, e *engine.Engine, c rawhttp.Call) T {
+// fetch makes the call and decodes its answer.
+func fetch[T any](t *testing.T, e *engine.Engine, c rawhttp.Call) T {
 	t.Helper()
 	is := is.New(t)
 	r := c.Do(e.Addr())
@@ -90,18 +92,18 @@
 	return v
 }
 
-// eventually waits until the condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// waitFor waits until the condition holds. what names the condition in the message of the failure.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(guard); !holds(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never happened: %s", what)
+	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// nothingHeld tells whether the engine has no work and no memory in use.
-func nothingHeld(e *engine.Engine) func() bool {
+// isIdle returns a condition that holds if the engine has no jobs and no memory in use.
+func isIdle(e *engine.Engine) func() bool {
 	return func() bool {
 		c := e.Counters()
 		return c.InFlight == 0 && c.HeldTokens == 0
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -13,19 +13,19 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// peerTimeout bounds an engine's call to another engine.
+// peerTimeout is the timeout of an engine's call to another engine, in wall-clock time.
 const peerTimeout = 2 * time.Second
 
-// peers is the client between engines. It dials IP numbers, which need no resolver.
-var peers = fasthttp.Client{
+// peerClient makes the calls to other engines. Their addresses are IP addresses, which need no resolver.
+var peerClient = fasthttp.Client{
 	Dial:                     func(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, peerTimeout) },
 	MaxIdleConnDuration:      100 * time.Millisecond,
 	NoDefaultUserAgentHeader: true,
 }
 
-// reservationsAt lists the reservations of the engine at addr.
-func reservationsAt(addr string) ([]wire.Reservation, error) {
-	status, body, err := peers.GetTimeout(nil, "http://"+addr+wire.PathReservations, peerTimeout)
+// fetchReservations asks the engine at addr for its reservations.
+func fetchReservations(addr string) ([]wire.Reservation, error) {
+	status, body, err := peerClient.GetTimeout(nil, "http://"+addr+wire.PathReservations, peerTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("ask engine %s: %w", addr, err)
 	}
@@ -39,9 +39,9 @@
 	return list.Reservations, nil
 }
 
-// tokensAt is the size of a reservation on the engine at addr.
-func tokensAt(id, addr string) (int64, error) {
-	list, err := reservationsAt(addr)
+// fetchReservedTokens asks the engine at addr for the size of a reservation in tokens.
+func fetchReservedTokens(id, addr string) (int64, error) {
+	list, err := fetchReservations(addr)
 	if err != nil {
 		return 0, err
 	}
@@ -53,8 +53,9 @@
 	return 0, fmt.Errorf("engine %s has no reservation %q", addr, id)
 }
 
-// groupTokens is the memory that the reservations of a group header hold on other engines.
-func groupTokens(header string) (int64, error) {
+// fetchGroupTokens returns the memory, in tokens, that the reservations listed in a group header hold on other engines.
+// It fails if one of them does not exist or its engine can't be reached.
+func fetchGroupTokens(header string) (int64, error) {
 	if header == "" {
 		return 0, nil
 	}
@@ -64,7 +65,7 @@
 		if !found {
 			return 0, fmt.Errorf("%s: %q is not id@ip:port", wire.HeaderGroup, member)
 		}
-		tokens, err := tokensAt(id, addr)
+		tokens, err := fetchReservedTokens(id, addr)
 		if err != nil {
 			return 0, err
 		}
@@ -73,18 +74,19 @@
 	return sum, nil
 }
 
-// postExport keeps a copy of the part of a prefix that is cached.
+// postExport keeps a copy of the cached part of a prefix. The copy counts as a reservation. The cache keeps no contents,
+// so the reservation is all that the export creates.
 func (e *Engine) postExport(ctx *fasthttp.RequestCtx) {
-	var x wire.KVExport
-	if !decode(ctx, &x) {
+	var req wire.KVExport
+	if !decodeBody(ctx, &req) {
 		return
 	}
-	answer := wire.KVExportResult{ID: x.ID}
+	answer := wire.KVExportResult{ID: req.ID}
 	status := 0
 	e.locked(func(now time.Duration) {
-		answer.Blocks = e.cache.hits(x.Blocks)
+		answer.Blocks = e.cache.cachedPrefix(req.Blocks)
 		answer.Tokens = int64(answer.Blocks) * wire.BlockTokens
-		status = e.export(&x, answer.Tokens, now)
+		status = e.export(&req, answer.Tokens, now)
 	})
 	switch status {
 	case fasthttp.StatusOK, fasthttp.StatusCreated:
@@ -96,30 +98,33 @@
 	}
 }
 
-func (e *Engine) export(x *wire.KVExport, tokens int64, now time.Duration) (status int) {
-	if x.ID == "" || tokens == 0 {
+// export reserves memory for the copy of a prefix of the given number of tokens. It returns the HTTP status of the
+// result.
+func (e *Engine) export(req *wire.KVExport, tokens int64, now time.Duration) (status int) {
+	if req.ID == "" || tokens == 0 {
 		return fasthttp.StatusNotFound
 	}
 	return e.reserve(wire.Reservation{
-		ID: x.ID, Holder: x.Holder, Incarnation: x.Incarnation, Tokens: tokens, TTLMs: x.TTLMs, DeadlineMs: x.DeadlineMs,
+		ID: req.ID, Holder: req.Holder, Incarnation: req.Incarnation, Tokens: tokens, TTLMs: req.TTLMs, DeadlineMs: req.DeadlineMs,
 	}, now)
 }
 
-// postImport takes the blocks of another engine's export into the prefix cache.
+// postImport adds the blocks of another engine's export to the prefix cache. The size of the export's reservation limits
+// the number of blocks.
 func (e *Engine) postImport(ctx *fasthttp.RequestCtx) {
-	var m wire.KVImport
-	if !decode(ctx, &m) {
+	var req wire.KVImport
+	if !decodeBody(ctx, &req) {
 		return
 	}
-	tokens, err := tokensAt(m.ID, m.Addr)
+	tokens, err := fetchReservedTokens(req.ID, req.Addr)
 	if err != nil {
 		refuse(ctx, fasthttp.StatusNotFound, err.Error())
 		return
 	}
-	blocks := m.Blocks[:min(int64(len(m.Blocks)), tokens/wire.BlockTokens)]
+	blocks := req.Blocks[:min(int64(len(req.Blocks)), tokens/wire.BlockTokens)]
 	e.locked(func(now time.Duration) {
 		e.cache.add(blocks, now)
-		e.cache.shrink(e.cfg.KVCacheTokens-e.held(), now)
+		e.cache.evictTo(e.cfg.KVCacheTokens-e.memoryInUse(), now)
 	})
-	serve.JSON(ctx, fasthttp.StatusOK, wire.KVExportResult{ID: m.ID, Blocks: len(blocks), Tokens: int64(len(blocks)) * wire.BlockTokens})
+	serve.JSON(ctx, fasthttp.StatusOK, wire.KVExportResult{ID: req.ID, Blocks: len(blocks), Tokens: int64(len(blocks)) * wire.BlockTokens})
 }
--- a/internal/standin/engine/reservations.go
+++ b/internal/standin/engine/reservations.go
@@ -12,58 +12,61 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
+// reservation is KV cache memory that is set aside for one request or one exported prefix.
 type reservation struct {
 	wire.Reservation
-	created time.Duration
-	expires time.Duration // 0: never
-	over    time.Duration // its request has to be over then; 0: not known
+	createdAt time.Duration
+	expiresAt time.Duration // 0: never
+	deadline  time.Duration // deadline of its request; 0: not known
 }
 
-func (r *reservation) overdue(now time.Duration) bool { return r.over > 0 && now > r.over }
+// overdue reports whether the deadline of the reservation's request has passed.
+func (r *reservation) overdue(now time.Duration) bool { return r.deadline > 0 && now > r.deadline }
 
-// expire releases reservations whose time to live is over.
-func (e *Engine) expire(now time.Duration) {
+// expireReservations releases the reservations whose time to live has passed, unless the engine has no expiry.
+func (e *Engine) expireReservations(now time.Duration) {
 	if e.cfg.NoExpiry {
 		return
 	}
 	for id, r := range e.reservations {
-		if r.expires > 0 && now >= r.expires {
+		if r.expiresAt > 0 && now >= r.expiresAt {
 			e.release(id, "reservation expired")
 		}
 	}
 }
 
-// release gives a reservation's memory back and ends the jobs that used it.
+// release removes a reservation and fails the jobs that use it. It does nothing if the reservation does not exist.
 func (e *Engine) release(id, reason string) {
 	delete(e.reservations, id)
 	for _, j := range slices.Clone(e.jobs) {
-		if j.reservation == id && !j.over() {
+		if j.reservation == id && !j.finished() {
 			e.counters.Released++
 			e.fail(j, reason)
 		}
 	}
 }
 
-// reserve holds memory; running work and older reservations come first, the prefix cache gives way. Asked
-// again for the same, it renews the time to live.
+// reserve reserves memory and returns the HTTP status of the result. It takes no memory from running jobs and existing
+// reservations, but evicts blocks of the prefix cache. If the same reservation exists, it renews the time to live.
 func (e *Engine) reserve(r wire.Reservation, now time.Duration) (status int) {
 	if old := e.reservations[r.ID]; old != nil {
 		if old.Holder == r.Holder && old.Incarnation == r.Incarnation && old.Tokens == r.Tokens {
-			old.expires = e.instant(r.TTLMs, now)
+			old.expiresAt = e.afterWallMs(r.TTLMs, now)
 			return fasthttp.StatusOK
 		}
 		return fasthttp.StatusConflict
 	}
-	if e.held()+r.Tokens > e.cfg.KVCacheTokens {
+	if e.memoryInUse()+r.Tokens > e.cfg.KVCacheTokens {
 		return fasthttp.StatusServiceUnavailable
 	}
 	e.reservations[r.ID] = &reservation{
-		Reservation: r, created: now, expires: e.instant(r.TTLMs, now), over: e.instant(r.DeadlineMs, now),
+		Reservation: r, createdAt: now, expiresAt: e.afterWallMs(r.TTLMs, now), deadline: e.afterWallMs(r.DeadlineMs, now),
 	}
-	e.cache.shrink(e.cfg.KVCacheTokens-e.held(), now)
+	e.cache.evictTo(e.cfg.KVCacheTokens-e.memoryInUse(), now)
 	return fasthttp.StatusCreated
 }
 
+// postReservation creates or renews a reservation.
 func (e *Engine) postReservation(ctx *fasthttp.RequestCtx) {
 	var r wire.Reservation
 	if err := json.Unmarshal(ctx.PostBody(), &r); err != nil || r.ID == "" || r.Tokens <= 0 {
@@ -82,24 +85,26 @@
 	}
 }
 
+// getReservations lists the reservations, ordered by id, with their age and remaining time to live in wall-clock time.
 func (e *Engine) getReservations(ctx *fasthttp.RequestCtx) {
 	answer := wire.Reservations{Reservations: []wire.Reservation{}}
 	e.locked(func(now time.Duration) {
-		answer.BootID = e.boot
+		answer.BootID = e.bootID
 		for _, r := range e.reservations {
-			row := r.Reservation
-			row.AgeMs = e.wall(now - r.created).Milliseconds()
-			row.TTLMs = 0
-			if r.expires > 0 && !e.cfg.NoExpiry {
-				row.TTLMs = max(1, e.wall(r.expires-now).Milliseconds())
+			listed := r.Reservation
+			listed.AgeMs = e.wallTime(now - r.createdAt).Milliseconds()
+			listed.TTLMs = 0
+			if r.expiresAt > 0 && !e.cfg.NoExpiry {
+				listed.TTLMs = max(1, e.wallTime(r.expiresAt-now).Milliseconds())
 			}
-			answer.Reservations = append(answer.Reservations, row)
+			answer.Reservations = append(answer.Reservations, listed)
 		}
 	})
 	slices.SortFunc(answer.Reservations, func(a, b wire.Reservation) int { return cmp.Compare(a.ID, b.ID) })
 	serve.JSON(ctx, fasthttp.StatusOK, answer)
 }
 
+// deleteReservation releases a reservation. It succeeds also if the reservation does not exist.
 func (e *Engine) deleteReservation(ctx *fasthttp.RequestCtx) {
 	id := pathID(ctx)
 	e.locked(func(time.Duration) { e.release(id, "reservation released") })
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -15,103 +15,106 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// progress is how far a job is.
+// progress is the state of a job's answer, as far as its sender needs it.
 type progress struct {
-	from, to int // tokens of the answer that are new
-	finish   string
-	err      string
+	from, to     int    // offset of the first new token, and after the last one
+	finishReason string // empty while the job runs
+	err          string // why the job failed
 }
 
-// workingEvery is the time between two comments on a stream without a new token, by the clock on the wall.
-const workingEvery = 500 * time.Millisecond
+// keepAliveInterval is the time between two keep-alive comments on a stream without a new token, in wall-clock time.
+const keepAliveInterval = 500 * time.Millisecond
 
-// await waits until the job has more than the tokens up to from, or is over; working is called now and
-// then while it waits. It gives false, and cancels the job, when the connection is gone.
-func (e *Engine) await(j *job, from int, gone <-chan struct{}, working func() bool) (progress, bool) {
-	tick := time.NewTicker(workingEvery)
-	defer tick.Stop()
+// awaitTokens waits until the job has tokens from offset from on or is finished, and returns its progress. While it
+// waits, it calls keepAlive every keepAliveInterval. If keepAlive returns false or the connection closes, it cancels the
+// job and returns false.
+func (e *Engine) awaitTokens(j *job, from int, connClosed <-chan struct{}, keepAlive func() bool) (progress, bool) {
+	ticker := time.NewTicker(keepAliveInterval)
+	defer ticker.Stop()
 	for {
 		var p progress
-		e.locked(func(time.Duration) { p = progress{from, j.offset + j.produced, j.finish, j.err} })
-		if p.to > from || p.finish != "" {
+		e.locked(func(time.Duration) { p = progress{from, j.offset + j.produced, j.finishReason, j.err} })
+		if p.to > from || p.finishReason != "" {
 			return p, true
 		}
 		select {
-		case <-j.more:
-		case <-tick.C:
-			if working() {
+		case <-j.updated:
+		case <-ticker.C:
+			if keepAlive() {
 				continue
 			}
 			e.locked(func(time.Duration) { e.cancel(j) })
 			return p, false
-		case <-gone:
+		case <-connClosed:
 			e.locked(func(time.Duration) { e.cancel(j) })
 			return p, false
 		}
 	}
 }
 
-// whole answers a request without stream.
-func (e *Engine) whole(ctx *fasthttp.RequestCtx, j *job, model string) {
-	gone := serve.Gone(ctx)
+// sendAnswer waits until the job is finished and sends its answer in one piece.
+func (e *Engine) sendAnswer(ctx *fasthttp.RequestCtx, j *job, model string) {
+	connClosed := serve.Gone(ctx)
 	p, ok := progress{to: j.offset}, true
-	for p.finish == "" && ok {
-		p, ok = e.await(j, p.to, gone, func() bool { return true })
+	for p.finishReason == "" && ok {
+		p, ok = e.awaitTokens(j, p.to, connClosed, func() bool { return true })
 	}
-	e.faults.WaitDelay(faults.SlowFirstByte, gone)
+	e.faults.WaitDelay(faults.SlowFirstByte, connClosed)
 	switch {
 	case !ok || e.faults.On(faults.LoseAnswer):
 		serve.Drop(ctx)
-	case p.finish == finishError:
+	case p.finishReason == finishError:
 		serve.JSON(ctx, fasthttp.StatusBadGateway, wire.Refusal{Error: p.err})
 	default:
 		serve.JSON(ctx, fasthttp.StatusOK, wire.CompletionAnswer{
-			ID: j.id, Model: model, Text: answer.Range(j.id, j.offset, p.to), Tokens: p.to - j.offset, FinishReason: p.finish,
+			ID: j.id, Model: model, Text: answer.Range(j.id, j.offset, p.to), Tokens: p.to - j.offset, FinishReason: p.finishReason,
 		})
 	}
 }
 
-// stream answers a request by server-sent events.
-func (e *Engine) stream(ctx *fasthttp.RequestCtx, j *job) {
+// sendStream sends the job's answer as server-sent events. It cancels the job if the stream ends without its
+// end mark.
+func (e *Engine) sendStream(ctx *fasthttp.RequestCtx, j *job) {
 	ctx.SetContentType("text/event-stream")
-	gone, conn := serve.Gone(ctx), ctx.Conn()
+	connClosed, conn := serve.Gone(ctx), ctx.Conn()
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		if !e.writeParts(w, j, gone, conn) {
+		if !e.writeParts(w, j, connClosed, conn) {
 			e.locked(func(time.Duration) { e.cancel(j) })
 		}
 	})
 }
 
-// writeParts writes the job's parts as they come. It gives false when the answer could not be sent.
-func (e *Engine) writeParts(w *bufio.Writer, j *job, gone <-chan struct{}, conn net.Conn) bool {
-	mangle := mangler{faults: e.faults, id: j.id, max: j.max, first: j.offset}
+// writeParts writes the parts of the job's answer as they become available, with the faults of parts applied, and the end
+// mark. It returns false if the stream ends without the end mark, because of a fault or because the connection failed.
+func (e *Engine) writeParts(w *bufio.Writer, j *job, connClosed <-chan struct{}, conn net.Conn) bool {
+	injector := partInjector{faults: e.faults, id: j.id, maxTokens: j.maxTokens, startOffset: j.offset}
 	p, ok := progress{to: j.offset}, true
-	working := func() bool { return e.faults.On(faults.LoseAnswer) || writeWorking(w) }
-	if !working() {
+	keepAlive := func() bool { return e.faults.On(faults.LoseAnswer) || writeKeepAlive(w) }
+	if !keepAlive() {
 		return false
 	}
 	first := true
-	for p.finish == "" {
-		if p, ok = e.await(j, p.to, gone, working); !ok {
+	for p.finishReason == "" {
+		if p, ok = e.awaitTokens(j, p.to, connClosed, keepAlive); !ok {
 			return false
 		}
 		if first {
-			e.faults.WaitDelay(faults.SlowFirstByte, gone)
+			e.faults.WaitDelay(faults.SlowFirstByte, connClosed)
 			first = false
 		}
 		if e.faults.On(faults.LoseAnswer) {
-			if p.finish != "" {
+			if p.finishReason != "" {
 				_ = conn.Close()
 				return false
 			}
 			continue
 		}
-		for _, part := range mangle.parts(partOf(j.id, p)) {
+		for _, part := range injector.inject(newPart(j.id, p)) {
 			if err := writeEvent(w, part); err != nil {
 				return false
 			}
 		}
-		if mangle.ended {
+		if injector.truncated {
 			return false
 		}
 	}
@@ -119,20 +122,22 @@
 	return err == nil && w.Flush() == nil
 }
 
-// writeWorking writes a comment: the head of the answer goes out at once, and a reader can tell a long
-// computation from a dead connection.
-func writeWorking(w *bufio.Writer) bool {
+// writeKeepAlive writes a comment line to a stream and reports whether that succeeded. The first one sends the response
+// header at once. The later ones let a reader distinguish a long computation from a dead connection.
+func writeKeepAlive(w *bufio.Writer) bool {
 	_, err := w.WriteString(": working\n\n")
 	return err == nil && w.Flush() == nil
 }
 
-func partOf(id string, p progress) wire.Part {
+// newPart returns the part of the answer that holds the new tokens of p.
+func newPart(id string, p progress) wire.Part {
 	return wire.Part{
 		ID: id, Offset: p.from, Tokens: p.to - p.from, Text: answer.Range(id, p.from, p.to),
-		FinishReason: p.finish, Error: p.err,
+		FinishReason: p.finishReason, Error: p.err,
 	}
 }
 
+// writeEvent writes one part as a server-sent event.
 func writeEvent(w *bufio.Writer, part wire.Part) error {
 	data, err := json.Marshal(part)
 	if err != nil {
