--- a/internal/standin/answer/answer_test.go
+++ b/internal/standin/answer/answer_test.go
@@ -9,11 +9,11 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/answer"
 )
 
-func TestAnswersTellRequestsAndOffsetsApart(t *testing.T) {
+func TestTokensDifferByRequestAndOffset(t *testing.T) {
 	is := is.New(t)
 	const tokens = 50
 	text := answer.Text("r1", tokens)
-	is.Equal(strings.Count(text, " "), tokens) // each token ends with its only space
+	is.Equal(strings.Count(text, " "), tokens) // one space at the end of each token
 	is.True(strings.HasSuffix(text, " "))
 	is.Equal(answer.Range("r1", 0, 20)+answer.Range("r1", 20, tokens), text)
 	seen := map[string]bool{}
@@ -22,5 +22,5 @@
 			seen[answer.Token(id, offset)] = true
 		}
 	}
-	is.Equal(len(seen), 4*tokens) // no token of one stands for another
+	is.Equal(len(seen), 4*tokens) // no token occurs at two offsets or in two answers
 }
