--- a/internal/standin/faults/faults.go
+++ b/internal/standin/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults is the closed list of faults that stand-ins can show, and a set of them that is switched
-// at run time.
+// Package faults defines the faults that stand-ins can simulate, and a set of them that can be turned on and off at run
+// time.
 package faults
 
 import (
@@ -9,55 +9,58 @@
 	"time"
 )
 
-// Fault names one fault.
+// Fault is the name of a fault.
 type Fault string
 
-// The closed list.
+// The faults that exist. Each stand-in simulates some of them. Open connections are those that are open when the fault is
+// turned on.
 const (
-	Kill              Fault = "kill"              // listener and all connections are closed; off starts the process anew
-	SilentConnections Fault = "silent"            // connections open now deliver nothing more, new ones work; off has no effect on them
-	CloseConnections  Fault = "cut"               // connections open now are closed, new ones work
-	Hang              Fault = "hang"              // requests are read and not answered
-	Slow              Fault = "slow"              // requests wait before they are handled
-	SlowFirstByte     Fault = "slow_first_byte"   // the first token waits
-	Cold              Fault = "cold"              // the engine is cold again, with the same boot id
+	Kill              Fault = "kill"              // closes the listener and all connections; turning it off restarts the stand-in
+	SilentConnections Fault = "silent"            // open connections deliver nothing more, for good; new ones work
+	CloseConnections  Fault = "cut"               // closes open connections; new ones work
+	Hang              Fault = "hang"              // requests are read but not answered
+	Slow              Fault = "slow"              // requests are handled after a delay
+	SlowFirstByte     Fault = "slow_first_byte"   // the first token is sent after a delay
+	Cold              Fault = "cold"              // the engine turns cold and keeps its boot id
 	DuplicateParts    Fault = "duplicate_parts"   // every part is sent twice
-	ReorderedParts    Fault = "reordered_parts"   // pairs of parts change places
-	LateParts         Fault = "late_parts"        // an old part is sent again much later
+	ReorderedParts    Fault = "reordered_parts"   // pairs of consecutive parts are swapped
+	LateParts         Fault = "late_parts"        // an earlier part is sent again much later
 	ForeignParts      Fault = "foreign_parts"     // parts of another request are mixed in
-	NoEndMark         Fault = "no_end_mark"       // streams end early, without an end mark
-	LoseAnswer        Fault = "lose_answer"       // the work is done, then the connection is closed without an answer
-	DelayOrders       Fault = "delay_orders"      // orders are acknowledged and carried out later
-	StaleReads        Fault = "stale_reads"       // reads show the state of the moment the fault was switched on
-	StaleInstanceList Fault = "lag"               // as StaleReads, for the instance list
-	Leaving           Fault = "leaving"           // new requests are refused as not started, those in flight go on
-	RefuseStart       Fault = "refuse_start"      // requests are refused with the word that they did not start
+	NoEndMark         Fault = "no_end_mark"       // streams end early and without an end mark
+	LoseAnswer        Fault = "lose_answer"       // the request runs, then the connection is closed without an answer
+	DelayOrders       Fault = "delay_orders"      // orders are acknowledged at once and carried out after a delay
+	StaleReads        Fault = "stale_reads"       // reads return the state at the time when the fault was turned on
+	StaleInstanceList Fault = "lag"               // as StaleReads, but for the instance list
+	Leaving           Fault = "leaving"           // new requests are refused as not started; those in flight continue
+	RefuseStart       Fault = "refuse_start"      // requests are refused as not started
 	CrashBeforeRun    Fault = "crash_before_run"  // the connection is closed before the request runs
 	CrashAfterRun     Fault = "crash_after_run"   // the connection is closed after the request ran
-	RefuseEverything  Fault = "refuse_everything" // answers 503 to everything, without a word on whether it started
+	RefuseEverything  Fault = "refuse_everything" // answers 503 to every call, leaving open whether it was started
 )
 
-// DefaultDelay is how long Slow, SlowFirstByte, LateParts and DelayOrders wait unless told otherwise.
+// DefaultDelay is the delay of Slow, SlowFirstByte and DelayOrders if Switch is called without one.
 const DefaultDelay = 500 * time.Millisecond
 
-// Set is the faults of one stand-in. It is safe for concurrent use.
+// Set holds the faults of one stand-in that are on. It is safe for concurrent use.
 type Set struct {
-	known []Fault
+	known []Fault // faults that the stand-in can simulate
 	mu    sync.Mutex
-	on    map[Fault]*entry
+	on    map[Fault]*activeFault
 }
 
-type entry struct {
+// activeFault is a fault that is on.
+type activeFault struct {
 	delay time.Duration
-	off   chan struct{}
+	off   chan struct{} // closed when the fault is turned off
 }
 
-// NewSet makes a set in which only the known faults can be switched on.
+// NewSet returns a set of faults, all off. Only the known faults can be turned on.
 func NewSet(known ...Fault) *Set {
-	return &Set{known: known, on: map[Fault]*entry{}}
+	return &Set{known: known, on: map[Fault]*activeFault{}}
 }
 
-// Switch turns a fault on or off. A delay of zero means DefaultDelay.
+// Switch turns a fault on or off. A delay that isn't positive stands for DefaultDelay. Turning on a fault that is on
+// replaces its delay and ends the waits for its end. Switch fails if the set doesn't know the fault.
 func (s *Set) Switch(f Fault, on bool, delay time.Duration) error {
 	if !slices.Contains(s.known, f) {
 		return fmt.Errorf("fault %q is not one of %q", f, s.known)
@@ -72,19 +75,19 @@
 		delete(s.on, f)
 	}
 	if on {
-		s.on[f] = &entry{delay: delay, off: make(chan struct{})}
+		s.on[f] = &activeFault{delay: delay, off: make(chan struct{})}
 	}
 	return nil
 }
 
-// On tells whether the fault is switched on.
+// On reports whether the fault is on.
 func (s *Set) On(f Fault) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.on[f] != nil
 }
 
-// Delay gives the fault's delay, or zero when it is off.
+// Delay returns the fault's delay, or 0 if the fault is off.
 func (s *Set) Delay(f Fault) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +97,8 @@
 	return 0
 }
 
-// Hold waits for the fault's delay if it is on, at most until gone is closed.
-func (s *Set) WaitDelay(f Fault, gone <-chan struct{}) {
+// WaitDelay waits for the fault's delay, or until connClosed is closed. It returns at once if the fault is off.
+func (s *Set) WaitDelay(f Fault, connClosed <-chan struct{}) {
 	delay := s.Delay(f)
 	if delay == 0 {
 		return
@@ -104,12 +107,12 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-gone:
+	case <-connClosed:
 	}
 }
 
-// Hang waits until the fault is switched off or gone is closed. It tells whether it waited.
-func (s *Set) WaitUntilOff(f Fault, gone <-chan struct{}) bool {
+// WaitUntilOff waits until the fault is turned off or connClosed is closed. It reports whether the fault was on.
+func (s *Set) WaitUntilOff(f Fault, connClosed <-chan struct{}) bool {
 	s.mu.Lock()
 	e := s.on[f]
 	s.mu.Unlock()
@@ -118,7 +121,7 @@
 	}
 	select {
 	case <-e.off:
-	case <-gone:
+	case <-connClosed:
 	}
 	return true
 }
