--- a/cmd/damaskbench/flip.go
+++ b/cmd/damaskbench/flip.go
@@ -17,8 +17,8 @@
 
 // Faults of the plays, on days of some tens of seconds; times in ms.
 var (
-	everyEntryStops = passes.Fault{At: 34_000, For: 1000}
-	enginesLost     = passes.Fault{At: 12_000, For: 12_000, Share: 0.33}
+	everyEntryStops = passes.Fault{StartMs: 34_000, DurationMs: 1000}
+	enginesLost     = passes.Fault{StartMs: 12_000, DurationMs: 12_000, EngineShare: 0.33}
 )
 
 // flipCommand compares policies under the mix that turns over every ten seconds.
@@ -63,33 +63,33 @@
 		fmt.Fprintf(os.Stderr, "-workload %s: there is none of that name\n", c.only)
 		return subcommands.ExitUsageError
 	}
-	fmt.Println("| workload | load | policy | " + strings.Join(passes.Coteau.Kinds(), " | ") + " | day | worst | largest | its worth |")
-	fmt.Println("|---|---|---|" + strings.Repeat("---|", len(passes.Coteau.Kinds())+4))
+	fmt.Println("| workload | load | policy | " + strings.Join(passes.Coteau.ClassNames(), " | ") + " | day | worst | largest | its worth |")
+	fmt.Println("|---|---|---|" + strings.Repeat("---|", len(passes.Coteau.ClassNames())+4))
 	for _, w := range all {
 		for _, load := range loads {
-			c.compare(w, strconv.FormatFloat(load, 'g', -1, 64), passes.Play{Load: load, Length: c.seconds * 1000})
+			c.compare(w, strconv.FormatFloat(load, 'g', -1, 64), passes.Scenario{Load: load, LengthMs: c.seconds * 1000})
 		}
-		c.show(w, "1, entries stop", "damaskshelf", c.policy(w, passes.Play{Load: 1, Length: c.seconds * 1000, Stop: everyEntryStops}))
-		c.show(w, "1, engines lost", "damaskshelf", c.policy(w, passes.Play{Load: 1, Length: c.seconds * 1000, Lost: enginesLost}))
+		c.show(w, "1, entries stop", "damaskshelf", c.policy(w, passes.Scenario{Load: 1, LengthMs: c.seconds * 1000, InstanceOutage: everyEntryStops}))
+		c.show(w, "1, engines lost", "damaskshelf", c.policy(w, passes.Scenario{Load: 1, LengthMs: c.seconds * 1000, EngineOutage: enginesLost}))
 	}
 	return subcommands.ExitSuccess
 }
 
-func (c *flipCommand) policy(w *passes.Workload, p passes.Play) passes.Result {
-	return passes.Mean(w, passes.Dispatcher(w, dispatch.DefaultParams()), p, c.seeds)
+func (c *flipCommand) policy(w *passes.Workload, p passes.Scenario) passes.Result {
+	return passes.MeanResult(w, passes.Dispatcher(w, dispatch.DefaultParams()), p, c.seeds)
 }
 
 // compare prints a line for each policy at a load.
-func (c *flipCommand) compare(w *passes.Workload, load string, p passes.Play) {
+func (c *flipCommand) compare(w *passes.Workload, load string, p passes.Scenario) {
 	c.show(w, load, "damaskshelf", c.policy(w, p))
-	c.show(w, load, "each entry alone", passes.Mean(w, passes.Alone(w), p, c.seeds))
-	c.show(w, load, "*bound*", passes.Bound(w, p, c.seeds))
+	c.show(w, load, "each entry alone", passes.MeanResult(w, passes.Uncoordinated(w), p, c.seeds))
+	c.show(w, load, "*bound*", passes.UpperBound(w, p, c.seeds))
 }
 
 func (c *flipCommand) show(w *passes.Workload, load, policy string, r passes.Result) {
 	fmt.Printf("| %s | %s | %s |", w.Name, load, policy)
-	for _, kind := range w.Kinds() {
+	for _, kind := range w.ClassNames() {
 		fmt.Printf(" %.3f |", r.InTime[kind])
 	}
-	fmt.Printf(" %.3f | %.3f | %.2f | %.2f |\n", r.Day, r.Worst, r.Largest["long"], r.LargestWorth["long"])
+	fmt.Printf(" %.3f | %.3f | %.2f | %.2f |\n", r.Earned, r.WorstWindows, r.LargestAnswered["long"], r.LargestEarned["long"])
 }
--- a/cmd/damaskbench/options.go
+++ b/cmd/damaskbench/options.go
@@ -83,7 +83,7 @@
 		for _, n := range entries {
 			for _, load := range loads {
 				for _, policy := range strings.Split(o.policies, ",") {
-					all = append(all, bench.Config{Deployment: d, Entries: int(n), Load: load, Span: o.span, Policy: policy})
+					all = append(all, bench.Config{Deployment: d, Instances: int(n), Load: load, Span: o.span, Policy: policy})
 				}
 			}
 		}
@@ -101,5 +101,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return bench.Study(configs, seeds, o.workers), nil
+	return bench.RunAll(configs, seeds, o.workers), nil
 }
--- a/cmd/damaskbench/outage.go
+++ b/cmd/damaskbench/outage.go
@@ -59,7 +59,7 @@
 			phases = append(phases, c)
 		}
 	}
-	points := bench.Study(phases, seeds, o.workers)
+	points := bench.RunAll(phases, seeds, o.workers)
 	for i := range points {
 		points[i].Config.Policy = names[i%len(names)]
 	}
--- a/cmd/damaskbench/plot.go
+++ b/cmd/damaskbench/plot.go
@@ -58,11 +58,11 @@
 		var order []string
 		for i := range points {
 			c := points[i].Config
-			name := fmt.Sprintf("%s-%d-%s", c.Deployment.Name, c.Entries, class)
+			name := fmt.Sprintf("%s-%d-%s", c.Deployment.Name, c.Instances, class)
 			if figures[name] == nil {
 				order = append(order, name)
 			}
-			first := points[i].With.Class[class].Quantile(0.95)
+			first := points[i].Full.Class[class].Quantile(0.95)
 			figures[name] = extend(figures[name], c.Policy, c.Load, first)
 		}
 		for _, name := range order {
--- a/cmd/damaskbench/table.go
+++ b/cmd/damaskbench/table.go
@@ -44,7 +44,7 @@
 	last := ""
 	for i := range points {
 		p := &points[i]
-		title := fmt.Sprintf("%s, %d entries", p.Config.Deployment.Name, p.Config.Entries)
+		title := fmt.Sprintf("%s, %d entries", p.Config.Deployment.Name, p.Config.Instances)
 		if title != last {
 			fmt.Fprintf(out, "\n### %s\n\nFirst token in seconds.\n\n%s", title, header)
 			last = title
@@ -57,34 +57,34 @@
 }
 
 func sameArrivals(a, b *bench.Config) bool {
-	return a.Deployment == b.Deployment && a.Entries == b.Entries && a.Load == b.Load
+	return a.Deployment == b.Deployment && a.Instances == b.Instances && a.Load == b.Load
 }
 
 func row(out io.Writer, p *bench.Point) {
 	fmt.Fprintf(out, "| %.1f | %s |", p.Config.Load, p.Config.Policy)
-	for c := range p.With.Class {
-		fmt.Fprintf(out, " %s |", quantiles(&p.With.Class[c]))
+	for c := range p.Full.Class {
+		fmt.Fprintf(out, " %s |", quantiles(&p.Full.Class[c]))
 	}
-	fmt.Fprintf(out, " %.2f |", overLong(&p.With.Class).Seconds())
-	fmt.Fprintf(out, " %.2f, %.2f |", bench.Slowdown(p.With, p.Alone, cost.Short, 0.95), bench.Slowdown(p.With, p.Alone, cost.Medium, 0.95))
+	fmt.Fprintf(out, " %.2f |", overLong(&p.Full.Class).Seconds())
+	fmt.Fprintf(out, " %.2f, %.2f |", bench.Slowdown(p.Full, p.WithoutLong, cost.Short, 0.95), bench.Slowdown(p.Full, p.WithoutLong, cost.Medium, 0.95))
 	all, refused, late := 0, 0, 0
-	for c := range p.With.Class {
-		f := &p.With.Class[c]
+	for c := range p.Full.Class {
+		f := &p.Full.Class[c]
 		all, refused, late = all+f.Requests, refused+f.Refused, late+f.Late
 	}
-	fmt.Fprintf(out, " %.1f, %.1f | %.0f (%.1f) |\n", percent(refused, all), percent(late, all), p.With.Goodput/1000, p.With.Answered)
+	fmt.Fprintf(out, " %.1f, %.1f | %.0f (%.1f) |\n", percent(refused, all), percent(late, all), p.Full.Goodput/1000, p.Full.AnswerRate)
 }
 
 func boundRow(out io.Writer, p *bench.Point) {
 	fmt.Fprintf(out, "| %.1f | *alone* |", p.Config.Load)
-	for c := range p.Bound {
-		fmt.Fprintf(out, " %s |", quantiles(&p.Bound[c]))
+	for c := range p.LowerBound {
+		fmt.Fprintf(out, " %s |", quantiles(&p.LowerBound[c]))
 	}
-	fmt.Fprintf(out, " %.2f | 1.00, 1.00 | | |\n", overLong(&p.Bound).Seconds())
+	fmt.Fprintf(out, " %.2f | 1.00, 1.00 | | |\n", overLong(&p.LowerBound).Seconds())
 }
 
 func quantiles(f *bench.ClassFigures) string {
-	if len(f.First) == 0 {
+	if len(f.FirstToken) == 0 {
 		return "none"
 	}
 	return fmt.Sprintf("%.2f/%.2f/%.2f", f.Quantile(0.5).Seconds(), f.Quantile(0.95).Seconds(), f.Quantile(0.99).Seconds())
--- a/cmd/damaskbench/vary.go
+++ b/cmd/damaskbench/vary.go
@@ -108,7 +108,7 @@
 			varied = append(varied, c)
 		}
 	}
-	points := bench.Study(varied, seeds, v.workers)
+	points := bench.RunAll(varied, seeds, v.workers)
 	for i := range points {
 		points[i].Config.Policy = fmt.Sprintf("%s %g", v.name, values[i%len(values)])
 	}
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -18,7 +18,7 @@
 }
 
 func newDirect(e *entry, pipeline pick.Pipeline) *direct {
-	return &direct{e: e, pipeline: pipeline, pool: pick.NewPool(e.views, nil, e.sim.model().Memory), profile: pick.Profile{RandomChoices: len(e.views)}}
+	return &direct{e: e, pipeline: pipeline, pool: pick.NewPool(e.views, nil, e.sim.model().KVCacheTokens), profile: pick.Profile{RandomChoices: len(e.views)}}
 }
 
 // RoundRobin takes the engines in turn.
@@ -46,7 +46,7 @@
 func (d *direct) query(r *request) *pick.Query {
 	return &pick.Query{
 		Prompt: &r.prompt, Class: r.class, Now: d.e.sim.clock.Now(), Rand: d.e.rng,
-		Instances: d.e.sim.config.Entries, Profile: &d.profile,
+		Instances: d.e.sim.config.Instances, Profile: &d.profile,
 	}
 }
 
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -54,7 +54,7 @@
 	is.Equal(e.load().Running, 1) // and the other begins with the next step
 	e.clock.RunUntil(e.clock.Now().Add(time.Minute))
 	is.Equal(second.outcome, inTime)
-	is.True(e.most <= DefaultEngine.Memory)
+	is.True(e.most <= DefaultEngine.KVCacheTokens)
 }
 
 func TestCachedPrefixIsNotComputedAgain(t *testing.T) {
@@ -76,7 +76,7 @@
 
 func TestRunsRepeatExactly(t *testing.T) {
 	is := is.New(t)
-	c := Config{Deployment: &Coteau, Entries: 6, Load: 0.8, Span: 90 * time.Second, Seed: 7, Policy: PolicyDamaskshelf}
+	c := Config{Deployment: &Coteau, Instances: 6, Load: 0.8, Span: 90 * time.Second, Seed: 7, Policy: PolicyDamaskshelf}
 	is.True(reflect.DeepEqual(Run(c), Run(c)))
 }
 
@@ -105,10 +105,10 @@
 // engines look idle, and entries send their prompts there. Cause: the pool of a decision keeps them.
 func TestDomainTakenOutGetsNothingNew(t *testing.T) {
 	is := is.New(t)
-	c := Config{Deployment: &ASRQ, Entries: 6, Load: 0.5, Span: 110 * time.Second, Seed: 5, Policy: PolicyDamaskshelf}
+	c := Config{Deployment: &ASRQ, Instances: 6, Load: 0.5, Span: 110 * time.Second, Seed: 5, Policy: PolicyDamaskshelf}
 	c.Outage = Outage{Domain: ASRQ.Domains[1], From: 70 * time.Second, To: 95 * time.Second}
 	r := Run(c)
-	is.Equal(r.Strays, 0)
+	is.Equal(r.SentOutOfService, 0)
 	is.True(r.Class[cost.Short].InTime > 0)
 	is.Equal(r.Class[cost.Short].Late, 0) // and what was under way there went on
 }
--- a/internal/bench/bound.go
+++ b/internal/bench/bound.go
@@ -12,8 +12,8 @@
 // engine of its own that is idle the moment the prompt comes, where every block that any earlier prompt
 // had is already cached. A prompt for a group has the fewest engines that hold it, all idle. The figures
 // leave out the warm-up, as those of runs do.
-func Bound(c Config) [cost.ClassCount]ClassFigures {
-	w := newWorkload(c.Deployment, DefaultEngine, c.Entries, c.Seed)
+func LowerBound(c Config) [cost.ClassCount]ClassFigures {
+	w := newWorkload(c.Deployment, DefaultEngine, c.Instances, c.Seed)
 	arrivals := w.make(c.Load, c.Span)
 	return bound(arrivals, &w.model, c.Span)
 }
@@ -28,17 +28,17 @@
 			continue
 		}
 		figures[a.class].Requests++
-		figures[a.class].First = append(figures[a.class].First, first)
+		figures[a.class].FirstToken = append(figures[a.class].FirstToken, first)
 	}
 	for c := range figures {
-		slices.Sort(figures[c].First)
+		slices.Sort(figures[c].FirstToken)
 	}
 	return figures
 }
 
 func isolated(a *arrival, m *EngineModel, seen map[uint64]bool) time.Duration {
 	if a.class == cost.Group {
-		members := int(a.prompt.MemoryTokens()/m.Memory) + 1
+		members := int(a.prompt.MemoryTokens()/m.KVCacheTokens) + 1
 		return m.prefillTime(int(float64(a.prompt.Tokens)*(1+groupOverhead)) / members)
 	}
 	tokens, prefix := a.prompt.Tokens, true
--- a/internal/bench/bounds_test.go
+++ b/internal/bench/bounds_test.go
@@ -23,33 +23,33 @@
 )
 
 func ciRun(d *Deployment, load float64, policy string) Config {
-	return Config{Deployment: d, Entries: ciEntries, Load: load, Span: ciSpan, Seed: ciSeed, Policy: policy}
+	return Config{Deployment: d, Instances: ciEntries, Load: load, Span: ciSpan, Seed: ciSeed, Policy: policy}
 }
 
 // The angler's short question must not slow down because guides ask over long lake logs.
 func TestCoteauShortSlowdownBound(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	p := Study([]Config{ciRun(&Coteau, 0.8, PolicyDamaskshelf)}, []uint64{ciSeed}, 1)[0]
-	short, medium := Slowdown(p.With, p.Alone, cost.Short, 0.95), Slowdown(p.With, p.Alone, cost.Medium, 0.95)
-	t.Logf("slowdown of short %.3f, medium %.3f; memory %.2f", short, medium, p.With.MemoryMost)
+	p := RunAll([]Config{ciRun(&Coteau, 0.8, PolicyDamaskshelf)}, []uint64{ciSeed}, 1)[0]
+	short, medium := Slowdown(p.Full, p.WithoutLong, cost.Short, 0.95), Slowdown(p.Full, p.WithoutLong, cost.Medium, 0.95)
+	t.Logf("slowdown of short %.3f, medium %.3f; memory %.2f", short, medium, p.Full.MaxMemoryShare)
 	is.True(short <= 1.15)
 	is.True(medium <= 1.35)
-	is.True(p.With.MemoryMost <= 1)
-	is.Equal(p.With.Class[cost.Group].Refused+p.With.Class[cost.Long].Refused, 0) // long ones don't starve
+	is.True(p.Full.MaxMemoryShare <= 1)
+	is.Equal(p.Full.Class[cost.Group].Refused+p.Full.Class[cost.Long].Refused, 0) // long ones don't starve
 }
 
 // The dossier's first token must come no later than by the best of the named baselines.
 func TestASRQLongFirstTokenBound(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	ours := Study([]Config{ciRun(&ASRQ, 0.8, PolicyDamaskshelf)}, []uint64{ciSeed}, 1)[0]
+	ours := RunAll([]Config{ciRun(&ASRQ, 0.8, PolicyDamaskshelf)}, []uint64{ciSeed}, 1)[0]
 	best := time.Hour
 	for _, policy := range Policies[1:] {
 		best = min(best, Run(ciRun(&ASRQ, 0.8, policy)).Class[cost.Long].Quantile(0.95))
 	}
-	long := ours.With.Class[cost.Long].Quantile(0.95)
-	short, medium := Slowdown(ours.With, ours.Alone, cost.Short, 0.95), Slowdown(ours.With, ours.Alone, cost.Medium, 0.95)
+	long := ours.Full.Class[cost.Long].Quantile(0.95)
+	short, medium := Slowdown(ours.Full, ours.WithoutLong, cost.Short, 0.95), Slowdown(ours.Full, ours.WithoutLong, cost.Medium, 0.95)
 	t.Logf("long p95 %v, best baseline %v; slowdown of short %.3f, medium %.3f", long, best, short, medium)
 	is.True(long <= best)
 	is.True(short < 1.5)
@@ -64,7 +64,7 @@
 		full, over := Run(ciRun(d, 1.0, PolicyDamaskshelf)), Run(ciRun(d, 1.2, PolicyDamaskshelf))
 		t.Logf("%s: goodput %.0f at 1.0, %.0f tokens/s at 1.2", d.Name, full.Goodput, over.Goodput)
 		is.True(over.Goodput >= 0.9*full.Goodput)
-		is.True(over.Answered >= 0.9*full.Answered)
+		is.True(over.AnswerRate >= 0.9*full.AnswerRate)
 	}
 }
 
@@ -81,6 +81,6 @@
 		served := r.Workspaces[w.Name]
 		share := float64(served.InTime) / float64(max(served.Requests, 1))
 		t.Logf("%s %.3f of %d", w.Name, share, served.Requests)
-		is.True(w.Part > small || share >= 0.98)
+		is.True(w.TrafficShare > small || share >= 0.98)
 	}
 }
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -17,31 +17,31 @@
 //
 // so tokens come slower the more answers run, and slower still while prompts are computed.
 type EngineModel struct {
-	Base      time.Duration
-	Chunk     int   // prompt tokens a step
-	Compute   int64 // prompt tokens a second, without Base
-	PerAnswer time.Duration
-	Memory    int64 // KV cache, tokens
+	StepBase      time.Duration
+	ChunkTokens   int   // prompt tokens a step
+	ComputeRate   int64 // prompt tokens a second, without Base
+	PerDecode     time.Duration
+	KVCacheTokens int64 // KV cache, tokens
 }
 
 // DefaultEngine is the model that all tables are made with.
 var DefaultEngine = EngineModel{
-	Base:      6 * time.Millisecond,
-	Chunk:     512,
-	Compute:   40_000,
-	PerAnswer: 100 * time.Microsecond,
-	Memory:    440_000,
+	StepBase:      6 * time.Millisecond,
+	ChunkTokens:   512,
+	ComputeRate:   40_000,
+	PerDecode:     100 * time.Microsecond,
+	KVCacheTokens: 440_000,
 }
 
 // prefillTime is the engine time that n prompt tokens take when steps are full.
 func (m *EngineModel) prefillTime(n int) time.Duration {
-	steps := float64(n) / float64(m.Chunk)
-	return time.Duration(steps*float64(m.Base)) + time.Duration(float64(n)/float64(m.Compute)*float64(time.Second))
+	steps := float64(n) / float64(m.ChunkTokens)
+	return time.Duration(steps*float64(m.StepBase)) + time.Duration(float64(n)/float64(m.ComputeRate)*float64(time.Second))
 }
 
 // rate is the prompt tokens a second of full steps without answers; engines report it.
 func (m *EngineModel) rate() int64 {
-	return int64(float64(m.Chunk) / m.prefillTime(m.Chunk).Seconds())
+	return int64(float64(m.ChunkTokens) / m.prefillTime(m.ChunkTokens).Seconds())
 }
 
 // job is a request's work on one engine.
@@ -98,7 +98,7 @@
 
 // reserve holds memory for the request; false where there is none.
 func (e *engine) reserve(r *request, tokens int64) bool {
-	if e.held+tokens > e.model.Memory {
+	if e.held+tokens > e.model.KVCacheTokens {
 		return false
 	}
 	e.reserved[r] += tokens
@@ -120,7 +120,7 @@
 }
 
 // spare is the number of blocks that the prefix cache may keep.
-func (e *engine) spare() int { return int(max(e.model.Memory-e.held, 0) / wire.BlockTokens) }
+func (e *engine) spare() int { return int(max(e.model.KVCacheTokens-e.held, 0) / wire.BlockTokens) }
 
 // cancel ends the request's work here and frees its memory at once.
 func (e *engine) cancel(r *request) {
@@ -147,7 +147,7 @@
 		return
 	}
 	e.start()
-	budget, answers, work := e.model.Chunk, 0, false
+	budget, answers, work := e.model.ChunkTokens, 0, false
 	for _, j := range e.jobs {
 		switch {
 		case !j.running:
@@ -162,9 +162,9 @@
 	if !work {
 		return
 	}
-	computed := e.model.Chunk - budget
-	d := e.model.Base + time.Duration(answers)*e.model.PerAnswer +
-		time.Duration(float64(computed)/float64(e.model.Compute)*float64(time.Second))
+	computed := e.model.ChunkTokens - budget
+	d := e.model.StepBase + time.Duration(answers)*e.model.PerDecode +
+		time.Duration(float64(computed)/float64(e.model.ComputeRate)*float64(time.Second))
 	e.busy = true
 	e.worked += d
 	e.clock.After(d, e.step)
@@ -176,7 +176,7 @@
 		if j.running {
 			continue
 		}
-		if e.held+j.need > e.model.Memory {
+		if e.held+j.need > e.model.KVCacheTokens {
 			return
 		}
 		j.running = true
@@ -190,7 +190,7 @@
 // step ends a batch step: prompts move on by the chunk, answers by a token.
 func (e *engine) step() {
 	e.busy = false
-	budget := e.model.Chunk
+	budget := e.model.ChunkTokens
 	var done []*job
 	for _, j := range e.jobs {
 		switch {
@@ -235,7 +235,7 @@
 // load is the engine's state now, as a report that has not lagged would show it.
 func (e *engine) load() wire.LoadReport {
 	l := wire.LoadReport{
-		BootID: e.boot, MemoryUsed: e.held, MemoryTotal: e.model.Memory, PrefillRate: e.model.rate(),
+		BootID: e.boot, MemoryUsed: e.held, MemoryTotal: e.model.KVCacheTokens, PrefillRate: e.model.rate(),
 	}
 	for _, j := range e.jobs {
 		if j.running {
--- a/internal/bench/entry.go
+++ b/internal/bench/entry.go
@@ -39,7 +39,7 @@
 		byView: map[*pick.Engine]*engine{}, paces: make([]pace.Schedule, len(s.engines)),
 	}
 	for i, eng := range s.engines {
-		v := pick.NewEngine(eng.id, cost.NewTable(eng.model.Memory))
+		v := pick.NewEngine(eng.id, cost.NewTable(eng.model.KVCacheTokens))
 		e.views = append(e.views, v)
 		e.byView[v] = eng
 		e.paces[i].Phase = decide.Float(e.rng)
@@ -98,17 +98,17 @@
 	if g.profile.MaxLaneShare == 0 {
 		return 0
 	}
-	return maxPrompt/int(g.e.sim.model().Memory) + 1
+	return maxPrompt/int(g.e.sim.model().KVCacheTokens) + 1
 }
 
 // resize sizes the lanes from the demand that this entry has seen, as often as the daemon does.
 func (g *gated) resize() {
 	now := g.e.sim.clock.Now()
-	fleetDemand := g.demand.BusyEngines(now) * float64(g.e.sim.config.Entries)
+	fleetDemand := g.demand.BusyEngines(now) * float64(g.e.sim.config.Instances)
 	views, order := g.inService()
 	size, _ := g.sizer.Resize(fleetDemand, len(order), now)
 	g.lanes = size
-	g.pool = pick.NewPool(views, order[:size], g.e.sim.model().Memory)
+	g.pool = pick.NewPool(views, order[:size], g.e.sim.model().KVCacheTokens)
 	g.e.sim.clock.After(resizeEvery, g.resize)
 }
 
@@ -131,7 +131,7 @@
 }
 
 func (g *gated) world() *admit.View {
-	return &admit.View{Pool: g.pool, Instances: g.e.sim.config.Entries, Now: g.e.sim.clock.Now(), Rand: g.e.rng}
+	return &admit.View{Pool: g.pool, Instances: g.e.sim.config.Instances, Now: g.e.sim.clock.Now(), Rand: g.e.rng}
 }
 
 func (g *gated) offer(r *request) {
--- a/internal/bench/passes/baseline.go
+++ b/internal/bench/passes/baseline.go
@@ -26,7 +26,7 @@
 }
 
 // Alone gives the policy of entries that know their own work only.
-func Alone(w *Workload) func() Policy {
+func Uncoordinated(w *Workload) func() Policy {
 	return func() Policy {
 		return &alone{engines: w.Engines, memory: w.Model.KVCacheTokens, work: map[fleet.InstanceID][]int{}, on: map[fleet.RequestID]place{}}
 	}
@@ -72,16 +72,16 @@
 
 // Bound is what no policy exceeds by much without faults: all engines read as one of their joint speed, the least
 // reading left first, with everything known at once, and writing costs nothing.
-func Bound(w *Workload, p Play, seeds int) Result {
+func UpperBound(w *Workload, p Scenario, seeds int) Result {
 	return meanOf(seeds, func(seed uint64) Result { return bound(w, p, seed) })
 }
 
-func bound(w *Workload, p Play, seed uint64) Result {
+func bound(w *Workload, p Scenario, seed uint64) Result {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var all, queue []*Job
 	left := map[*Job]float64{}
-	for now := 0.0; now < p.Length+tail; now++ {
-		if x := flips(now); now < p.Length {
+	for now := 0.0; now < p.LengthMs+tail; now++ {
+		if x := flips(now); now < p.LengthMs {
 			for i := range w.classes {
 				if c := &w.classes[i]; r.Float64() < c.perS*x[i]*p.Load/thousand {
 					j := w.job(r, c, len(all), now)
@@ -103,5 +103,5 @@
 			}
 		}
 	}
-	return resultOf(w, all, Crowd{})
+	return resultOf(w, all, Surge{})
 }
--- a/internal/bench/passes/passes.go
+++ b/internal/bench/passes/passes.go
@@ -32,34 +32,36 @@
 )
 
 // Play is what a model plays.
-type Play struct {
-	Load   float64 // 1: the stated rates
-	Length float64 // ms
-	Stop   Fault   // all entries are gone for a while; engines lose what they asked for
-	Lost   Fault   // part of the engines is gone for a while
-	Crowd  Crowd   // a workspace sends many times its usual for a while
+type Scenario struct {
+	Load           float64 // 1: the stated rates
+	LengthMs       float64 // ms
+	InstanceOutage Fault   // all entries are gone for a while; engines lose what they asked for
+	EngineOutage   Fault   // part of the engines is gone for a while
+	Surge          Surge   // a workspace sends many times its usual for a while
 }
 
 // Crowd is one of ten workspaces that sends Times as much as usual during the fault; the zero value is none.
-type Crowd struct {
+type Surge struct {
 	Fault
-	Times float64
+	Factor float64
 }
 
 // Fault is a fault at a time. The zero value is none.
 type Fault struct {
-	At, For float64 // ms
-	Share   float64 // of engines
+	StartMs, DurationMs float64 // ms
+	EngineShare         float64 // of engines
 }
 
-func (f Fault) during(now float64) bool { return f.For > 0 && now >= f.At && now < f.At+f.For }
+func (f Fault) during(now float64) bool {
+	return f.DurationMs > 0 && now >= f.StartMs && now < f.StartMs+f.DurationMs
+}
 
 // Sim drives a policy and engines in steps of a millisecond. It is not safe for concurrent use.
 type Sim struct {
 	w       *Workload
 	fresh   func() Policy
 	policy  Policy
-	play    Play
+	play    Scenario
 	engines []*engine
 	byID    map[fleet.UpstreamID]*engine
 	jobs    []*Job
@@ -93,7 +95,7 @@
 func engineID(i int) fleet.UpstreamID { return fleet.UpstreamID(fmt.Sprintf("e%02d", i)) }
 
 // New gives a Sim of a workload's engines.
-func New(w *Workload, fresh func() Policy, p Play) *Sim {
+func New(w *Workload, fresh func() Policy, p Scenario) *Sim {
 	s := &Sim{w: w, fresh: fresh, policy: fresh(), play: p, byID: map[fleet.UpstreamID]*engine{}, byJob: map[fleet.RequestID]*Job{}}
 	for i := range w.Engines {
 		e := &engine{id: engineID(i), model: &w.Model}
@@ -129,7 +131,7 @@
 
 func (s *Sim) step(now float64) {
 	s.fail(now)
-	if s.play.Stop.during(now) {
+	if s.play.InstanceOutage.during(now) {
 		s.run(now)
 		return
 	}
@@ -151,26 +153,26 @@
 
 // fail begins and ends faults.
 func (s *Sim) fail(now float64) {
-	switch lost := s.play.Lost; {
-	case lost.For > 0 && now == lost.At:
-		for _, e := range s.engines[:int(lost.Share*float64(len(s.engines)))] {
+	switch lost := s.play.EngineOutage; {
+	case lost.DurationMs > 0 && now == lost.StartMs:
+		for _, e := range s.engines[:int(lost.EngineShare*float64(len(s.engines)))] {
 			s.lose(now, e)
 		}
 		s.policy.SetUpstreams(s.upstreams())
-	case lost.For > 0 && now == lost.At+lost.For:
+	case lost.DurationMs > 0 && now == lost.StartMs+lost.DurationMs:
 		for _, e := range s.engines {
 			e.gone = false
 		}
 		s.policy.SetUpstreams(s.upstreams())
 	}
-	if stop := s.play.Stop; stop.For > 0 && now == stop.At {
+	if stop := s.play.InstanceOutage; stop.DurationMs > 0 && now == stop.StartMs {
 		s.stop(now)
 	}
 }
 
 // stop ends all entries: what runs is cut, and the dispatcher's book with it.
 func (s *Sim) stop(now float64) {
-	back := now + s.play.Stop.For
+	back := now + s.play.InstanceOutage.DurationMs
 	s.news = nil
 	for _, j := range s.jobs {
 		if !j.done && !j.refused {
@@ -285,13 +287,13 @@
 // Run plays the flipping mix with a seed.
 func (s *Sim) Run(seed uint64) Result {
 	s.r, s.spaces = rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
-	for now := 0.0; now < s.play.Length+tail; now++ {
-		if now < s.play.Length {
+	for now := 0.0; now < s.play.LengthMs+tail; now++ {
+		if now < s.play.LengthMs {
 			s.arrive(now)
 		}
 		s.step(now)
 	}
-	return resultOf(s.w, s.jobs, s.play.Crowd)
+	return resultOf(s.w, s.jobs, s.play.Surge)
 }
 
 // tail is how long a play goes on after its last arrival, in ms: the longest that a caller waits.
@@ -313,7 +315,7 @@
 		if s.r.Float64() < rate {
 			s.come(now, c, s.r, s.spaces.IntN(workspaces))
 		}
-		if s.play.Crowd.during(now) && s.spaces.Float64() < rate*(s.play.Crowd.Times-1)/workspaces {
+		if s.play.Surge.during(now) && s.spaces.Float64() < rate*(s.play.Surge.Factor-1)/workspaces {
 			s.come(now, c, s.spaces, crowded)
 		}
 	}
@@ -324,8 +326,8 @@
 	j := s.w.job(r, c, len(s.jobs), now)
 	j.Workspace = workspace(space)
 	s.jobs = append(s.jobs, j)
-	if s.play.Stop.during(now) {
-		s.coming = append(s.coming, visit{s.play.Stop.At + s.play.Stop.For + s.r.Float64()*comeBack, j})
+	if s.play.InstanceOutage.during(now) {
+		s.coming = append(s.coming, visit{s.play.InstanceOutage.StartMs + s.play.InstanceOutage.DurationMs + s.r.Float64()*comeBack, j})
 		return
 	}
 	s.ask(now, j)
--- a/internal/bench/passes/passes_test.go
+++ b/internal/bench/passes/passes_test.go
@@ -11,16 +11,16 @@
 
 const seeds = 4
 
-var stated = Play{Load: 1, Length: 40_000}
+var stated = Scenario{Load: 1, LengthMs: 40_000}
 
 // largeMean is played once for all tests that look at it.
-var largeMean = sync.OnceValue(func() Result { return Mean(&CoteauLarge, daemon(&CoteauLarge), stated, seeds) })
+var largeMean = sync.OnceValue(func() Result { return MeanResult(&CoteauLarge, daemon(&CoteauLarge), stated, seeds) })
 
 func statedMean(w *Workload) Result {
 	if w == &CoteauLarge {
 		return largeMean()
 	}
-	return Mean(w, daemon(w), stated, seeds)
+	return MeanResult(w, daemon(w), stated, seeds)
 }
 
 func daemon(w *Workload) func() Policy { return Dispatcher(w, dispatch.DefaultParams()) }
@@ -29,9 +29,9 @@
 // than entries that know their own work only, and nothing more than the bound allows.
 func TestThePolicyBeatsEachEntryAlone(t *testing.T) {
 	is := is.New(t)
-	policy := Mean(&Coteau, daemon(&Coteau), stated, seeds).InTime
-	alone := Mean(&Coteau, Alone(&Coteau), stated, seeds).InTime
-	bound := Bound(&Coteau, stated, seeds).InTime
+	policy := MeanResult(&Coteau, daemon(&Coteau), stated, seeds).InTime
+	alone := MeanResult(&Coteau, Uncoordinated(&Coteau), stated, seeds).InTime
+	bound := UpperBound(&Coteau, stated, seeds).InTime
 	for kind, least := range map[string]float64{"short": 0.25, "medium": 0.25, "long": 0.35} {
 		t.Logf("%s in time: policy %.3f, alone %.3f, bound %.3f", kind, policy[kind], alone[kind], bound[kind])
 		is.True(policy[kind] > alone[kind]+least)
@@ -44,7 +44,7 @@
 func TestTheLargestAreNotStarved(t *testing.T) {
 	is := is.New(t)
 	for _, w := range Workloads {
-		for kind, share := range statedMean(w).Largest {
+		for kind, share := range statedMean(w).LargestAnswered {
 			t.Logf("%s, %s: largest tenth answered %.3f times as often as all", w.Name, kind, share)
 			is.True(share >= 0.5)
 		}
@@ -55,7 +55,7 @@
 // any time: half of the fleet reads always, and waiting for more than that is waiting for ever.
 func TestTheLargestAreServedByHundredsOfEngines(t *testing.T) {
 	is := is.New(t)
-	worth := largeMean().LargestWorth["long"]
+	worth := largeMean().LargestEarned["long"]
 	t.Logf("the largest tenth earned %.3f of its worth", worth)
 	is.True(worth >= 0.75)
 }
@@ -65,8 +65,8 @@
 func TestFaultsOfTheModelEndInOrder(t *testing.T) {
 	is := is.New(t)
 	faults := stated
-	faults.Stop = Fault{At: 34_000, For: 1000}
-	faults.Lost = Fault{At: 14_000, For: 5000, Share: 0.33}
+	faults.InstanceOutage = Fault{StartMs: 34_000, DurationMs: 1000}
+	faults.EngineOutage = Fault{StartMs: 14_000, DurationMs: 5000, EngineShare: 0.33}
 	s := New(&Kivufix, daemon(&Kivufix), faults)
 	s.Run(1)
 	for _, j := range s.jobs {
--- a/internal/bench/passes/result.go
+++ b/internal/bench/passes/result.go
@@ -7,15 +7,15 @@
 
 // Result is how a play ended.
 type Result struct {
-	InTime map[string]float64 // for each kind the share of its worth that was answered in time
-	Day    float64            // share of all worth that was earned, late answers counting in part
-	Worst  float64            // the same of the two worst windows of two seconds
+	InTime       map[string]float64 // for each kind the share of its worth that was answered in time
+	Earned       float64            // share of all worth that was earned, late answers counting in part
+	WorstWindows float64            // the same of the two worst windows of two seconds
 	// Largest is, for each kind, how often its largest tenth was answered against the kind.
-	Largest map[string]float64
+	LargestAnswered map[string]float64
 	// LargestWorth is, for each kind, the share of its largest tenth's worth that was earned.
-	LargestWorth map[string]float64
+	LargestEarned map[string]float64
 	// Others is the share of worth that the workspaces which send as usual earned while one sent many times that.
-	Others float64
+	OthersEarned float64
 }
 
 const (
@@ -35,8 +35,8 @@
 	return s.earned / s.owed
 }
 
-func resultOf(w *Workload, jobs []*Job, crowd Crowd) Result {
-	res := Result{InTime: map[string]float64{}, Largest: map[string]float64{}, LargestWorth: map[string]float64{}}
+func resultOf(w *Workload, jobs []*Job, crowd Surge) Result {
+	res := Result{InTime: map[string]float64{}, LargestAnswered: map[string]float64{}, LargestEarned: map[string]float64{}}
 	var day, others share
 	windows := map[int]*share{}
 	kinds := map[string]*share{}
@@ -66,12 +66,12 @@
 		}
 		byKind[j.class.name] = append(byKind[j.class.name], j)
 	}
-	res.Day, res.Others = day.of(), others.of()
-	res.Worst = worst(windows)
+	res.Earned, res.OthersEarned = day.of(), others.of()
+	res.WorstWindows = worst(windows)
 	for name, s := range kinds {
 		res.InTime[name] = s.of()
-		res.Largest[name] = largest(byKind[name])
-		res.LargestWorth[name] = largestWorth(byKind[name])
+		res.LargestAnswered[name] = largest(byKind[name])
+		res.LargestEarned[name] = largestWorth(byKind[name])
 	}
 	return res
 }
@@ -121,22 +121,22 @@
 }
 
 // Mean plays seeds from 1 on and gives the means.
-func Mean(w *Workload, fresh func() Policy, p Play, seeds int) Result {
+func MeanResult(w *Workload, fresh func() Policy, p Scenario, seeds int) Result {
 	return meanOf(seeds, func(seed uint64) Result { return New(w, fresh, p).Run(seed) })
 }
 
 func meanOf(seeds int, run func(seed uint64) Result) Result {
-	sum := Result{InTime: map[string]float64{}, Largest: map[string]float64{}, LargestWorth: map[string]float64{}}
+	sum := Result{InTime: map[string]float64{}, LargestAnswered: map[string]float64{}, LargestEarned: map[string]float64{}}
 	n := float64(seeds)
 	for seed := range uint64(seeds) {
 		res := run(seed + 1)
-		sum.Day += res.Day / n
-		sum.Others += res.Others / n
-		sum.Worst += res.Worst / n
+		sum.Earned += res.Earned / n
+		sum.OthersEarned += res.OthersEarned / n
+		sum.WorstWindows += res.WorstWindows / n
 		for kind, x := range res.InTime {
 			sum.InTime[kind] += x / n
-			sum.Largest[kind] += res.Largest[kind] / n
-			sum.LargestWorth[kind] += res.LargestWorth[kind] / n
+			sum.LargestAnswered[kind] += res.LargestAnswered[kind] / n
+			sum.LargestEarned[kind] += res.LargestEarned[kind] / n
 		}
 	}
 	return sum
--- a/internal/bench/passes/workload.go
+++ b/internal/bench/passes/workload.go
@@ -96,7 +96,7 @@
 var Workloads = []*Workload{&Coteau, &Kivufix, &CoteauLarge, &CoteauShifted}
 
 // Kinds names the kinds of prompts.
-func (w *Workload) Kinds() []string {
+func (w *Workload) ClassNames() []string {
 	var all []string
 	for _, c := range w.classes {
 		all = append(all, c.name)
--- a/internal/bench/request.go
+++ b/internal/bench/request.go
@@ -61,7 +61,7 @@
 		if r.over() {
 			return
 		}
-		if !reserved && e.held+need > e.model.Memory {
+		if !reserved && e.held+need > e.model.KVCacheTokens {
 			r.sim.memoryWaits++
 		}
 		e.submit(j)
@@ -225,5 +225,5 @@
 	if class == cost.Group {
 		t += time.Duration(float64(t) * groupOverhead)
 	}
-	return t.Seconds() + decode.Seconds()*float64(p.MemoryTokens())/float64(m.Memory)
+	return t.Seconds() + decode.Seconds()*float64(p.MemoryTokens())/float64(m.KVCacheTokens)
 }
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -12,36 +12,36 @@
 // ClassFigures are one length class's figures of a run. Requests are counted by their arrival after the
 // warm-up; those whose time was not over when the run ended are left out.
 type ClassFigures struct {
-	Requests int
-	InTime   int
-	Refused  int
-	Late     int
-	First    []time.Duration // first token, of requests that had one, sorted
+	Requests   int
+	InTime     int
+	Refused    int
+	Late       int
+	FirstToken []time.Duration // first token, of requests that had one, sorted
 }
 
 // Quantile gives the q-quantile of the first-token time.
-func (f *ClassFigures) Quantile(q float64) time.Duration { return quantile(f.First, q) }
+func (f *ClassFigures) Quantile(q float64) time.Duration { return quantile(f.FirstToken, q) }
 
 // Result is a run's figures.
 type Result struct {
-	Class       [cost.ClassCount]ClassFigures
-	Goodput     float64 // prompt tokens a second of requests answered in time
-	Answered    float64 // requests a second answered in time
-	Busy        float64 // share of the engines' time in batch steps
-	MemoryMost  float64 // highest share of an engine's memory that was held
-	MemoryWaits int     // unreserved prompts that found no memory at their engine
-	Strays      int     // prompts sent to engines that had been taken out for longer than a few seconds
-	Refusals    map[decide.Reason]int
-	Workspaces  map[fleet.WorkspaceID]Served
+	Class            [cost.ClassCount]ClassFigures
+	Goodput          float64 // prompt tokens a second of requests answered in time
+	AnswerRate       float64 // requests a second answered in time
+	Utilization      float64 // share of the engines' time in batch steps
+	MaxMemoryShare   float64 // highest share of an engine's memory that was held
+	MemoryWaits      int     // unreserved prompts that found no memory at their engine
+	SentOutOfService int     // prompts sent to engines that had been taken out for longer than a few seconds
+	Refusals         map[decide.Reason]int
+	Workspaces       map[fleet.WorkspaceID]WorkspaceCounts
 }
 
 // Served is a workspace's requests and how many of them were answered in time.
-type Served struct {
+type WorkspaceCounts struct {
 	Requests, InTime int
 }
 
 func (s *sim) result(end decide.Instant) *Result {
-	res := &Result{Refusals: map[decide.Reason]int{}, Workspaces: map[fleet.WorkspaceID]Served{}}
+	res := &Result{Refusals: map[decide.Reason]int{}, Workspaces: map[fleet.WorkspaceID]WorkspaceCounts{}}
 	var tokens, answered float64
 	for _, r := range s.requests {
 		if !s.counts(r, end) {
@@ -65,20 +65,20 @@
 		}
 		res.Workspaces[r.workspace] = served
 		if r.first != 0 {
-			f.First = append(f.First, r.first.Sub(r.at))
+			f.FirstToken = append(f.FirstToken, r.first.Sub(r.at))
 		}
 	}
 	for c := range res.Class {
-		slices.Sort(res.Class[c].First)
+		slices.Sort(res.Class[c].FirstToken)
 	}
 	window := s.window(end)
 	span := (window.To - window.From).Seconds()
-	res.Goodput, res.Answered = tokens/span, answered/span
+	res.Goodput, res.AnswerRate = tokens/span, answered/span
 	for _, e := range s.engines {
-		res.Busy += e.worked.Seconds() / end.Sub(0).Seconds() / float64(len(s.engines))
-		res.MemoryMost = max(res.MemoryMost, float64(e.most)/float64(e.model.Memory))
+		res.Utilization += e.worked.Seconds() / end.Sub(0).Seconds() / float64(len(s.engines))
+		res.MaxMemoryShare = max(res.MaxMemoryShare, float64(e.most)/float64(e.model.KVCacheTokens))
 	}
-	res.MemoryWaits, res.Strays = s.memoryWaits, s.strays
+	res.MemoryWaits, res.SentOutOfService = s.memoryWaits, s.strays
 	return res
 }
 
@@ -91,24 +91,24 @@
 
 // Merge pools the figures of runs that differ in their seed only.
 func Merge(runs []*Result) *Result {
-	sum := &Result{Refusals: map[decide.Reason]int{}, Workspaces: map[fleet.WorkspaceID]Served{}}
+	sum := &Result{Refusals: map[decide.Reason]int{}, Workspaces: map[fleet.WorkspaceID]WorkspaceCounts{}}
 	n := float64(len(runs))
 	for _, r := range runs {
 		for c := range r.Class {
 			sum.Class[c].Add(&r.Class[c])
 		}
 		sum.Goodput += r.Goodput / n
-		sum.Answered += r.Answered / n
-		sum.Busy += r.Busy / n
-		sum.MemoryMost = max(sum.MemoryMost, r.MemoryMost)
+		sum.AnswerRate += r.AnswerRate / n
+		sum.Utilization += r.Utilization / n
+		sum.MaxMemoryShare = max(sum.MaxMemoryShare, r.MaxMemoryShare)
 		sum.MemoryWaits += r.MemoryWaits
-		sum.Strays += r.Strays
+		sum.SentOutOfService += r.SentOutOfService
 		for reason, count := range r.Refusals {
 			sum.Refusals[reason] += count
 		}
 		for name, served := range r.Workspaces {
 			s := sum.Workspaces[name]
-			sum.Workspaces[name] = Served{s.Requests + served.Requests, s.InTime + served.InTime}
+			sum.Workspaces[name] = WorkspaceCounts{s.Requests + served.Requests, s.InTime + served.InTime}
 		}
 	}
 	return sum
@@ -120,8 +120,8 @@
 	f.InTime += g.InTime
 	f.Refused += g.Refused
 	f.Late += g.Late
-	f.First = append(f.First, g.First...)
-	slices.Sort(f.First)
+	f.FirstToken = append(f.FirstToken, g.FirstToken...)
+	slices.Sort(f.FirstToken)
 }
 
 // Slowdown is the quantile of a class's first-token time against that of the same prompts alone.
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -44,7 +44,7 @@
 // Config is one run.
 type Config struct {
 	Deployment  *Deployment
-	Entries     int
+	Instances   int
 	Load        float64       // 1.0: the offered work keeps all engines busy
 	Span        time.Duration // of arrivals, warm-up included
 	Seed        uint64
@@ -137,7 +137,7 @@
 
 // Run carries a run out and gives its figures.
 func Run(c Config) *Result {
-	w := newWorkload(c.Deployment, DefaultEngine, c.Entries, c.Seed)
+	w := newWorkload(c.Deployment, DefaultEngine, c.Instances, c.Seed)
 	return simulate(c, w.make(c.Load, c.Span))
 }
 
@@ -166,7 +166,7 @@
 		s.byID[e.id] = e
 		s.clock.After(reportRenewal*time.Duration(i)/time.Duration(c.Deployment.Engines), e.renew)
 	}
-	for i := range c.Entries {
+	for i := range c.Instances {
 		s.entries = append(s.entries, newEntry(s, i))
 	}
 	return s
--- a/internal/bench/study.go
+++ b/internal/bench/study.go
@@ -9,15 +9,15 @@
 
 // Point is one configuration with its figures over several seeds.
 type Point struct {
-	Config Config
-	With   *Result // the whole load
-	Alone  *Result // the same short prompts without the long ones, same policy
-	Bound  [cost.ClassCount]ClassFigures
+	Config      Config
+	Full        *Result // the whole load
+	WithoutLong *Result // the same short prompts without the long ones, same policy
+	LowerBound  [cost.ClassCount]ClassFigures
 }
 
 // Study runs each configuration for each seed, at most workers runs at a time, and pools the seeds.
 // Every run is a function of its configuration, so the figures don't depend on workers.
-func Study(configs []Config, seeds []uint64, workers int) []Point {
+func RunAll(configs []Config, seeds []uint64, workers int) []Point {
 	points := make([]Point, len(configs))
 	gate := make(chan struct{}, max(1, min(workers, runtime.NumCPU())))
 	var group sync.WaitGroup
@@ -36,13 +36,13 @@
 		run := c
 		run.Seed = seed
 		with = append(with, Run(run))
-		for class, f := range Bound(run) {
-			p.Bound[class].Add(&f)
+		for class, f := range LowerBound(run) {
+			p.LowerBound[class].Add(&f)
 		}
 		run.WithoutLong = true
 		alone = append(alone, Run(run))
 		<-gate
 	}
-	p.With, p.Alone = Merge(with), Merge(alone)
+	p.Full, p.WithoutLong = Merge(with), Merge(alone)
 	return p
 }
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -13,22 +13,22 @@
 
 // Deployment is one of the users' services, by their brief.
 type Deployment struct {
-	Name       string
-	Profile    string // of the settings that they would choose
-	Engines    int
-	Domains    []string
-	Workspaces []Share
-	Repeat     float64 // share of long prompts that ask again over a document asked about before
+	Name        string
+	Profile     string // of the settings that they would choose
+	Engines     int
+	Domains     []string
+	Workspaces  []WorkspaceShare
+	RepeatShare float64 // share of long prompts that ask again over a document asked about before
 }
 
 // Share is a workspace and its part of the traffic.
-type Share struct {
-	Name fleet.WorkspaceID
-	Part float64
+type WorkspaceShare struct {
+	Name         fleet.WorkspaceID
+	TrafficShare float64
 }
 
 // tenWorkspaces is "about ten, a few of them large".
-var tenWorkspaces = []Share{
+var tenWorkspaces = []WorkspaceShare{
 	{"w0", 0.30}, {"w1", 0.20}, {"w2", 0.15}, {"w3", 0.05}, {"w4", 0.05},
 	{"w5", 0.05}, {"w6", 0.05}, {"w7", 0.05}, {"w8", 0.05}, {"w9", 0.05},
 }
@@ -126,7 +126,7 @@
 	tokens := a.prompt.Tokens
 	if a.class == cost.Group {
 		tokens += int(float64(tokens) * groupOverhead) // and nothing of it is cached
-		return w.model.prefillTime(tokens) + time.Duration(a.answer)*w.model.PerAnswer
+		return w.model.prefillTime(tokens) + time.Duration(a.answer)*w.model.PerDecode
 	}
 	for _, hash := range a.prompt.Blocks {
 		if !w.seen[hash] {
@@ -135,7 +135,7 @@
 		}
 		tokens -= wire.BlockTokens
 	}
-	return w.model.prefillTime(max(tokens, 1)) + time.Duration(a.answer)*w.model.PerAnswer
+	return w.model.prefillTime(max(tokens, 1)) + time.Duration(a.answer)*w.model.PerDecode
 }
 
 func (w *workload) one(at decide.Instant) arrival {
@@ -150,7 +150,7 @@
 		w.short(&a, space)
 	}
 	a.prompt.MaxAnswerTokens = int(float64(a.answer) * answerSlack)
-	a.class = cost.ClassOf(a.prompt.Tokens, a.prompt.MaxAnswerTokens, w.model.Memory)
+	a.class = cost.ClassOf(a.prompt.Tokens, a.prompt.MaxAnswerTokens, w.model.KVCacheTokens)
 	a.deadline = at.Add(timeouts[a.class])
 	return a
 }
@@ -158,7 +158,7 @@
 func (w *workload) space() int {
 	x := w.rng.Float64()
 	for i, s := range w.deployment.Workspaces {
-		if x -= s.Part; x < 0 {
+		if x -= s.TrafficShare; x < 0 {
 			return i
 		}
 	}
@@ -192,7 +192,7 @@
 
 // long makes a prompt over a whole document, at times one that was asked about before.
 func (w *workload) long(a *arrival, space int) {
-	if w.rng.Float64() < w.deployment.Repeat {
+	if w.rng.Float64() < w.deployment.RepeatShare {
 		w.document(a, uint64(space*documents+w.rng.IntN(documents)))
 		return
 	}
--- a/internal/decide/dispatch/bounds_test.go
+++ b/internal/decide/dispatch/bounds_test.go
@@ -24,12 +24,12 @@
 	withoutSharing := dispatch.DefaultParams()
 	withoutSharing.CoLocationBonusMs, withoutSharing.StreamPenaltyMs, withoutSharing.MaxBacklogMs = 0, 0, math.Inf(1)
 	for _, w := range passes.Workloads {
-		play := passes.Play{Load: 1, Length: 34_000}
-		before := passes.Mean(w, passes.Dispatcher(w, withoutSharing), play, 8)
-		after := passes.Mean(w, passes.Dispatcher(w, dispatch.DefaultParams()), play, 8)
+		play := passes.Scenario{Load: 1, LengthMs: 34_000}
+		before := passes.MeanResult(w, passes.Dispatcher(w, withoutSharing), play, 8)
+		after := passes.MeanResult(w, passes.Dispatcher(w, dispatch.DefaultParams()), play, 8)
 		t.Logf("%s: long in time %.3f, was %.3f; all worth earned %.3f, was %.3f", w.Name, after.InTime["long"],
-			before.InTime["long"], after.Day, before.Day)
+			before.InTime["long"], after.Earned, before.Earned)
 		is.True(after.InTime["long"] > before.InTime["long"]+0.02)
-		is.True(after.Day > before.Day)
+		is.True(after.Earned > before.Earned)
 	}
 }
--- a/internal/decide/dispatch/fair_test.go
+++ b/internal/decide/dispatch/fair_test.go
@@ -16,9 +16,9 @@
 func TestCrowdOfOneWorkspaceDelaysFewOthers(t *testing.T) {
 	is := is.New(t)
 	others := func(times float64) float64 {
-		crowd := passes.Crowd{Fault: passes.Fault{At: 10_000, For: 10_000}, Times: times}
-		play := passes.Play{Load: 0.85, Length: 30_000, Crowd: crowd}
-		return passes.Mean(&passes.Coteau, passes.Dispatcher(&passes.Coteau, dispatch.DefaultParams()), play, 4).Others
+		crowd := passes.Surge{Fault: passes.Fault{StartMs: 10_000, DurationMs: 10_000}, Factor: times}
+		play := passes.Scenario{Load: 0.85, LengthMs: 30_000, Surge: crowd}
+		return passes.MeanResult(&passes.Coteau, passes.Dispatcher(&passes.Coteau, dispatch.DefaultParams()), play, 4).OthersEarned
 	}
 	without, with := others(1), others(12)
 	t.Logf("others earned %.3f of their worth without the crowd, %.3f with it", without, with)
@@ -28,7 +28,7 @@
 // A change of the whole mix, to many times as many short prompts, does not count as excess of any workspace.
 func TestMixChangeIsNotExcess(t *testing.T) {
 	is := is.New(t)
-	got := passes.Mean(&passes.Coteau, passes.Dispatcher(&passes.Coteau, dispatch.DefaultParams()), passes.Play{Load: 0.85, Length: 40_000}, 4)
+	got := passes.MeanResult(&passes.Coteau, passes.Dispatcher(&passes.Coteau, dispatch.DefaultParams()), passes.Scenario{Load: 0.85, LengthMs: 40_000}, 4)
 	t.Logf("short in time %.3f", got.InTime["short"])
 	is.True(got.InTime["short"] > 0.97)
 }
--- a/internal/decide/dispatch/sim_test.go
+++ b/internal/decide/dispatch/sim_test.go
@@ -19,8 +19,8 @@
 // meanInTime runs four seeds of the flipping mix and returns, by kind of prompt, the mean share of its worth that is
 // on time.
 func meanInTime(p dispatch.Params, load float64) map[string]float64 {
-	play := passes.Play{Load: load, Length: 40_000}
-	return passes.Mean(&passes.Coteau, passes.Dispatcher(&passes.Coteau, p), play, 4).InTime
+	play := passes.Scenario{Load: load, LengthMs: 40_000}
+	return passes.MeanResult(&passes.Coteau, passes.Dispatcher(&passes.Coteau, p), play, 4).InTime
 }
 
 // Guards against short prompts that are late while long ones share the fleet and the mix flips every ten seconds. With
