--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -7,21 +7,21 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/pick"
 )
 
-// direct is a baseline: every prompt is sent at once to the engine that the pipeline names, all with the
-// same priority, and waits there. Nothing is refused. Prompts for a group of engines reserve on the
-// engines named one after the other, and try again until their time is over.
+// direct is a baseline policy. It sends every prompt at once to the engine that the pipeline chooses, all with the
+// same priority, and the prompt waits there. It refuses no request. A prompt for a group of engines reserves memory on
+// several engines, chosen one after the other, and tries again until its deadline.
 type direct struct {
-	e        *entry
+	instance *instance
 	profile  pick.Profile
 	pipeline pick.Pipeline
 	pool     *pick.Pool
 }
 
-func newDirect(e *entry, pipeline pick.Pipeline) *direct {
-	return &direct{e: e, pipeline: pipeline, pool: pick.NewPool(e.views, nil, e.sim.model().KVCacheTokens), profile: pick.Profile{RandomChoices: len(e.views)}}
+func newDirect(inst *instance, pipeline pick.Pipeline) *direct {
+	return &direct{instance: inst, pipeline: pipeline, pool: pick.NewPool(inst.views, nil, inst.sim.model().KVCacheTokens), profile: pick.Profile{RandomChoices: len(inst.views)}}
 }
 
-// RoundRobin takes the engines in turn.
+// RoundRobin returns a pipeline that chooses the engines in turn.
 func RoundRobin() pick.Pipeline {
 	next := -1
 	return pick.Pipeline{Picker: func(_ *pick.Query, pool []pick.Candidate, at []int) []int {
@@ -30,7 +30,7 @@
 	}}
 }
 
-// LeastLoaded takes the engine with the fewest requests by its last report.
+// LeastLoaded returns a pipeline that chooses the engine with the fewest requests in its last report.
 func LeastLoaded() pick.Pipeline {
 	return pick.Pipeline{
 		Picker: pick.All,
@@ -43,60 +43,63 @@
 	}
 }
 
+// query returns the pipeline's input for a request.
 func (d *direct) query(r *request) *pick.Query {
 	return &pick.Query{
-		Prompt: &r.prompt, Class: r.class, Now: d.e.sim.clock.Now(), Rand: d.e.rng,
-		Instances: d.e.sim.config.Instances, Profile: &d.profile,
+		Prompt: &r.prompt, Class: r.class, Now: d.instance.sim.clock.Now(), Rand: d.instance.rng,
+		Instances: d.instance.sim.config.Instances, Profile: &d.profile,
 	}
 }
 
-func (d *direct) offer(r *request) {
+func (d *direct) submit(r *request) {
 	if r.class == cost.Group {
-		d.group(r)
+		d.reserveGroup(r)
 		return
 	}
 	choice := d.pipeline.Pick(d.query(r), d.pool.All)
-	r.dispatch(d.e.byView[choice.Engine], false)
+	r.dispatch(d.instance.byView[choice.Engine], false)
 }
 
-// group reserves equal parts on as many engines as the prompt needs, with room to spare for short ones.
-func (d *direct) group(r *request) {
-	const room = 0.8
+// reserveGroup reserves equal parts on as many engines as the prompt needs if it uses at most maxFill of each engine's
+// memory. The rest is left to short prompts.
+func (d *direct) reserveGroup(r *request) {
+	const maxFill = 0.8
 	q := d.query(r)
-	n := 1 + int(float64(r.prompt.MemoryTokens())/(room*float64(d.pool.EngineMemory)))
+	n := 1 + int(float64(r.prompt.MemoryTokens())/(maxFill*float64(d.pool.EngineMemory)))
 	var parts []pick.Part
 	for len(parts) < n {
-		choice := d.pipeline.Pick(q, d.others(parts))
+		choice := d.pipeline.Pick(q, d.withoutParts(parts))
 		parts = append(parts, pick.Part{Engine: choice.Engine, Tokens: r.prompt.MemoryTokens()/int64(n) + 1})
 	}
 	r.reserve(parts)
 }
 
-func (d *direct) others(parts []pick.Part) []pick.Candidate {
+// withoutParts returns the candidates whose engines have none of the parts.
+func (d *direct) withoutParts(parts []pick.Part) []pick.Candidate {
 	var rest []pick.Candidate
 	for _, c := range d.pool.All {
-		taken := false
+		used := false
 		for _, p := range parts {
-			taken = taken || p.Engine == c.Engine
+			used = used || p.Engine == c.Engine
 		}
-		if !taken {
+		if !used {
 			rest = append(rest, c)
 		}
 	}
 	return rest
 }
 
-func (d *direct) reserved(r *request, granted bool) {
+func (d *direct) reservationResult(r *request, granted bool) {
 	if granted {
 		r.dispatchGroup()
 		return
 	}
-	d.e.sim.clock.After(reserveWait/2, func() {
-		if !r.over() {
-			d.group(r)
+	d.instance.sim.clock.After(reserveTimeout/2, func() {
+		if !r.done() {
+			d.reserveGroup(r)
 		}
 	})
 }
 
-func (d *direct) ended(*request) {}
-func (d *direct) wake()          {}
+func (d *direct) requestEnded(*request) {}
+func (d *direct) processQueues()        {}
--- a/internal/bench/bound.go
+++ b/internal/bench/bound.go
@@ -8,22 +8,23 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// Bound is what no policy can go below on a run's arrivals: the first-token time of each prompt on an
-// engine of its own that is idle the moment the prompt comes, where every block that any earlier prompt
-// had is already cached. A prompt for a group has the fewest engines that hold it, all idle. The figures
-// leave out the warm-up, as those of runs do.
+// LowerBound returns first-token times that no policy can improve on for a run's arrivals. Each prompt has an engine
+// of its own that is idle when the prompt arrives, and every block of any earlier prompt is cached there. A prompt for
+// a group has the fewest engines that can hold it, all idle. Requests of the warm-up are left out, as in the figures
+// of runs.
 func LowerBound(c Config) [cost.ClassCount]ClassFigures {
 	w := newWorkload(c.Deployment, DefaultEngine, c.Instances, c.Seed)
-	arrivals := w.make(c.Load, c.Span)
-	return bound(arrivals, &w.model, c.Span)
+	arrivals := w.generate(c.Load, c.Span)
+	return lowerBound(arrivals, &w.model, c.Span)
 }
 
-func bound(arrivals []arrival, m *EngineModel, span time.Duration) [cost.ClassCount]ClassFigures {
+// lowerBound returns the figures of LowerBound for the given arrivals.
+func lowerBound(arrivals []arrival, m *EngineModel, span time.Duration) [cost.ClassCount]ClassFigures {
 	var figures [cost.ClassCount]ClassFigures
 	seen := map[uint64]bool{}
 	for i := range arrivals {
 		a := &arrivals[i]
-		first := isolated(a, m, seen) + 2*messageDelay
+		first := isolatedPrefillTime(a, m, seen) + 2*messageDelay
 		if a.at.Sub(0) < warmUp || a.deadline.Sub(0) > span {
 			continue
 		}
@@ -36,7 +37,9 @@
 	return figures
 }
 
-func isolated(a *arrival, m *EngineModel, seen map[uint64]bool) time.Duration {
+// isolatedPrefillTime returns the prefill time of a request on idle engines that cache the blocks in seen, and adds
+// the request's blocks to seen.
+func isolatedPrefillTime(a *arrival, m *EngineModel, seen map[uint64]bool) time.Duration {
 	if a.class == cost.Group {
 		members := int(a.prompt.MemoryTokens()/m.KVCacheTokens) + 1
 		return m.prefillTime(int(float64(a.prompt.Tokens)*(1+groupOverhead)) / members)
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -10,21 +10,21 @@
 	"github.com/damaskshelf/damaskshelf/internal/vtime"
 )
 
-// EngineModel is the service-time model of an engine: batch steps, each with up to Chunk prompt tokens by
-// priority and one token for every answer under way. A step takes
+// EngineModel is the service-time model of an engine. The engine works in batch steps. Each step processes up to
+// ChunkTokens prompt tokens, by priority, and one token of every decoding request. A step takes
 //
-//	Base + tokens/Compute + answers*PerAnswer
+//	StepBase + tokens/ComputeRate + decoding*PerDecode
 //
-// so tokens come slower the more answers run, and slower still while prompts are computed.
+// so decoding slows down as more requests decode, and slows down further during prefill.
 type EngineModel struct {
 	StepBase      time.Duration
-	ChunkTokens   int   // prompt tokens a step
-	ComputeRate   int64 // prompt tokens a second, without Base
+	ChunkTokens   int   // prompt tokens per step
+	ComputeRate   int64 // prompt tokens per second, without StepBase
 	PerDecode     time.Duration
-	KVCacheTokens int64 // KV cache, tokens
+	KVCacheTokens int64 // size of the KV cache
 }
 
-// DefaultEngine is the model that all tables are made with.
+// DefaultEngine is the engine model of all runs.
 var DefaultEngine = EngineModel{
 	StepBase:      6 * time.Millisecond,
 	ChunkTokens:   512,
@@ -33,56 +33,56 @@
 	KVCacheTokens: 440_000,
 }
 
-// prefillTime is the engine time that n prompt tokens take when steps are full.
+// prefillTime returns the engine time for n prompt tokens in full steps.
 func (m *EngineModel) prefillTime(n int) time.Duration {
 	steps := float64(n) / float64(m.ChunkTokens)
 	return time.Duration(steps*float64(m.StepBase)) + time.Duration(float64(n)/float64(m.ComputeRate)*float64(time.Second))
 }
 
-// rate is the prompt tokens a second of full steps without answers; engines report it.
-func (m *EngineModel) rate() int64 {
+// prefillRate returns the prompt tokens per second of full steps without decoding requests. Engines report it.
+func (m *EngineModel) prefillRate() int64 {
 	return int64(float64(m.ChunkTokens) / m.prefillTime(m.ChunkTokens).Seconds())
 }
 
 // job is a request's work on one engine.
 type job struct {
-	req      *request
-	seq      uint64
-	priority int
-	tokens   int   // prompt tokens of its part
-	left     int   // of them, not yet computed
-	answer   int   // tokens of the answer still to come
-	need     int64 // memory that it takes when it starts; 0: reserved before
-	running  bool
-	member   bool // of a group: computes its part, then waits for the lead
-	over     bool
+	req          *request
+	seq          uint64
+	priority     int
+	promptTokens int   // prompt tokens of the job's part
+	tokensLeft   int   // prompt tokens that are not prefilled
+	answerLeft   int   // tokens of the answer that are not generated
+	memory       int64 // KV cache tokens that it allocates when it starts; 0: reserved before
+	running      bool
+	member       bool // of a group: prefills its part; the lead's flag is cleared when it may decode
+	finished     bool
 }
 
-// engine is one engine under virtual time.
+// engine simulates one engine in virtual time.
 type engine struct {
-	id       fleet.UpstreamID
-	model    EngineModel
-	clock    *vtime.Loop
-	jobs     []*job // by priority, then arrival
-	held     int64  // memory of running jobs and reservations
-	reserved map[*request]int64
-	cache    *blockCache
-	seq      uint64
-	busy     bool
-	boot     string
-	most     int64         // highest memory held
-	worked   time.Duration // time in steps
+	id            fleet.UpstreamID
+	model         EngineModel
+	clock         *vtime.Loop
+	jobs          []*job // by priority, then arrival
+	memoryHeld    int64  // KV cache tokens of running jobs and reservations
+	reserved      map[*request]int64
+	cache         *blockCache
+	seq           uint64
+	busy          bool
+	bootID        string
+	maxMemoryHeld int64         // highest memoryHeld
+	busyTime      time.Duration // time in steps
 
-	report   wire.LoadReport // as it stood at reported
-	reported decide.Instant
-	events   int // cache events published then
+	report          wire.LoadReport // state at reportedAt
+	reportedAt      decide.Instant
+	publishedEvents int // number of cache events published with the report
 }
 
 func newEngine(id fleet.UpstreamID, model EngineModel, c *vtime.Loop) *engine {
-	return &engine{id: id, model: model, clock: c, reserved: map[*request]int64{}, cache: newBlockCache(), boot: "boot-" + string(id)}
+	return &engine{id: id, model: model, clock: c, reserved: map[*request]int64{}, cache: newBlockCache(), bootID: "boot-" + string(id)}
 }
 
-// submit takes a job in. It waits for its turn and for memory.
+// submit adds a job to the queue. It waits for its turn and for memory.
 func (e *engine) submit(j *job) {
 	e.seq++
 	j.seq = e.seq
@@ -93,233 +93,244 @@
 		return int(a.seq) - int(b.seq)
 	})
 	e.jobs = slices.Insert(e.jobs, at, j)
-	e.kick()
+	e.startStep()
 }
 
-// reserve holds memory for the request; false where there is none.
+// reserve reserves memory for the request and reports whether there was enough.
 func (e *engine) reserve(r *request, tokens int64) bool {
-	if e.held+tokens > e.model.KVCacheTokens {
+	if e.memoryHeld+tokens > e.model.KVCacheTokens {
 		return false
 	}
 	e.reserved[r] += tokens
-	e.hold(tokens)
+	e.addMemory(tokens)
 	return true
 }
 
-// release frees the request's reservation and ends its work here.
+// release frees the request's reservation and cancels its jobs.
 func (e *engine) release(r *request) {
-	e.held -= e.reserved[r]
+	e.memoryHeld -= e.reserved[r]
 	delete(e.reserved, r)
 	e.cancel(r)
 }
 
-func (e *engine) hold(tokens int64) {
-	e.held += tokens
-	e.most = max(e.most, e.held)
-	e.cache.shrink(e.spare())
+// addMemory counts tokens as held and evicts cached blocks that no longer fit.
+func (e *engine) addMemory(tokens int64) {
+	e.memoryHeld += tokens
+	e.maxMemoryHeld = max(e.maxMemoryHeld, e.memoryHeld)
+	e.cache.evict(e.spareBlocks())
 }
 
-// spare is the number of blocks that the prefix cache may keep.
-func (e *engine) spare() int { return int(max(e.model.KVCacheTokens-e.held, 0) / wire.BlockTokens) }
+// spareBlocks returns the number of blocks that the prefix cache may keep.
+func (e *engine) spareBlocks() int {
+	return int(max(e.model.KVCacheTokens-e.memoryHeld, 0) / wire.BlockTokens)
+}
 
-// cancel ends the request's work here and frees its memory at once.
+// cancel ends the request's jobs and frees their memory at once.
 func (e *engine) cancel(r *request) {
 	e.jobs = slices.DeleteFunc(e.jobs, func(j *job) bool {
 		if j.req != r {
 			return false
 		}
-		e.free(j)
+		e.endJob(j)
 		return true
 	})
-	e.kick()
+	e.startStep()
 }
 
-func (e *engine) free(j *job) {
-	j.over = true
+// endJob marks a job as finished and frees its memory.
+func (e *engine) endJob(j *job) {
+	j.finished = true
 	if j.running {
-		e.held -= j.need
+		e.memoryHeld -= j.memory
 	}
 }
 
-// kick begins a step unless one is under way or there is nothing to do.
-func (e *engine) kick() {
+// startStep starts a batch step unless one is in progress or no running job has work.
+func (e *engine) startStep() {
 	if e.busy {
 		return
 	}
-	e.start()
-	budget, answers, work := e.model.ChunkTokens, 0, false
+	e.startJobs()
+	budget, answers, hasWork := e.model.ChunkTokens, 0, false
 	for _, j := range e.jobs {
 		switch {
 		case !j.running:
-		case j.left > 0:
-			budget -= min(budget, j.left)
-			work = true
+		case j.tokensLeft > 0:
+			budget -= min(budget, j.tokensLeft)
+			hasWork = true
 		case !j.member:
 			answers++
-			work = true
+			hasWork = true
 		}
 	}
-	if !work {
+	if !hasWork {
 		return
 	}
 	computed := e.model.ChunkTokens - budget
 	d := e.model.StepBase + time.Duration(answers)*e.model.PerDecode +
 		time.Duration(float64(computed)/float64(e.model.ComputeRate)*float64(time.Second))
 	e.busy = true
-	e.worked += d
-	e.clock.After(d, e.step)
+	e.busyTime += d
+	e.clock.After(d, e.endStep)
 }
 
-// start lets waiting jobs begin while there is memory. One that does not fit holds back those behind it.
-func (e *engine) start() {
+// startJobs starts queued jobs while memory is available. A job that does not fit blocks those behind it.
+func (e *engine) startJobs() {
 	for _, j := range e.jobs {
 		if j.running {
 			continue
 		}
-		if e.held+j.need > e.model.KVCacheTokens {
+		if e.memoryHeld+j.memory > e.model.KVCacheTokens {
 			return
 		}
 		j.running = true
 		if !j.member {
-			j.left = max(1, j.tokens-e.cache.hits(j.req.prompt.Blocks)*wire.BlockTokens)
+			j.tokensLeft = max(1, j.promptTokens-e.cache.cachedPrefix(j.req.prompt.Blocks)*wire.BlockTokens)
 		}
-		e.hold(j.need)
+		e.addMemory(j.memory)
 	}
 }
 
-// step ends a batch step: prompts move on by the chunk, answers by a token.
-func (e *engine) step() {
+// endStep ends a batch step: it counts up to ChunkTokens prompt tokens as prefilled, and one token of each answer as
+// generated.
+func (e *engine) endStep() {
 	e.busy = false
 	budget := e.model.ChunkTokens
 	var done []*job
 	for _, j := range e.jobs {
 		switch {
 		case !j.running:
-		case j.left > 0:
-			n := min(budget, j.left)
+		case j.tokensLeft > 0:
+			n := min(budget, j.tokensLeft)
 			budget -= n
-			j.left -= n
-			if n > 0 && j.left == 0 {
+			j.tokensLeft -= n
+			if n > 0 && j.tokensLeft == 0 {
 				done = append(done, j)
 			}
 		case !j.member:
-			if j.answer--; j.answer <= 0 {
-				j.over = true
+			if j.answerLeft--; j.answerLeft <= 0 {
+				j.finished = true
 				done = append(done, j)
 			}
 		}
 	}
-	e.finish(done)
-	e.kick()
+	e.finishJobs(done)
+	e.startStep()
 }
 
-func (e *engine) finish(done []*job) {
+// finishJobs handles the jobs whose prefill or answer ended with a step. A finished prefill of a whole prompt adds its
+// blocks to the prefix cache and generates the first token.
+func (e *engine) finishJobs(done []*job) {
 	for _, j := range done {
-		if j.over {
-			e.free(j)
+		if j.finished {
+			e.endJob(j)
 			continue
 		}
 		if !j.member {
-			e.cache.add(j.req.prompt.Blocks, e.spare())
+			e.cache.touch(j.req.prompt.Blocks, e.spareBlocks())
 		}
-		if j.answer--; j.answer <= 0 && !j.member {
-			e.free(j)
+		if j.answerLeft--; j.answerLeft <= 0 && !j.member {
+			e.endJob(j)
 		}
 	}
-	e.jobs = slices.DeleteFunc(e.jobs, func(j *job) bool { return j.over })
+	e.jobs = slices.DeleteFunc(e.jobs, func(j *job) bool { return j.finished })
 	for _, j := range done {
-		j.req.progress(j)
+		j.req.onProgress(j)
 	}
 }
 
-// load is the engine's state now, as a report that has not lagged would show it.
+// load returns the engine's current state, as a report without delay would show it.
 func (e *engine) load() wire.LoadReport {
 	l := wire.LoadReport{
-		BootID: e.boot, MemoryUsed: e.held, MemoryTotal: e.model.KVCacheTokens, PrefillRate: e.model.rate(),
+		BootID: e.bootID, MemoryUsed: e.memoryHeld, MemoryTotal: e.model.KVCacheTokens, PrefillRate: e.model.prefillRate(),
 	}
 	for _, j := range e.jobs {
 		if j.running {
 			l.Running++
-			l.QueuedTokens += int64(j.left)
+			l.QueuedTokens += int64(j.tokensLeft)
 		} else {
 			l.Queued++
-			l.QueuedTokens += int64(j.tokens)
+			l.QueuedTokens += int64(j.promptTokens)
 		}
 	}
 	return l
 }
 
-// renew takes the report that entries read until the next one.
-func (e *engine) renew() {
+// publishReport publishes the current state and cache events for instances to read, and schedules the next report.
+func (e *engine) publishReport() {
 	seq := e.report.Seq + 1
-	e.report, e.reported, e.events = e.load(), e.clock.Now(), len(e.cache.log)
+	e.report, e.reportedAt, e.publishedEvents = e.load(), e.clock.Now(), len(e.cache.events)
 	e.report.Seq = seq
-	e.clock.After(reportRenewal, e.renew)
+	e.clock.After(reportInterval, e.publishReport)
 }
 
-// cacheEvents gives the published events from a sequence number on. One in lostEvery is lost.
+// cacheEvents returns the published events from a sequence number on. One in eventLossPeriod is lost.
 func (e *engine) cacheEvents(from uint64) *wire.CacheEvents {
-	batch := &wire.CacheEvents{BootID: e.boot, First: 1, Next: uint64(e.events) + 1}
+	batch := &wire.CacheEvents{BootID: e.bootID, First: 1, Next: uint64(e.publishedEvents) + 1}
 	first := int(max(from, 1)) - 1
-	for _, event := range e.cache.log[min(first, e.events):e.events] {
-		if event.Seq%lostEvery != 0 {
+	for _, event := range e.cache.events[min(first, e.publishedEvents):e.publishedEvents] {
+		if event.Seq%eventLossPeriod != 0 {
 			batch.Events = append(batch.Events, event)
 		}
 	}
 	return batch
 }
 
-// blockCache is a prefix cache that drops what was unused longest, and the log of its events.
+// blockCache is a prefix cache with least-recently-used eviction, and the log of its events.
 type blockCache struct {
-	last  map[uint64]uint64 // block to its last use
-	order []use             // uses, oldest first; only a block's last one counts
-	tick  uint64
-	log   []wire.CacheEvent
-	next  uint64
+	lastUse  map[uint64]uint64 // from a block's hash to the number of its last use
+	uses     []use             // oldest first; only a block's last use counts
+	useCount uint64
+	events   []wire.CacheEvent
+	nextSeq  uint64
 }
 
+// use is one use of a block.
 type use struct {
-	hash uint64
-	tick uint64
+	hash   uint64
+	number uint64
 }
 
-func newBlockCache() *blockCache { return &blockCache{last: map[uint64]uint64{}, next: 1} }
+func newBlockCache() *blockCache { return &blockCache{lastUse: map[uint64]uint64{}, nextSeq: 1} }
 
-func (c *blockCache) hits(blocks []uint64) int {
+// cachedPrefix returns how many of the leading blocks are cached.
+func (c *blockCache) cachedPrefix(blocks []uint64) int {
 	for n, hash := range blocks {
-		if _, ok := c.last[hash]; !ok {
+		if _, ok := c.lastUse[hash]; !ok {
 			return n
 		}
 	}
 	return len(blocks)
 }
 
-// add uses the blocks, the first of them as the latest, and keeps at most spare blocks.
-func (c *blockCache) add(blocks []uint64, spare int) {
+// touch marks the blocks as used, the first one last, adds those that are missing, and keeps at most spare blocks.
+func (c *blockCache) touch(blocks []uint64, spare int) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		hash := blocks[i]
-		if _, ok := c.last[hash]; !ok {
-			c.record(hash, false)
+		if _, ok := c.lastUse[hash]; !ok {
+			c.recordEvent(hash, false)
 		}
-		c.tick++
-		c.last[hash] = c.tick
-		c.order = append(c.order, use{hash, c.tick})
+		c.useCount++
+		c.lastUse[hash] = c.useCount
+		c.uses = append(c.uses, use{hash, c.useCount})
 	}
-	c.shrink(spare)
+	c.evict(spare)
 }
 
-func (c *blockCache) shrink(spare int) {
-	for len(c.last) > spare {
-		u := c.order[0]
-		c.order = c.order[1:]
-		if c.last[u.hash] == u.tick {
-			delete(c.last, u.hash)
-			c.record(u.hash, true)
+// evict removes the least recently used blocks until at most spare are left.
+func (c *blockCache) evict(spare int) {
+	for len(c.lastUse) > spare {
+		oldest := c.uses[0]
+		c.uses = c.uses[1:]
+		if c.lastUse[oldest.hash] == oldest.number {
+			delete(c.lastUse, oldest.hash)
+			c.recordEvent(oldest.hash, true)
 		}
 	}
 }
 
-func (c *blockCache) record(hash uint64, drop bool) {
-	c.log = append(c.log, wire.CacheEvent{Seq: c.next, Hash: hash, Drop: drop})
-	c.next++
+// recordEvent logs that a block was added, or dropped.
+func (c *blockCache) recordEvent(hash uint64, drop bool) {
+	c.events = append(c.events, wire.CacheEvent{Seq: c.nextSeq, Hash: hash, Drop: drop})
+	c.nextSeq++
 }
--- a/internal/bench/passes/baseline.go
+++ b/internal/bench/passes/baseline.go
@@ -10,98 +10,102 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// alone is each entry by itself: an engine with the least of the entry's own work, at once, nothing split, nothing
-// refused but what no engine holds.
-type alone struct {
-	engines int
-	memory  int // tokens of an engine
-	asked   []*dispatch.Job
-	work    map[fleet.InstanceID][]int // runs of an entry on each engine
-	on      map[fleet.RequestID]place
+// uncoordinated is the policy of instances that do not share their state. It sends each job at once to the engine with
+// the fewest running jobs of the job's own instance. It splits no prompt, and refuses only jobs that no engine's KV
+// cache can hold.
+type uncoordinated struct {
+	engines       int
+	kvCacheTokens int // of each engine, in tokens
+	pending       []*dispatch.Job
+	running       map[fleet.InstanceID][]int // number of running jobs of an instance on each engine
+	placements    map[fleet.RequestID]placement
 }
 
-type place struct {
-	entry  fleet.InstanceID
-	engine int
+// placement is the engine that runs an instance's job.
+type placement struct {
+	instance fleet.InstanceID
+	engine   int
 }
 
-// Alone gives the policy of entries that know their own work only.
+// Uncoordinated returns a constructor of the policy under which each instance knows only its own work.
 func Uncoordinated(w *Workload) func() Policy {
 	return func() Policy {
-		return &alone{engines: w.Engines, memory: w.Model.KVCacheTokens, work: map[fleet.InstanceID][]int{}, on: map[fleet.RequestID]place{}}
+		return &uncoordinated{engines: w.Engines, kvCacheTokens: w.Model.KVCacheTokens, running: map[fleet.InstanceID][]int{}, placements: map[fleet.RequestID]placement{}}
 	}
 }
 
-// SetUpstreams implements Policy. The baseline is played without lost engines.
-func (a *alone) SetUpstreams([]dispatch.Upstream) {}
+// SetUpstreams implements Policy. It does nothing: the baseline runs without engine outages.
+func (u *uncoordinated) SetUpstreams([]dispatch.Upstream) {}
 
 // Ask implements Policy.
-func (a *alone) Ask(j *dispatch.Job) { a.asked = append(a.asked, j) }
+func (u *uncoordinated) Ask(j *dispatch.Job) { u.pending = append(u.pending, j) }
 
 // Step implements Policy.
-func (a *alone) Step(decide.Instant) []dispatch.Decision {
+func (u *uncoordinated) Step(decide.Instant) []dispatch.Decision {
 	var out []dispatch.Decision
-	for _, j := range a.asked {
-		if j.PromptTokens+j.MaxOutputTokens > a.memory {
+	for _, j := range u.pending {
+		if j.PromptTokens+j.MaxOutputTokens > u.kvCacheTokens {
 			out = append(out, dispatch.Decision{Job: j, Reason: dispatch.TooLarge})
 			continue
 		}
-		own := a.work[j.Instance]
+		own := u.running[j.Instance]
 		if own == nil {
-			own = make([]int, a.engines)
-			a.work[j.Instance] = own
+			own = make([]int, u.engines)
+			u.running[j.Instance] = own
 		}
 		least := slices.Index(own, slices.Min(own))
 		own[least]++
-		a.on[j.ID] = place{j.Instance, least}
+		u.placements[j.ID] = placement{j.Instance, least}
 		out = append(out, dispatch.Decision{Job: j, Upstream: engineID(least), Reason: dispatch.LeastWork})
 	}
-	a.asked = nil
+	u.pending = nil
 	return out
 }
 
 // Began implements Policy.
-func (a *alone) Began(decide.Instant, fleet.RequestID) {}
+func (u *uncoordinated) Began(decide.Instant, fleet.RequestID) {}
 
 // Done implements Policy.
-func (a *alone) Done(_ decide.Instant, id fleet.RequestID, _ dispatch.Outcome, _ fleet.UpstreamID) {
-	p := a.on[id]
-	a.work[p.entry][p.engine]--
-	delete(a.on, id)
+func (u *uncoordinated) Done(_ decide.Instant, id fleet.RequestID, _ dispatch.Outcome, _ fleet.UpstreamID) {
+	p := u.placements[id]
+	u.running[p.instance][p.engine]--
+	delete(u.placements, id)
 }
 
-// Bound is what no policy exceeds by much without faults: all engines read as one of their joint speed, the least
-// reading left first, with everything known at once, and writing costs nothing.
-func UpperBound(w *Workload, p Scenario, seeds int) Result {
-	return meanOf(seeds, func(seed uint64) Result { return bound(w, p, seed) })
+// UpperBound returns the mean result, over the given number of seeds, of a scheduler that no policy exceeds by much in
+// the absence of faults. All engines prefill as one engine of their joint speed, the job with the least prefill time
+// left goes first, every arrival is known at once, and decoding takes no time.
+func UpperBound(w *Workload, scenario Scenario, seeds int) Result {
+	return meanResult(seeds, func(seed uint64) Result { return upperBound(w, scenario, seed) })
 }
 
-func bound(w *Workload, p Scenario, seed uint64) Result {
+// upperBound returns the result of UpperBound's scheduler for one seed.
+func upperBound(w *Workload, scenario Scenario, seed uint64) Result {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var all, queue []*Job
-	left := map[*Job]float64{}
-	for now := 0.0; now < p.LengthMs+tail; now++ {
-		if x := flips(now); now < p.LengthMs {
+	leftMs := map[*Job]float64{}
+	for now := 0.0; now < scenario.LengthMs+drainMs; now++ {
+		if factors := mixFactors(now); now < scenario.LengthMs {
 			for i := range w.classes {
-				if c := &w.classes[i]; r.Float64() < c.perS*x[i]*p.Load/thousand {
-					j := w.job(r, c, len(all), now)
+				if c := &w.classes[i]; r.Float64() < c.perSecond*factors[i]*scenario.Load/thousand {
+					j := w.newJob(r, c, len(all), now)
 					all, queue = append(all, j), append(queue, j)
-					left[j] = reading(&w.Model, j.PromptTokens)
+					leftMs[j] = prefillMs(&w.Model, j.PromptTokens)
 				}
 			}
 		}
-		queue = slices.DeleteFunc(queue, func(j *Job) bool { return now+left[j]/float64(w.Engines) > j.came+j.class.aim })
-		slices.SortStableFunc(queue, func(a, b *Job) int { return cmp.Compare(left[a], left[b]) })
-		for budget := float64(w.Engines); budget > 0 && len(queue) > 0; {
+		queue = slices.DeleteFunc(queue, func(j *Job) bool { return now+leftMs[j]/float64(w.Engines) > j.arrivedMs+j.class.targetMs })
+		slices.SortStableFunc(queue, func(a, b *Job) int { return cmp.Compare(leftMs[a], leftMs[b]) })
+		for budgetMs := float64(w.Engines); budgetMs > 0 && len(queue) > 0; {
 			j := queue[0]
-			take := min(budget, left[j])
-			left[j] -= take
-			budget -= take
-			if left[j] <= readDone {
-				j.first, j.last, j.done = now, now, true
+			doneMs := min(budgetMs, leftMs[j])
+			leftMs[j] -= doneMs
+			budgetMs -= doneMs
+			if leftMs[j] <= minPrefillMs {
+				j.firstMs, j.lastMs, j.done = now, now, true
 				queue = queue[1:]
 			}
 		}
 	}
-	return resultOf(w, all, Surge{})
+	return newResult(w, all, Surge{})
 }
--- a/internal/bench/passes/engine.go
+++ b/internal/bench/passes/engine.go
@@ -8,76 +8,78 @@
 const (
 	million  = 1e6
 	thousand = 1e3
-	// readDone is the reading in ms that counts as none: sums of parts leave fractions.
-	readDone = 1e-9
+	// minPrefillMs is the prefill time below which a part counts as finished: sums of parts leave rounding errors.
+	minPrefillMs = 1e-9
 )
 
-// engine works in passes: a pass with writers takes Stride steps and reads prompts between them, at most Chunk
-// tokens a step; an event of each writer comes at its end. Left out of the model: prompts put back for want of
-// memory, speeds that differ, and that a part read for another engine goes before its own.
+// engine models an engine that works in passes. A pass with decoding requests takes StepsPerPass steps and prefills at
+// most ChunkTokens prompt tokens per step. Each decoding request emits one event at the end of the pass. The model
+// leaves out that a lack of memory delays prompts, that engines differ in speed, and that a part prefilled for another
+// engine goes before the engine's own prompts.
 type engine struct {
-	id      fleet.UpstreamID
-	model   *dispatch.Model
-	reads   []*part
-	writers []*Job
-	passEnd float64 // ms; of the pass under way
-	busy    bool
-	gone    bool
-	done    []*part // that the pass under way finishes
+	id        fleet.UpstreamID
+	model     *dispatch.Model
+	prefills  []*prefillPart
+	decoding  []*Job
+	passEndMs float64 // end of the current pass
+	busy      bool
+	lost      bool
+	finishing []*prefillPart // parts that the current pass finishes
 }
 
-// part is an engine's share of reading a prompt.
-type part struct {
-	job  *Job
-	try  int     // of the job's attempts; another one makes it void
-	left float64 // ms of reading
+// prefillPart is one engine's share of a prompt's prefill.
+type prefillPart struct {
+	job     *Job
+	attempt int     // the job's failedAttempts when the part was queued; the part is void if they differ
+	leftMs  float64 // prefill time left
 }
 
-// reading is how long one engine reads a prompt, its steps aside.
-func reading(m *dispatch.Model, tokens int) float64 {
+// prefillMs returns the time that one engine takes to prefill a prompt, without the fixed time of its steps.
+func prefillMs(m *dispatch.Model, tokens int) float64 {
 	n := float64(tokens)
 	return n/m.PrefillTokensPerMs + n*n/2/million*m.MsPerMillionPairs
 }
 
-// begin begins a pass.
-func (e *engine) begin(now float64) {
+// startPass starts a pass and sets its end. It takes prefill parts from the queue, in order, up to the pass's budget
+// of prompt tokens.
+func (e *engine) startPass(now float64) {
 	m := e.model
-	steps, context := 1, 0
-	if len(e.writers) > 0 {
+	steps, contextTokens := 1, 0
+	if len(e.decoding) > 0 {
 		steps = m.StepsPerPass
 	}
-	for _, w := range e.writers {
-		context += w.PromptTokens
+	for _, j := range e.decoding {
+		contextTokens += j.PromptTokens
 	}
-	step := m.StepMs + m.PerDecodeMs*float64(len(e.writers)) + m.Per1000ContextMs*float64(context)/thousand
-	length := float64(steps) * step
-	budget := float64(steps*m.ChunkTokens) / m.PrefillTokensPerMs * 2 // with the pairs, about
-	e.done = nil
-	for len(e.reads) > 0 && budget > 0 {
-		p := e.reads[0]
-		take := min(p.left, budget)
-		p.left -= take
-		budget -= take
-		length += take
-		if p.left > readDone {
+	stepMs := m.StepMs + m.PerDecodeMs*float64(len(e.decoding)) + m.Per1000ContextMs*float64(contextTokens)/thousand
+	lengthMs := float64(steps) * stepMs
+	budgetMs := float64(steps*m.ChunkTokens) / m.PrefillTokensPerMs * 2 // the factor approximates the time for token pairs
+	e.finishing = nil
+	for len(e.prefills) > 0 && budgetMs > 0 {
+		p := e.prefills[0]
+		doneMs := min(p.leftMs, budgetMs)
+		p.leftMs -= doneMs
+		budgetMs -= doneMs
+		lengthMs += doneMs
+		if p.leftMs > minPrefillMs {
 			continue
 		}
-		e.done = append(e.done, p)
-		e.reads = e.reads[1:]
+		e.finishing = append(e.finishing, p)
+		e.prefills = e.prefills[1:]
 	}
-	e.busy, e.passEnd = true, now+length
+	e.busy, e.passEndMs = true, now+lengthMs
 }
 
-// write gives each writer its event.
-func (e *engine) write(now float64, ended func(*Job)) {
-	var still []*Job
-	for _, w := range e.writers {
-		w.event(now)
-		if w.done {
-			ended(w)
+// emitEvents records an event for each decoding request, and calls ended for each request whose answer is complete.
+func (e *engine) emitEvents(now float64, ended func(*Job)) {
+	var unfinished []*Job
+	for _, j := range e.decoding {
+		j.recordEvent(now)
+		if j.done {
+			ended(j)
 			continue
 		}
-		still = append(still, w)
+		unfinished = append(unfinished, j)
 	}
-	e.writers = still
+	e.decoding = unfinished
 }
--- a/internal/bench/passes/passes.go
+++ b/internal/bench/passes/passes.go
@@ -1,6 +1,7 @@
-// Package passes is a model of engines that work in passes, under a mix of prompts that turns over every ten
-// seconds, in virtual time: policies that choose engines are tried in it in seconds, and compared with each entry
-// alone and with a bound that no policy reaches. Entries can all stop for a while, and engines can be lost.
+// Package passes simulates engines that work in passes, in virtual time, under a mix of prompts that changes every ten
+// seconds. It compares policies that choose engines with instances that do not share their state, and with an upper
+// bound that no policy reaches. A simulation takes seconds. It can include an outage of all instances, of part of the
+// engines, and a surge of one workspace's requests.
 package passes
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Policy chooses engines; *dispatch.State is one.
+// Policy chooses engines for jobs. *dispatch.State implements it.
 type Policy interface {
 	Ask(j *dispatch.Job)
 	Step(now decide.Instant) []dispatch.Decision
@@ -23,68 +24,70 @@
 }
 
 const (
-	// trip is how long news take from an entry to the policy, in ms.
-	trip = 5
-	// mostTries is how often a caller comes back.
-	mostTries = 1
-	// comeBack is the time in ms over which callers come back to entries that were gone.
-	comeBack = 500
+	// messageDelayMs is the delay of a message from an instance to the policy.
+	messageDelayMs = 5
+	// maxRetries is how often a caller retries a request.
+	maxRetries = 1
+	// reconnectSpanMs is the span over which callers reconnect after an outage of the instances.
+	reconnectSpanMs = 500
 )
 
-// Play is what a model plays.
+// Scenario is the load, the length and the faults of a simulation.
 type Scenario struct {
-	Load           float64 // 1: the stated rates
-	LengthMs       float64 // ms
-	InstanceOutage Fault   // all entries are gone for a while; engines lose what they asked for
-	EngineOutage   Fault   // part of the engines is gone for a while
-	Surge          Surge   // a workspace sends many times its usual for a while
+	Load           float64 // 1: the workload's stated rates
+	LengthMs       float64 // time in which requests arrive
+	InstanceOutage Fault   // all instances are stopped, and engines lose the work that they sent; EngineShare is ignored
+	EngineOutage   Fault   // part of the engines is stopped
+	Surge          Surge   // one workspace sends more than usual
 }
 
-// Crowd is one of ten workspaces that sends Times as much as usual during the fault; the zero value is none.
+// Surge is a time in which one of ten workspaces sends Factor times its usual rate. The zero value is no surge.
+// EngineShare is ignored.
 type Surge struct {
 	Fault
 	Factor float64
 }
 
-// Fault is a fault at a time. The zero value is none.
+// Fault is a fault that lasts for a time. The zero value is no fault.
 type Fault struct {
-	StartMs, DurationMs float64 // ms
-	EngineShare         float64 // of engines
+	StartMs, DurationMs float64
+	EngineShare         float64 // share of the engines that stop
 }
 
-func (f Fault) during(now float64) bool {
+// activeAt reports whether the fault is in progress at now, in ms.
+func (f Fault) activeAt(now float64) bool {
 	return f.DurationMs > 0 && now >= f.StartMs && now < f.StartMs+f.DurationMs
 }
 
-// Sim drives a policy and engines in steps of a millisecond. It is not safe for concurrent use.
+// Sim simulates a policy and engines in steps of one millisecond. It is not safe for concurrent use.
 type Sim struct {
-	w       *Workload
-	fresh   func() Policy
-	policy  Policy
-	play    Scenario
-	engines []*engine
-	byID    map[fleet.UpstreamID]*engine
-	jobs    []*Job
-	byJob   map[fleet.RequestID]*Job
-	news    []message // on their way to the policy
-	coming  []visit   // of callers that come back
-	r       *rand.Rand
-	spaces  *rand.Rand // draws workspaces, and what the crowd sends
+	workload      *Workload
+	newPolicy     func() Policy
+	policy        Policy
+	scenario      Scenario
+	engines       []*engine
+	byID          map[fleet.UpstreamID]*engine
+	jobs          []*Job
+	byJob         map[fleet.RequestID]*Job
+	messages      []message // in transit to the policy, in the order sent
+	retries       []retry   // of callers whose attempt failed, and first attempts during an outage of the instances
+	arrivalRand   *rand.Rand
+	workspaceRand *rand.Rand // draws workspaces, and the requests of a surge
 }
 
-// message is news on their way.
+// message is a message in transit from an instance to the policy.
 type message struct {
-	at   float64 // ms
-	tell func()
+	dueMs   float64
+	deliver func()
 }
 
-// visit is a caller's next attempt.
-type visit struct {
-	at  float64 // ms
-	job *Job
+// retry is a caller's next attempt.
+type retry struct {
+	dueMs float64
+	job   *Job
 }
 
-// Dispatcher is the daemon's policy.
+// Dispatcher returns a constructor of the daemon's policy.
 func Dispatcher(w *Workload, p dispatch.Params) func() Policy {
 	return func() Policy {
 		model := w.Model
@@ -94,9 +97,9 @@
 
 func engineID(i int) fleet.UpstreamID { return fleet.UpstreamID(fmt.Sprintf("e%02d", i)) }
 
-// New gives a Sim of a workload's engines.
-func New(w *Workload, fresh func() Policy, p Scenario) *Sim {
-	s := &Sim{w: w, fresh: fresh, policy: fresh(), play: p, byID: map[fleet.UpstreamID]*engine{}, byJob: map[fleet.RequestID]*Job{}}
+// New returns a Sim of a workload's engines. It calls newPolicy for its policy, and again when all instances stop.
+func New(w *Workload, newPolicy func() Policy, scenario Scenario) *Sim {
+	s := &Sim{workload: w, newPolicy: newPolicy, policy: newPolicy(), scenario: scenario, byID: map[fleet.UpstreamID]*engine{}, byJob: map[fleet.RequestID]*Job{}}
 	for i := range w.Engines {
 		e := &engine{id: engineID(i), model: &w.Model}
 		s.engines = append(s.engines, e)
@@ -106,229 +109,243 @@
 	return s
 }
 
+// upstreams returns the engines that are not lost, as the policy receives them.
 func (s *Sim) upstreams() []dispatch.Upstream {
 	var all []dispatch.Upstream
 	for _, e := range s.engines {
-		if !e.gone {
-			all = append(all, dispatch.Upstream{ID: e.id, Domain: domain, Slots: s.w.Model.Slots})
+		if !e.lost {
+			all = append(all, dispatch.Upstream{ID: e.id, Domain: domain, Slots: s.workload.Model.Slots})
 		}
 	}
 	return all
 }
 
-func (s *Sim) tell(now float64, f func()) { s.news = append(s.news, message{now + trip, f}) }
+// send delivers a message to the policy after messageDelayMs by calling f.
+func (s *Sim) send(now float64, f func()) {
+	s.messages = append(s.messages, message{now + messageDelayMs, f})
+}
 
-// ask has a job asked for under a new id, so that news of its earlier attempts concern nobody.
-func (s *Sim) ask(now float64, j *Job) {
-	j.arrive(now)
-	if j.tries > 0 {
-		j.ID = fleet.RequestID(fmt.Sprintf("%s-%d", j.name, j.tries))
+// submit submits a job's next attempt to the policy. Each attempt has an id of its own, so that the policy ignores
+// messages about earlier attempts.
+func (s *Sim) submit(now float64, j *Job) {
+	j.startAttempt(now)
+	if j.failedAttempts > 0 {
+		j.ID = fleet.RequestID(fmt.Sprintf("%s-%d", j.name, j.failedAttempts))
 	}
 	s.byJob[j.ID] = j
-	asked := j.Job
-	s.policy.Ask(&asked)
+	request := j.Job
+	s.policy.Ask(&request)
 }
 
+// step advances the simulation by one millisecond. While all instances are stopped, only the engines run.
 func (s *Sim) step(now float64) {
-	s.fail(now)
-	if s.play.InstanceOutage.during(now) {
-		s.run(now)
+	s.applyFaults(now)
+	if s.scenario.InstanceOutage.activeAt(now) {
+		s.runEngines(now)
 		return
 	}
-	for len(s.news) > 0 && s.news[0].at <= now {
-		s.news[0].tell()
-		s.news = s.news[1:]
+	for len(s.messages) > 0 && s.messages[0].dueMs <= now {
+		s.messages[0].deliver()
+		s.messages = s.messages[1:]
 	}
-	s.coming = slices.DeleteFunc(s.coming, func(v visit) bool {
-		if v.at <= now {
-			s.ask(now, v.job)
+	s.retries = slices.DeleteFunc(s.retries, func(r retry) bool {
+		if r.dueMs <= now {
+			s.submit(now, r.job)
 		}
-		return v.at <= now
+		return r.dueMs <= now
 	})
-	for _, d := range s.policy.Step(at(now)) {
-		s.place(now, d)
+	for _, d := range s.policy.Step(instant(now)) {
+		s.assign(now, d)
 	}
-	s.run(now)
+	s.runEngines(now)
 }
 
-// fail begins and ends faults.
-func (s *Sim) fail(now float64) {
-	switch lost := s.play.EngineOutage; {
-	case lost.DurationMs > 0 && now == lost.StartMs:
-		for _, e := range s.engines[:int(lost.EngineShare*float64(len(s.engines)))] {
-			s.lose(now, e)
+// applyFaults starts and ends the scenario's outages.
+func (s *Sim) applyFaults(now float64) {
+	switch outage := s.scenario.EngineOutage; {
+	case outage.DurationMs > 0 && now == outage.StartMs:
+		for _, e := range s.engines[:int(outage.EngineShare*float64(len(s.engines)))] {
+			s.loseEngine(now, e)
 		}
 		s.policy.SetUpstreams(s.upstreams())
-	case lost.DurationMs > 0 && now == lost.StartMs+lost.DurationMs:
+	case outage.DurationMs > 0 && now == outage.StartMs+outage.DurationMs:
 		for _, e := range s.engines {
-			e.gone = false
+			e.lost = false
 		}
 		s.policy.SetUpstreams(s.upstreams())
 	}
-	if stop := s.play.InstanceOutage; stop.DurationMs > 0 && now == stop.StartMs {
-		s.stop(now)
+	if outage := s.scenario.InstanceOutage; outage.DurationMs > 0 && now == outage.StartMs {
+		s.stopInstances(now)
 	}
 }
 
-// stop ends all entries: what runs is cut, and the dispatcher's book with it.
-func (s *Sim) stop(now float64) {
-	back := now + s.play.InstanceOutage.DurationMs
-	s.news = nil
+// stopInstances stops all instances: it cancels all running jobs, discards the dispatcher's records by replacing the
+// policy, and schedules the callers' retries for the end of the outage.
+func (s *Sim) stopInstances(now float64) {
+	endMs := now + s.scenario.InstanceOutage.DurationMs
+	s.messages = nil
 	for _, j := range s.jobs {
 		if !j.done && !j.refused {
-			s.drop(j)
-			s.comesBack(j, back+s.r.Float64()*comeBack)
+			s.unassign(j)
+			s.retryOrRefuse(j, endMs+s.arrivalRand.Float64()*reconnectSpanMs)
 		}
 	}
 	for _, e := range s.engines {
-		e.reads, e.writers, e.done = nil, nil, nil
+		e.prefills, e.decoding, e.finishing = nil, nil, nil
 	}
-	s.policy = s.fresh()
+	s.policy = s.newPolicy()
 	s.policy.SetUpstreams(s.upstreams())
 }
 
-// drop takes a job off its engines.
-func (s *Sim) drop(j *Job) {
-	for _, e := range j.with {
-		e.writers = slices.DeleteFunc(e.writers, func(w *Job) bool { return w == j })
-		e.reads = slices.DeleteFunc(e.reads, func(p *part) bool { return p.job == j })
+// unassign removes a job from its engines, and marks it as resumed if it was decoding.
+func (s *Sim) unassign(j *Job) {
+	for _, e := range j.engines {
+		e.decoding = slices.DeleteFunc(e.decoding, func(w *Job) bool { return w == j })
+		e.prefills = slices.DeleteFunc(e.prefills, func(p *prefillPart) bool { return p.job == j })
 	}
-	j.Resumed = j.Resumed || j.writing
-	j.writing, j.on, j.with = false, nil, nil
+	j.Resumed = j.Resumed || j.decoding
+	j.decoding, j.answering, j.engines = false, nil, nil
 }
 
-// comesBack has a job's caller try again, if it does.
-func (s *Sim) comesBack(j *Job, when float64) {
-	if j.tries++; j.tries > mostTries || when > j.came+j.class.deadline {
+// retryOrRefuse counts a failed attempt and schedules the next one. The job is refused instead if its retries are used
+// up or its deadline has passed by whenMs.
+func (s *Sim) retryOrRefuse(j *Job, whenMs float64) {
+	if j.failedAttempts++; j.failedAttempts > maxRetries || whenMs > j.arrivedMs+j.class.deadlineMs {
 		j.refused = true
 		return
 	}
-	s.coming = append(s.coming, visit{when, j})
+	s.retries = append(s.retries, retry{whenMs, j})
 }
 
-// lose ends an engine. Entries ask for other places at once.
-func (s *Sim) lose(now float64, e *engine) {
-	e.gone, e.busy = true, false
+// loseEngine stops an engine. Its jobs are submitted again at once and avoid it.
+func (s *Sim) loseEngine(now float64, e *engine) {
+	e.lost, e.busy = true, false
 	for _, j := range s.jobs {
-		if j.done || j.refused || !slices.Contains(j.with, e) {
+		if j.done || j.refused || !slices.Contains(j.engines, e) {
 			continue
 		}
-		s.policy.Done(at(now), j.ID, dispatch.Failed, e.id)
-		s.drop(j)
+		s.policy.Done(instant(now), j.ID, dispatch.Failed, e.id)
+		s.unassign(j)
 		j.Avoid = append(j.Avoid, e.id)
-		asked := j.Job
-		s.policy.Ask(&asked)
+		request := j.Job
+		s.policy.Ask(&request)
 	}
-	e.reads, e.writers, e.done = nil, nil, nil
+	e.prefills, e.decoding, e.finishing = nil, nil, nil
 }
 
-func (s *Sim) place(now float64, d dispatch.Decision) {
+// assign carries out a decision of the policy: it splits the job's prefill equally over the decision's engines, or
+// schedules a retry if the decision names no upstream.
+func (s *Sim) assign(now float64, d dispatch.Decision) {
 	j := s.byJob[d.Job.ID]
 	if d.Upstream == "" {
-		s.comesBack(j, now+float64(d.RetryAfter.Milliseconds()))
+		s.retryOrRefuse(j, now+float64(d.RetryAfter.Milliseconds()))
 		return
 	}
-	j.on = s.byID[d.Upstream]
-	j.with = []*engine{j.on}
+	j.answering = s.byID[d.Upstream]
+	j.engines = []*engine{j.answering}
 	for _, h := range d.Helpers {
-		j.with = append(j.with, s.byID[h])
+		j.engines = append(j.engines, s.byID[h])
 	}
 	for _, h := range d.Reservations {
-		j.with = append(j.with, s.byID[h.Upstream])
+		j.engines = append(j.engines, s.byID[h.Upstream])
 	}
-	j.parts = len(j.with)
-	for _, e := range j.with {
-		e.reads = append(e.reads, &part{job: j, try: j.tries, left: reading(&s.w.Model, j.PromptTokens) / float64(len(j.with))})
+	j.partsLeft = len(j.engines)
+	for _, e := range j.engines {
+		e.prefills = append(e.prefills, &prefillPart{job: j, attempt: j.failedAttempts, leftMs: prefillMs(&s.workload.Model, j.PromptTokens) / float64(len(j.engines))})
 	}
 }
 
-// run has engines work.
-func (s *Sim) run(now float64) {
+// runEngines ends the passes that are over and starts new ones.
+func (s *Sim) runEngines(now float64) {
 	for _, e := range s.engines {
-		if e.busy && now >= e.passEnd {
+		if e.busy && now >= e.passEndMs {
 			s.endPass(e)
 		}
-		if !e.gone && !e.busy && len(e.reads)+len(e.writers) > 0 {
-			e.begin(now)
+		if !e.lost && !e.busy && len(e.prefills)+len(e.decoding) > 0 {
+			e.startPass(now)
 		}
 	}
 }
 
+// endPass ends an engine's pass: decoding requests emit their events, and a job whose last prefill part is finished
+// emits its first event and starts decoding.
 func (s *Sim) endPass(e *engine) {
 	e.busy = false
-	now := e.passEnd
-	e.write(now, func(j *Job) {
+	now := e.passEndMs
+	e.emitEvents(now, func(j *Job) {
 		id := j.ID
-		s.tell(now, func() { s.policy.Done(at(now), id, dispatch.Completed, "") })
+		s.send(now, func() { s.policy.Done(instant(now), id, dispatch.Completed, "") })
 	})
-	for _, p := range e.done {
+	for _, p := range e.finishing {
 		j := p.job
-		if p.try != j.tries || !slices.Contains(j.with, e) {
+		if p.attempt != j.failedAttempts || !slices.Contains(j.engines, e) {
 			continue
 		}
-		if j.parts--; j.parts > 0 {
+		if j.partsLeft--; j.partsLeft > 0 {
 			continue
 		}
-		if j.first == 0 {
-			j.first, j.last = now, now
+		if j.firstMs == 0 {
+			j.firstMs, j.lastMs = now, now
 		}
-		j.event(now)
+		j.recordEvent(now)
 		id := j.ID
-		s.tell(now, func() { s.policy.Began(at(now), id) })
+		s.send(now, func() { s.policy.Began(instant(now), id) })
 		if j.done {
-			s.tell(now, func() { s.policy.Done(at(now), id, dispatch.Completed, "") })
+			s.send(now, func() { s.policy.Done(instant(now), id, dispatch.Completed, "") })
 			continue
 		}
-		j.writing = true
-		j.on.writers = append(j.on.writers, j)
+		j.decoding = true
+		j.answering.decoding = append(j.answering.decoding, j)
 	}
 }
 
-// Run plays the flipping mix with a seed.
+// Run simulates the scenario with a seed and returns its result. A Sim can run once.
 func (s *Sim) Run(seed uint64) Result {
-	s.r, s.spaces = rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
-	for now := 0.0; now < s.play.LengthMs+tail; now++ {
-		if now < s.play.LengthMs {
-			s.arrive(now)
+	s.arrivalRand, s.workspaceRand = rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
+	for now := 0.0; now < s.scenario.LengthMs+drainMs; now++ {
+		if now < s.scenario.LengthMs {
+			s.drawArrivals(now)
 		}
 		s.step(now)
 	}
-	return resultOf(s.w, s.jobs, s.play.Surge)
+	return newResult(s.workload, s.jobs, s.scenario.Surge)
 }
 
-// tail is how long a play goes on after its last arrival, in ms: the longest that a caller waits.
-const tail = 15_000
+// drainMs is how long a simulation continues after its last arrival: the longest deadline of any class.
+const drainMs = 15_000
 
 const (
-	// workspaces is how many there are; crowded is the one that may send many times its usual.
-	workspaces = 10
-	crowded    = 0
+	// workspaceCount is the number of workspaces; surgingWorkspace is the number of the one that a surge concerns.
+	workspaceCount   = 10
+	surgingWorkspace = 0
 )
 
-func workspace(i int) fleet.WorkspaceID { return fleet.WorkspaceID(fmt.Sprint("workspace-", i)) }
-
-func (s *Sim) arrive(now float64) {
-	x := flips(now)
-	for i := range s.w.classes {
-		c := &s.w.classes[i]
-		rate := c.perS * x[i] * s.play.Load / thousand
-		if s.r.Float64() < rate {
-			s.come(now, c, s.r, s.spaces.IntN(workspaces))
+func workspaceID(i int) fleet.WorkspaceID { return fleet.WorkspaceID(fmt.Sprint("workspace-", i)) }
+
+// drawArrivals draws the requests that arrive in the millisecond from now, at most one per class, and one more per
+// class during a surge.
+func (s *Sim) drawArrivals(now float64) {
+	factors := mixFactors(now)
+	for i := range s.workload.classes {
+		c := &s.workload.classes[i]
+		rate := c.perSecond * factors[i] * s.scenario.Load / thousand
+		if s.arrivalRand.Float64() < rate {
+			s.addArrival(now, c, s.arrivalRand, s.workspaceRand.IntN(workspaceCount))
 		}
-		if s.play.Surge.during(now) && s.spaces.Float64() < rate*(s.play.Surge.Factor-1)/workspaces {
-			s.come(now, c, s.spaces, crowded)
+		if s.scenario.Surge.activeAt(now) && s.workspaceRand.Float64() < rate*(s.scenario.Surge.Factor-1)/workspaceCount {
+			s.addArrival(now, c, s.workspaceRand, surgingWorkspace)
 		}
 	}
 }
 
-// come has a prompt of a workspace arrive.
-func (s *Sim) come(now float64, c *class, r *rand.Rand, space int) {
-	j := s.w.job(r, c, len(s.jobs), now)
-	j.Workspace = workspace(space)
+// addArrival adds a request of a workspace. While all instances are stopped, its caller connects after the outage.
+func (s *Sim) addArrival(now float64, c *class, r *rand.Rand, workspace int) {
+	j := s.workload.newJob(r, c, len(s.jobs), now)
+	j.Workspace = workspaceID(workspace)
 	s.jobs = append(s.jobs, j)
-	if s.play.InstanceOutage.during(now) {
-		s.coming = append(s.coming, visit{s.play.InstanceOutage.StartMs + s.play.InstanceOutage.DurationMs + s.r.Float64()*comeBack, j})
+	if s.scenario.InstanceOutage.activeAt(now) {
+		s.retries = append(s.retries, retry{s.scenario.InstanceOutage.StartMs + s.scenario.InstanceOutage.DurationMs + s.arrivalRand.Float64()*reconnectSpanMs, j})
 		return
 	}
-	s.ask(now, j)
+	s.submit(now, j)
 }
--- a/internal/bench/passes/result.go
+++ b/internal/bench/passes/result.go
@@ -5,81 +5,86 @@
 	"slices"
 )
 
-// Result is how a play ended.
+// Result holds the figures of a simulation. Worth is the value of a request if it is answered in time. A late answer
+// earns lateWorthShare of it.
 type Result struct {
-	InTime       map[string]float64 // for each kind the share of its worth that was answered in time
-	Earned       float64            // share of all worth that was earned, late answers counting in part
-	WorstWindows float64            // the same of the two worst windows of two seconds
-	// Largest is, for each kind, how often its largest tenth was answered against the kind.
+	InTime       map[string]float64 // share of each class's worth that was answered in time
+	Earned       float64            // share of all worth that was earned, late answers included
+	WorstWindows float64            // mean of the same share over the two worst windows of two seconds
+	// LargestAnswered is the share of each class's largest tenth of prompts that was answered, divided by the share of
+	// the whole class that was answered.
 	LargestAnswered map[string]float64
-	// LargestWorth is, for each kind, the share of its largest tenth's worth that was earned.
+	// LargestEarned is the share of the worth of each class's largest tenth of prompts that was earned.
 	LargestEarned map[string]float64
-	// Others is the share of worth that the workspaces which send as usual earned while one sent many times that.
+	// OthersEarned is the share of the other workspaces' worth that was earned during a surge.
 	OthersEarned float64
 }
 
 const (
-	// window is the length of a window, in ms.
-	window = 2000
-	// worstWindows is how many windows Worst is taken over.
+	// windowMs is the length of a window.
+	windowMs = 2000
+	// worstWindows is the number of windows that WorstWindows averages.
 	worstWindows = 2
 )
 
-// share is a part of what was owed.
-type share struct{ earned, owed float64 }
+// worthShare is the part of a total worth that was earned.
+type worthShare struct{ earned, total float64 }
 
-func (s share) of() float64 {
-	if s.owed == 0 {
+// ratio returns earned divided by total, or 1 if the total is 0.
+func (s worthShare) ratio() float64 {
+	if s.total == 0 {
 		return 1
 	}
-	return s.earned / s.owed
+	return s.earned / s.total
 }
 
-func resultOf(w *Workload, jobs []*Job, crowd Surge) Result {
+// newResult returns the figures of a simulation's jobs.
+func newResult(w *Workload, jobs []*Job, surge Surge) Result {
 	res := Result{InTime: map[string]float64{}, LargestAnswered: map[string]float64{}, LargestEarned: map[string]float64{}}
-	var day, others share
-	windows := map[int]*share{}
-	kinds := map[string]*share{}
-	byKind := map[string][]*Job{}
+	var all, others worthShare
+	windows := map[int]*worthShare{}
+	classes := map[string]*worthShare{}
+	byClass := map[string][]*Job{}
 	for _, j := range jobs {
-		kind, at := kinds[j.class.name], windows[int(j.came/window)]
-		if kind == nil {
-			kind = &share{}
-			kinds[j.class.name] = kind
+		class, window := classes[j.class.name], windows[int(j.arrivedMs/windowMs)]
+		if class == nil {
+			class = &worthShare{}
+			classes[j.class.name] = class
 		}
-		if at == nil {
-			at = &share{}
-			windows[int(j.came/window)] = at
+		if window == nil {
+			window = &worthShare{}
+			windows[int(j.arrivedMs/windowMs)] = window
 		}
 		worth, earned := j.worth(), j.earned()
-		kind.owed += worth
+		class.total += worth
 		if j.onTime() {
-			kind.earned += worth
+			class.earned += worth
 		}
-		day.owed += worth
-		day.earned += earned
-		at.owed += worth
-		at.earned += earned
-		if crowd.during(j.came) && j.Workspace != workspace(crowded) {
-			others.owed += worth
+		all.total += worth
+		all.earned += earned
+		window.total += worth
+		window.earned += earned
+		if surge.activeAt(j.arrivedMs) && j.Workspace != workspaceID(surgingWorkspace) {
+			others.total += worth
 			others.earned += earned
 		}
-		byKind[j.class.name] = append(byKind[j.class.name], j)
+		byClass[j.class.name] = append(byClass[j.class.name], j)
 	}
-	res.Earned, res.OthersEarned = day.of(), others.of()
-	res.WorstWindows = worst(windows)
-	for name, s := range kinds {
-		res.InTime[name] = s.of()
-		res.LargestAnswered[name] = largest(byKind[name])
-		res.LargestEarned[name] = largestWorth(byKind[name])
+	res.Earned, res.OthersEarned = all.ratio(), others.ratio()
+	res.WorstWindows = worstWindowsMean(windows)
+	for name, s := range classes {
+		res.InTime[name] = s.ratio()
+		res.LargestAnswered[name] = largestAnswered(byClass[name])
+		res.LargestEarned[name] = largestEarned(byClass[name])
 	}
 	return res
 }
 
-func worst(windows map[int]*share) float64 {
+// worstWindowsMean returns the mean ratio of the worstWindows windows with the lowest ratios.
+func worstWindowsMean(windows map[int]*worthShare) float64 {
 	var all []float64
 	for _, s := range windows {
-		all = append(all, s.of())
+		all = append(all, s.ratio())
 	}
 	slices.Sort(all)
 	sum, n := 0.0, min(worstWindows, len(all))
@@ -89,28 +94,30 @@
 	return sum
 }
 
-// largest tells how often the largest tenth is answered against all.
-func largest(jobs []*Job) float64 {
+// largestAnswered returns the share of the largest tenth of the jobs that was answered, divided by the share of all
+// jobs that was answered. It returns 1 if none was answered or there are fewer than 10 jobs. It sorts jobs.
+func largestAnswered(jobs []*Job) float64 {
 	slices.SortFunc(jobs, func(a, b *Job) int { return cmp.Compare(b.PromptTokens, a.PromptTokens) })
-	all := answered(jobs)
-	if all == 0 || len(jobs) < 10 {
+	overall := answeredShare(jobs)
+	if overall == 0 || len(jobs) < 10 {
 		return 1
 	}
-	return answered(jobs[:len(jobs)/10]) / all
+	return answeredShare(jobs[:len(jobs)/10]) / overall
 }
 
-// largestWorth is the share of the largest tenth's worth that was earned.
-func largestWorth(jobs []*Job) float64 {
+// largestEarned returns the share of the worth of the largest tenth of the jobs that was earned. It sorts jobs.
+func largestEarned(jobs []*Job) float64 {
 	slices.SortFunc(jobs, func(a, b *Job) int { return cmp.Compare(b.PromptTokens, a.PromptTokens) })
-	var tenth share
+	var tenth worthShare
 	for _, j := range jobs[:len(jobs)/10] {
 		tenth.earned += j.earned()
-		tenth.owed += j.worth()
+		tenth.total += j.worth()
 	}
-	return tenth.of()
+	return tenth.ratio()
 }
 
-func answered(jobs []*Job) float64 {
+// answeredShare returns the share of the jobs that were answered completely, in time or late.
+func answeredShare(jobs []*Job) float64 {
 	n := 0
 	for _, j := range jobs {
 		if j.done {
@@ -120,12 +127,12 @@
 	return float64(n) / float64(len(jobs))
 }
 
-// Mean plays seeds from 1 on and gives the means.
-func MeanResult(w *Workload, fresh func() Policy, p Scenario, seeds int) Result {
-	return meanOf(seeds, func(seed uint64) Result { return New(w, fresh, p).Run(seed) })
+// MeanResult runs the scenario with the seeds from 1 to seeds and returns the mean of each figure.
+func MeanResult(w *Workload, newPolicy func() Policy, scenario Scenario, seeds int) Result {
+	return meanResult(seeds, func(seed uint64) Result { return New(w, newPolicy, scenario).Run(seed) })
 }
 
-func meanOf(seeds int, run func(seed uint64) Result) Result {
+func meanResult(seeds int, run func(seed uint64) Result) Result {
 	sum := Result{InTime: map[string]float64{}, LargestAnswered: map[string]float64{}, LargestEarned: map[string]float64{}}
 	n := float64(seeds)
 	for seed := range uint64(seeds) {
@@ -133,10 +140,10 @@
 		sum.Earned += res.Earned / n
 		sum.OthersEarned += res.OthersEarned / n
 		sum.WorstWindows += res.WorstWindows / n
-		for kind, x := range res.InTime {
-			sum.InTime[kind] += x / n
-			sum.LargestAnswered[kind] += res.LargestAnswered[kind] / n
-			sum.LargestEarned[kind] += res.LargestEarned[kind] / n
+		for class, x := range res.InTime {
+			sum.InTime[class] += x / n
+			sum.LargestAnswered[class] += res.LargestAnswered[class] / n
+			sum.LargestEarned[class] += res.LargestEarned[class] / n
 		}
 	}
 	return sum
--- a/internal/bench/passes/workload.go
+++ b/internal/bench/passes/workload.go
@@ -11,32 +11,33 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Workload is a deployment's engines and the prompts that come to them.
+// Workload is a deployment's engines and the requests that they serve.
 type Workload struct {
 	Name        string
 	Model       dispatch.Model
 	Engines     int
-	EventTokens int // of an event
+	EventTokens int // tokens in one event
 	classes     []class
 }
 
-// class is a kind of prompt: sizes lognormal, arrivals at random. Times in ms.
+// class is a class of requests. Prompt sizes are lognormally distributed, and arrivals are random.
 type class struct {
-	name         string
-	mean, spread float64 // tokens
-	most         float64
-	events       int
-	aim, gap     float64
-	patience     float64
-	deadline     float64
-	perS         float64
-	worth        float64 // of a prompt of the mean size that is answered in time; lateShare of it later
+	name               string
+	meanTokens, sigma  float64 // mean prompt size; standard deviation of its logarithm
+	maxTokens          float64 // prompts are cut to this size
+	events             int     // events of an answer
+	targetMs, maxGapMs float64 // latency target of the first event; longest gap between two events
+	firstEventMs       float64 // time after which the caller gives up an attempt without a first event
+	deadlineMs         float64 // time limit for the whole answer, from the first attempt on
+	perSecond          float64 // arrivals per second before the mix's factors
+	worth              float64 // of a prompt of the mean size that is answered in time
 }
 
-// lateShare is what an answer that comes late is worth.
-const lateShare = 0.25
+// lateWorthShare is the share of a request's worth that a late answer earns.
+const lateWorthShare = 0.25
 
-// The users' small deployments, as their pages state them; times in ms.
+// Small deployments with the figures that their users state. Times are in ms. The values of each class are, in order,
+// its name, meanTokens, sigma, maxTokens, events, targetMs, maxGapMs, firstEventMs, deadlineMs, perSecond and worth.
 var (
 	Coteau = Workload{
 		Name: "coteau", Engines: 21, EventTokens: 46,
@@ -64,7 +65,7 @@
 	}
 )
 
-// CoteauLarge is a deployment of hundreds of machines, as its users' page states it.
+// CoteauLarge is a deployment of hundreds of machines with the figures that its users state.
 var CoteauLarge = Workload{
 	Name: "coteau-large", Engines: 172, EventTokens: 73,
 	Model: dispatch.Model{
@@ -78,7 +79,8 @@
 	},
 }
 
-// CoteauShifted is Coteau's later work: fewer and slower engines, on which the pairs rule a long read.
+// CoteauShifted is another workload of Coteau's users, with fewer engines than CoteauLarge, and slower ones. The time
+// for token pairs dominates their prefill of long prompts.
 var CoteauShifted = Workload{
 	Name: "coteau-shifted", Engines: 45, EventTokens: 38,
 	Model: dispatch.Model{
@@ -92,10 +94,10 @@
 	},
 }
 
-// Workloads lists them.
+// Workloads lists all workloads.
 var Workloads = []*Workload{&Coteau, &Kivufix, &CoteauLarge, &CoteauShifted}
 
-// Kinds names the kinds of prompts.
+// ClassNames returns the names of the workload's classes, in order.
 func (w *Workload) ClassNames() []string {
 	var all []string
 	for _, c := range w.classes {
@@ -104,93 +106,98 @@
 	return all
 }
 
-// flipEvery is how long a mix lasts, in ms.
-const flipEvery = 10_000
+// mixPeriodMs is the time between two changes of the mix.
+const mixPeriodMs = 10_000
 
-// flips is a mix that turns over every ten seconds: long prompts times 2.7 with short ones times 0.36, then short
-// ones times 2.4 with hardly a long one.
-func flips(now float64) []float64 {
-	if int(now/flipEvery)%2 == 0 {
+// mixFactors returns the factors of the arrival rates of short, medium and long prompts at now, in ms. The mix
+// alternates every ten seconds between one with more long prompts (2.7 times their rate, short ones 0.36 times) and one
+// with more short prompts (2.4 times their rate, hardly any long one).
+func mixFactors(now float64) []float64 {
+	if int(now/mixPeriodMs)%2 == 0 {
 		return []float64{0.36, 1.3, 2.7}
 	}
 	return []float64{2.4, 0.5, 0.05}
 }
 
-// Job is a prompt on its way through the model. Its id and times as the policy knows them are those of its
-// caller's last attempt.
+// Job is a caller's request in the simulation. The embedded job, which the policy receives, holds the id and the times
+// of the caller's last attempt.
 type Job struct {
 	dispatch.Job
-	class   *class
-	name    string  // of its caller's prompt, across its attempts
-	came    float64 // ms; its caller's first attempt
-	on      *engine
-	with    []*engine // that read parts
-	parts   int       // still to be read
-	events  int       // still to be written
-	first   float64
-	last    float64
-	maxGap  float64
-	tries   int // attempts that ended without an answer
-	writing bool
-	done    bool
-	refused bool
+	class          *class
+	name           string    // the same for all attempts; the first attempt's id
+	arrivedMs      float64   // time of the first attempt
+	answering      *engine   // engine that decodes the answer
+	engines        []*engine // engines that prefill a part, the answering one first
+	partsLeft      int       // parts that are not prefilled
+	eventsLeft     int       // events that are not emitted
+	firstMs        float64   // time of the first event; 0: none yet
+	lastMs         float64   // time of the last event so far
+	longestGapMs   float64   // longest gap between two events so far
+	failedAttempts int       // attempts that ended without an answer
+	decoding       bool
+	done           bool
+	refused        bool
 }
 
-// event takes an event of the answer.
-func (j *Job) event(now float64) {
-	j.maxGap = max(j.maxGap, now-j.last)
-	j.last = now
-	j.events--
-	j.done = j.events == 0
+// recordEvent records an event of the answer at now.
+func (j *Job) recordEvent(now float64) {
+	j.longestGapMs = max(j.longestGapMs, now-j.lastMs)
+	j.lastMs = now
+	j.eventsLeft--
+	j.done = j.eventsLeft == 0
 }
 
-// onTime tells whether the caller got all events, the first in its aim and none after too long a pause.
+// onTime reports whether the caller received all events, the first within its target and none after too long a gap.
 func (j *Job) onTime() bool {
-	return j.done && j.first <= j.came+j.class.aim && j.maxGap <= j.class.gap
+	return j.done && j.firstMs <= j.arrivedMs+j.class.targetMs && j.longestGapMs <= j.class.maxGapMs
 }
 
-// worth is what a prompt counts: more with its size, four times the mean of its kind at most.
+// worth returns the worth of the job. It grows with the size of the prompt, up to four times the worth of a prompt of
+// the class's mean size.
 func (j *Job) worth() float64 {
-	return j.class.worth * min(4, 0.3+0.7*float64(j.PromptTokens)/j.class.mean)
+	return j.class.worth * min(4, 0.3+0.7*float64(j.PromptTokens)/j.class.meanTokens)
 }
 
-// earned is what its answer counts.
+// earned returns the worth that the job's answer earned: all of it in time, part of it before the deadline, else 0.
 func (j *Job) earned() float64 {
 	switch {
 	case j.onTime():
 		return j.worth()
-	case j.done && j.last <= j.came+j.class.deadline:
-		return j.worth() * lateShare
+	case j.done && j.lastMs <= j.arrivedMs+j.class.deadlineMs:
+		return j.worth() * lateWorthShare
 	default:
 		return 0
 	}
 }
 
-func at(ms float64) decide.Instant { return decide.Instant(ms * float64(time.Millisecond)) }
+// instant converts a time in ms.
+func instant(ms float64) decide.Instant { return decide.Instant(ms * float64(time.Millisecond)) }
 
-func fromMs(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+// duration converts a duration in ms.
+func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// job draws a prompt of a class.
-func (w *Workload) job(r *rand.Rand, c *class, n int, now float64) *Job {
-	tokens := min(c.most, c.mean*math.Exp(c.spread*r.NormFloat64()-c.spread*c.spread/2))
+// newJob draws the n-th request, of class c, that arrives at now.
+func (w *Workload) newJob(r *rand.Rand, c *class, n int, now float64) *Job {
+	tokens := min(c.maxTokens, c.meanTokens*math.Exp(c.sigma*r.NormFloat64()-c.sigma*c.sigma/2))
 	id := fmt.Sprintf("%s-%d", c.name, n)
-	j := &Job{class: c, name: id, came: now, events: c.events, Job: dispatch.Job{
-		ID: fleet.RequestID(id), Instance: fleet.InstanceID(fmt.Sprint("entry-", r.IntN(entries))),
-		Domain: domain, PromptTokens: int(tokens), MaxOutputTokens: c.events * w.EventTokens, MaxGap: fromMs(c.gap),
+	j := &Job{class: c, name: id, arrivedMs: now, eventsLeft: c.events, Job: dispatch.Job{
+		ID: fleet.RequestID(id), Instance: fleet.InstanceID(fmt.Sprint("entry-", r.IntN(instanceCount))),
+		Domain: domain, PromptTokens: int(tokens), MaxOutputTokens: c.events * w.EventTokens, MaxGap: duration(c.maxGapMs),
 	}}
-	j.arrive(now)
+	j.startAttempt(now)
 	return j
 }
 
-// arrive sets the times of an attempt that comes now: entries know nothing of those before it.
-func (j *Job) arrive(now float64) {
+// startAttempt sets the times of an attempt that arrives at now. Instances keep no state of earlier attempts, so the
+// latency target counts from now. The deadline counts from the first attempt.
+func (j *Job) startAttempt(now float64) {
 	c := j.class
-	j.Arrived, j.FirstEventTarget, j.FirstEventDeadline = at(now), at(now+c.aim), at(min(now+c.patience, j.came+c.deadline))
-	j.Deadline = at(j.came + c.deadline)
+	j.Arrived, j.FirstEventTarget, j.FirstEventDeadline = instant(now), instant(now+c.targetMs), instant(min(now+c.firstEventMs, j.arrivedMs+c.deadlineMs))
+	j.Deadline = instant(j.arrivedMs + c.deadlineMs)
 }
 
 const (
-	// entries is how many instances callers' prompts come to.
-	entries = 6
-	domain  = "a"
+	// instanceCount is the number of instances that serve the callers.
+	instanceCount = 6
+	domain        = "a"
 )
--- a/internal/bench/request.go
+++ b/internal/bench/request.go
@@ -12,136 +12,138 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// outcome is how a request ended.
+// outcome says how a request ended.
 type outcome uint8
 
 const (
 	pending outcome = iota
 	inTime
-	refused // at once or while it waited; it did not run
-	late    // its time ran out while it ran
+	refused // on arrival or while queued; it did not run
+	late    // its deadline passed before the answer was complete
 )
 
-// request is one caller's request on its way.
+// request is the state of one caller's request.
 type request struct {
 	*arrival
-	sim      *sim
-	entry    *entry
-	gated    *admit.Request
-	priority int
-	sent     []sentPart
-	group    *reserve.Group
-	parts    []pick.Part
-	waitFor  int // members of its group that still compute
-	lead     *job
-	first    decide.Instant // of the first token at the caller; 0: none yet
-	ended    decide.Instant
-	outcome  outcome
-	refusal  decide.Reason
+	sim          *sim
+	instance     *instance
+	admission    *admit.Request
+	priority     int
+	dispatches   []dispatchRecord
+	group        *reserve.Group
+	parts        []pick.Part
+	membersLeft  int // members of its group that have not finished their prefill
+	lead         *job
+	firstTokenAt decide.Instant // when the first token reached the caller; 0: none yet
+	endedAt      decide.Instant
+	outcome      outcome
+	refusal      decide.Reason
 }
 
-// sentPart is what the entry's view of an engine was told of a dispatch.
-type sentPart struct {
+// dispatchRecord is the work and memory that a dispatch added to the instance's view of an engine.
+type dispatchRecord struct {
 	engine *pick.Engine
 	tokens int64
 	memory int64
 }
 
-func (r *request) over() bool { return r.outcome != pending }
+// done reports whether the request has ended.
+func (r *request) done() bool { return r.outcome != pending }
 
-// dispatch sends the request to one engine, with its memory reserved before or not.
+// dispatch sends the request to one engine. The parameter reserved says whether its memory is reserved there.
 func (r *request) dispatch(e *engine, reserved bool) {
-	r.sim.sent(e)
+	r.sim.recordDispatch(e)
 	need := r.prompt.MemoryTokens()
 	if reserved {
 		need = 0
 	}
-	j := &job{req: r, priority: r.priority, tokens: r.prompt.Tokens, answer: r.answer, need: need}
+	j := &job{req: r, priority: r.priority, promptTokens: r.prompt.Tokens, answerLeft: r.answerTokens, memory: need}
 	r.sim.clock.After(messageDelay, func() {
-		if r.over() {
+		if r.done() {
 			return
 		}
-		if !reserved && e.held+need > e.model.KVCacheTokens {
+		if !reserved && e.memoryHeld+need > e.model.KVCacheTokens {
 			r.sim.memoryWaits++
 		}
 		e.submit(j)
 	})
 }
 
-// dispatchGroup sends the request's parts to the engines of its group; the first one answers.
+// dispatchGroup sends the request's parts to the engines of its group. The first of them answers.
 func (r *request) dispatchGroup() {
-	r.waitFor = len(r.parts)
+	r.membersLeft = len(r.parts)
 	total := r.prompt.MemoryTokens()
 	for i, p := range r.parts {
 		share := float64(p.Tokens) / float64(total) * (1 + groupOverhead)
 		tokens := int(share * float64(r.prompt.Tokens))
-		j := &job{req: r, priority: r.priority, tokens: tokens, left: tokens, answer: r.answer, member: true}
+		j := &job{req: r, priority: r.priority, promptTokens: tokens, tokensLeft: tokens, answerLeft: r.answerTokens, member: true}
 		if i == 0 {
 			r.lead = j
 		}
 		e := r.sim.byID[p.Engine.ID]
-		r.sim.sent(e)
+		r.sim.recordDispatch(e)
 		r.sim.clock.After(messageDelay, func() {
-			if !r.over() {
+			if !r.done() {
 				e.submit(j)
 			}
 		})
 	}
 }
 
-// progress is told by an engine that the job's prompt is computed, or its answer over.
-func (r *request) progress(j *job) {
+// onProgress handles an engine's message that a job's prefill or answer is complete.
+func (r *request) onProgress(j *job) {
 	switch {
-	case r.over():
-	case j.over:
+	case r.done():
+	case j.finished:
 		r.sim.clock.After(messageDelay, func() { r.finish(inTime) })
 	case j.member:
-		if r.waitFor--; r.waitFor > 0 {
+		if r.membersLeft--; r.membersLeft > 0 {
 			return
 		}
 		r.lead.member = false
-		r.sim.byID[r.parts[0].Engine.ID].kick()
-		r.sim.clock.After(messageDelay, r.firstToken)
+		r.sim.byID[r.parts[0].Engine.ID].startStep()
+		r.sim.clock.After(messageDelay, r.onFirstToken)
 	default:
-		r.sim.clock.After(messageDelay, r.firstToken)
+		r.sim.clock.After(messageDelay, r.onFirstToken)
 	}
 }
 
-func (r *request) firstToken() {
-	if r.over() || r.first != 0 {
+// onFirstToken records the arrival of the first token at the caller.
+func (r *request) onFirstToken() {
+	if r.done() || r.firstTokenAt != 0 {
 		return
 	}
-	r.first = r.sim.clock.Now()
-	r.began()
+	r.firstTokenAt = r.sim.clock.Now()
+	r.recordFirstToken()
 }
 
-// began tells the entry's view that the prompt is computed.
-func (r *request) began() {
-	for i := range r.sent {
-		r.sent[i].engine.RecordFirstToken(r.class, r.sent[i].tokens)
-		r.sent[i].tokens = 0
+// recordFirstToken records in the instance's view that the prefill is complete.
+func (r *request) recordFirstToken() {
+	for i := range r.dispatches {
+		r.dispatches[i].engine.RecordFirstToken(r.class, r.dispatches[i].tokens)
+		r.dispatches[i].tokens = 0
 	}
 }
 
-// finish ends the request at its entry and frees all that it held.
+// finish ends the request at its instance and releases its memory and reservations.
 func (r *request) finish(o outcome) {
-	if r.over() {
+	if r.done() {
 		return
 	}
-	r.outcome, r.ended = o, r.sim.clock.Now()
-	r.began()
-	for _, s := range r.sent {
-		s.engine.ReleaseMemory(s.memory)
+	r.outcome, r.endedAt = o, r.sim.clock.Now()
+	r.recordFirstToken()
+	for _, record := range r.dispatches {
+		record.engine.ReleaseMemory(record.memory)
 	}
 	if r.group != nil {
-		r.carry(r.group.End())
+		r.applyEffects(r.group.End())
 	}
-	r.entry.policy.ended(r)
+	r.instance.policy.requestEnded(r)
 }
 
-// timeout ends the request at its deadline wherever it is, and cancels its work.
+// timeout ends the request at its deadline, unless it has ended, and cancels its work on all engines.
 func (r *request) timeout() {
-	if r.over() {
+	if r.done() {
 		return
 	}
 	r.finish(late)
@@ -152,60 +154,63 @@
 	})
 }
 
-// reserve begins to hold memory for the request's parts.
+// reserve starts the reservation of memory for the request's parts.
 func (r *request) reserve(parts []pick.Part) {
 	r.parts = parts
 	list := make([]reserve.Part, 0, len(parts))
 	for i, p := range parts {
 		list = append(list, reserve.Part{ID: fmt.Sprint(i), Upstream: p.Engine.ID, Tokens: p.Tokens})
 	}
-	r.group = reserve.New(list, reserveWait, r.deadline.Add(reserve.ReleaseGrace))
-	r.carry(r.group.Start(r.sim.clock.Now()))
+	r.group = reserve.New(list, reserveTimeout, r.deadline.Add(reserve.ReleaseGrace))
+	r.applyEffects(r.group.Start(r.sim.clock.Now()))
 }
 
-// carry carries out a group's effects.
-func (r *request) carry(effects []reserve.Effect) {
+// applyEffects carries out effects of the request's current group.
+func (r *request) applyEffects(effects []reserve.Effect) {
 	g := r.group
 	for _, f := range effects {
 		switch f.Verb {
 		case reserve.Reserve:
-			r.sim.clock.After(f.Delay+messageDelay, func() { r.ask(g, f.Part) })
+			r.sim.clock.After(f.Delay+messageDelay, func() { r.reservePart(g, f.Part) })
 		case reserve.Release:
 			r.sim.clock.After(f.Delay+messageDelay, func() {
 				r.sim.byID[g.Part(f.Part).Upstream].release(r)
-				r.carryFor(g, g.Released(f.Part))
+				r.applyEffectsOf(g, g.Released(f.Part))
 			})
 		case reserve.Ready:
-			r.entry.policy.reserved(r, true)
+			r.instance.policy.reservationResult(r, true)
 		case reserve.Failed:
-			if !r.over() {
-				r.entry.policy.reserved(r, false)
+			if !r.done() {
+				r.instance.policy.reservationResult(r, false)
 			}
 		}
 	}
 }
 
-func (r *request) carryFor(g *reserve.Group, effects []reserve.Effect) {
-	now := r.group
+// applyEffectsOf carries out effects of g, which may be an earlier group of the request.
+func (r *request) applyEffectsOf(g *reserve.Group, effects []reserve.Effect) {
+	current := r.group
 	r.group = g
-	r.carry(effects)
-	r.group = now
+	r.applyEffects(effects)
+	r.group = current
 }
 
-func (r *request) ask(g *reserve.Group, part int) {
+// reservePart tries to reserve memory for one part of g on its engine. The result reaches the instance after
+// messageDelay.
+func (r *request) reservePart(g *reserve.Group, part int) {
 	p := g.Part(part)
-	granted := !r.over() && r.sim.byID[p.Upstream].reserve(r, p.Tokens)
+	granted := !r.done() && r.sim.byID[p.Upstream].reserve(r, p.Tokens)
 	r.sim.clock.After(messageDelay, func() {
 		if granted {
-			r.carryFor(g, g.Granted(part))
+			r.applyEffectsOf(g, g.Granted(part))
 		} else {
-			r.carryFor(g, g.Refused(part, r.sim.clock.Now()))
+			r.applyEffectsOf(g, g.Refused(part, r.sim.clock.Now()))
 		}
 	})
 }
 
-// gate gives the request as the gate sees it.
-func (r *request) gate(number int) *admit.Request {
+// newAdmission returns the request as the gate receives it, under an id made from number.
+func (r *request) newAdmission(number int) *admit.Request {
 	return &admit.Request{
 		ID:        fleet.RequestID(fmt.Sprintf("r%07d", number)),
 		Workspace: r.workspace, Prompt: r.prompt, Class: r.class,
@@ -214,13 +219,13 @@
 	}
 }
 
-// expectedInterval is what entries expect between two tokens, over answers that are mostly shorter than
-// allowed.
+// expectedInterval is the time per allowed token of the answer that instances expect decoding to take. Most answers
+// are shorter than allowed.
 const expectedInterval = 12 * time.Millisecond
 
-// laneWork is the engine time that a long prompt takes: its prompt, and its share of the memory while
-// it answers.
-func laneWork(p *cost.Prompt, class cost.Class, m *EngineModel, decode time.Duration) float64 {
+// laneEngineSeconds returns the engine time that a long prompt takes, in seconds: its prefill, and its decoding in
+// proportion to the share of the memory that it holds.
+func laneEngineSeconds(p *cost.Prompt, class cost.Class, m *EngineModel, decode time.Duration) float64 {
 	t := m.prefillTime(p.Tokens)
 	if class == cost.Group {
 		t += time.Duration(float64(t) * groupOverhead)
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -9,42 +9,43 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// ClassFigures are one length class's figures of a run. Requests are counted by their arrival after the
-// warm-up; those whose time was not over when the run ended are left out.
+// ClassFigures holds one length class's figures of a run. Requests count if they arrive after the warm-up, or within
+// Config.Window if it is set, and their deadline is not after the end of the run.
 type ClassFigures struct {
 	Requests   int
 	InTime     int
 	Refused    int
 	Late       int
-	FirstToken []time.Duration // first token, of requests that had one, sorted
+	FirstToken []time.Duration // first-token times of the requests that had one, sorted
 }
 
-// Quantile gives the q-quantile of the first-token time.
+// Quantile returns the q-quantile of the first-token time, or 0 if there is none.
 func (f *ClassFigures) Quantile(q float64) time.Duration { return quantile(f.FirstToken, q) }
 
-// Result is a run's figures.
+// Result holds a run's figures.
 type Result struct {
 	Class            [cost.ClassCount]ClassFigures
-	Goodput          float64 // prompt tokens a second of requests answered in time
-	AnswerRate       float64 // requests a second answered in time
+	Goodput          float64 // prompt tokens per second of requests answered in time
+	AnswerRate       float64 // requests per second answered in time
 	Utilization      float64 // share of the engines' time in batch steps
 	MaxMemoryShare   float64 // highest share of an engine's memory that was held
-	MemoryWaits      int     // unreserved prompts that found no memory at their engine
-	SentOutOfService int     // prompts sent to engines that had been taken out for longer than a few seconds
+	MemoryWaits      int     // prompts without a reservation that arrived at an engine without enough free memory
+	SentOutOfService int     // prompts sent to engines that were out of service for longer than outageNoticeTime
 	Refusals         map[decide.Reason]int
 	Workspaces       map[fleet.WorkspaceID]WorkspaceCounts
 }
 
-// Served is a workspace's requests and how many of them were answered in time.
+// WorkspaceCounts counts a workspace's requests, and those that were answered in time.
 type WorkspaceCounts struct {
 	Requests, InTime int
 }
 
+// result returns the figures of a run that ended at end.
 func (s *sim) result(end decide.Instant) *Result {
 	res := &Result{Refusals: map[decide.Reason]int{}, Workspaces: map[fleet.WorkspaceID]WorkspaceCounts{}}
 	var tokens, answered float64
 	for _, r := range s.requests {
-		if !s.counts(r, end) {
+		if !s.isCounted(r, end) {
 			continue
 		}
 		f := &res.Class[r.class]
@@ -64,8 +65,8 @@
 			f.Late++
 		}
 		res.Workspaces[r.workspace] = served
-		if r.first != 0 {
-			f.FirstToken = append(f.FirstToken, r.first.Sub(r.at))
+		if r.firstTokenAt != 0 {
+			f.FirstToken = append(f.FirstToken, r.firstTokenAt.Sub(r.at))
 		}
 	}
 	for c := range res.Class {
@@ -75,10 +76,10 @@
 	span := (window.To - window.From).Seconds()
 	res.Goodput, res.AnswerRate = tokens/span, answered/span
 	for _, e := range s.engines {
-		res.Utilization += e.worked.Seconds() / end.Sub(0).Seconds() / float64(len(s.engines))
-		res.MaxMemoryShare = max(res.MaxMemoryShare, float64(e.most)/float64(e.model.KVCacheTokens))
+		res.Utilization += e.busyTime.Seconds() / end.Sub(0).Seconds() / float64(len(s.engines))
+		res.MaxMemoryShare = max(res.MaxMemoryShare, float64(e.maxMemoryHeld)/float64(e.model.KVCacheTokens))
 	}
-	res.MemoryWaits, res.SentOutOfService = s.memoryWaits, s.strays
+	res.MemoryWaits, res.SentOutOfService = s.memoryWaits, s.sentOutOfService
 	return res
 }
 
@@ -89,7 +90,7 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Merge pools the figures of runs that differ in their seed only.
+// Merge pools the figures of runs that differ only in their seed. Rates and Utilization are averaged.
 func Merge(runs []*Result) *Result {
 	sum := &Result{Refusals: map[decide.Reason]int{}, Workspaces: map[fleet.WorkspaceID]WorkspaceCounts{}}
 	n := float64(len(runs))
@@ -114,7 +115,7 @@
 	return sum
 }
 
-// Add pools another run's figures, or another class's, into f.
+// Add adds the figures of another run, or another class, to f.
 func (f *ClassFigures) Add(g *ClassFigures) {
 	f.Requests += g.Requests
 	f.InTime += g.InTime
@@ -124,7 +125,8 @@
 	slices.Sort(f.FirstToken)
 }
 
-// Slowdown is the quantile of a class's first-token time against that of the same prompts alone.
+// Slowdown returns the q-quantile of a class's first-token time in one run, divided by the same in a run without long
+// prompts. It returns 0 if the latter has no first token.
 func Slowdown(with, alone *Result, class cost.Class, q float64) float64 {
 	base := alone.Class[class].Quantile(q)
 	if base == 0 {
--- a/internal/bench/study.go
+++ b/internal/bench/study.go
@@ -7,32 +7,33 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/cost"
 )
 
-// Point is one configuration with its figures over several seeds.
+// Point holds one configuration and its figures, pooled over several seeds.
 type Point struct {
 	Config      Config
-	Full        *Result // the whole load
-	WithoutLong *Result // the same short prompts without the long ones, same policy
+	Full        *Result // all prompts
+	WithoutLong *Result // the same run without its long prompts
 	LowerBound  [cost.ClassCount]ClassFigures
 }
 
-// Study runs each configuration for each seed, at most workers runs at a time, and pools the seeds.
-// Every run is a function of its configuration, so the figures don't depend on workers.
+// RunAll runs each configuration with each seed, at most workers runs at a time, and pools the figures of the seeds.
+// Each run depends only on its configuration, so the figures do not depend on workers.
 func RunAll(configs []Config, seeds []uint64, workers int) []Point {
 	points := make([]Point, len(configs))
-	gate := make(chan struct{}, max(1, min(workers, runtime.NumCPU())))
+	slots := make(chan struct{}, max(1, min(workers, runtime.NumCPU())))
 	var group sync.WaitGroup
 	for i := range configs {
-		group.Go(func() { points[i] = point(configs[i], seeds, gate) })
+		group.Go(func() { points[i] = runPoint(configs[i], seeds, slots) })
 	}
 	group.Wait()
 	return points
 }
 
-func point(c Config, seeds []uint64, gate chan struct{}) Point {
+// runPoint runs one configuration with all seeds. It occupies one of the slots while it runs a seed.
+func runPoint(c Config, seeds []uint64, slots chan struct{}) Point {
 	p := Point{Config: c}
 	var with, alone []*Result
 	for _, seed := range seeds {
-		gate <- struct{}{}
+		slots <- struct{}{}
 		run := c
 		run.Seed = seed
 		with = append(with, Run(run))
@@ -41,7 +42,7 @@
 		}
 		run.WithoutLong = true
 		alone = append(alone, Run(run))
-		<-gate
+		<-slots
 	}
 	p.Full, p.WithoutLong = Merge(with), Merge(alone)
 	return p
