--- a/cmd/damaskbench/flip.go
+++ b/cmd/damaskbench/flip.go
@@ -15,23 +15,23 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/dispatch"
 )
 
-// Faults of the plays, on days of some tens of seconds; times in ms.
+// Faults of the simulations, which last some tens of seconds.
 var (
-	everyEntryStops = passes.Fault{StartMs: 34_000, DurationMs: 1000}
-	enginesLost     = passes.Fault{StartMs: 12_000, DurationMs: 12_000, EngineShare: 0.33}
+	allInstancesStop = passes.Fault{StartMs: 34_000, DurationMs: 1000}
+	enginesLost      = passes.Fault{StartMs: 12_000, DurationMs: 12_000, EngineShare: 0.33}
 )
 
-// flipCommand compares policies under the mix that turns over every ten seconds.
+// flipCommand compares policies under the mix of prompts that changes every ten seconds.
 type flipCommand struct {
-	loads   string
-	seeds   int
-	seconds float64
-	only    string
+	loads    string
+	seeds    int
+	seconds  float64
+	workload string
 }
 
 func (*flipCommand) Name() string { return "flip" }
 func (*flipCommand) Synopsis() string {
-	return "compare policies on engines that work in passes, under a mix that turns over every ten seconds"
+	return "compare policies on engines that work in passes, under a mix of prompts that changes every ten seconds"
 }
 func (*flipCommand) Usage() string {
 	return `damaskbench flip [flags]
@@ -42,10 +42,10 @@
 }
 
 func (c *flipCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.loads, "loads", "0.85,1,1.2", "parts of the stated rates, comma-separated")
-	f.IntVar(&c.seeds, "seeds", 4, "seeds, from 1")
-	f.StringVar(&c.only, "workload", "", "play this one alone")
-	f.Float64Var(&c.seconds, "seconds", 40, "length of a play in virtual time")
+	f.StringVar(&c.loads, "loads", "0.85,1,1.2", "multiples of the workload's stated rates, comma-separated")
+	f.IntVar(&c.seeds, "seeds", 4, "number of seeds, from 1 on")
+	f.StringVar(&c.workload, "workload", "", "run only this workload")
+	f.Float64Var(&c.seconds, "seconds", 40, "length of a simulation in seconds of virtual time")
 }
 
 func (c *flipCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
@@ -53,40 +53,42 @@
 	for _, word := range strings.Split(c.loads, ",") {
 		load, err := strconv.ParseFloat(strings.TrimSpace(word), 64)
 		if err != nil || load <= 0 {
-			fmt.Fprintf(os.Stderr, "-loads %s: %q is no number above 0\n", c.loads, word)
+			fmt.Fprintf(os.Stderr, "-loads %s: %q is not a number above 0\n", c.loads, word)
 			return subcommands.ExitUsageError
 		}
 		loads = append(loads, load)
 	}
-	all := slices.DeleteFunc(slices.Clone(passes.Workloads), func(w *passes.Workload) bool { return c.only != "" && w.Name != c.only })
-	if len(all) == 0 {
-		fmt.Fprintf(os.Stderr, "-workload %s: there is none of that name\n", c.only)
+	workloads := slices.DeleteFunc(slices.Clone(passes.Workloads), func(w *passes.Workload) bool { return c.workload != "" && w.Name != c.workload })
+	if len(workloads) == 0 {
+		fmt.Fprintf(os.Stderr, "-workload %s: no workload has this name\n", c.workload)
 		return subcommands.ExitUsageError
 	}
 	fmt.Println("| workload | load | policy | " + strings.Join(passes.Coteau.ClassNames(), " | ") + " | day | worst | largest | its worth |")
 	fmt.Println("|---|---|---|" + strings.Repeat("---|", len(passes.Coteau.ClassNames())+4))
-	for _, w := range all {
+	for _, w := range workloads {
 		for _, load := range loads {
-			c.compare(w, strconv.FormatFloat(load, 'g', -1, 64), passes.Scenario{Load: load, LengthMs: c.seconds * 1000})
+			c.printPolicies(w, strconv.FormatFloat(load, 'g', -1, 64), passes.Scenario{Load: load, LengthMs: c.seconds * 1000})
 		}
-		c.show(w, "1, entries stop", "damaskshelf", c.policy(w, passes.Scenario{Load: 1, LengthMs: c.seconds * 1000, InstanceOutage: everyEntryStops}))
-		c.show(w, "1, engines lost", "damaskshelf", c.policy(w, passes.Scenario{Load: 1, LengthMs: c.seconds * 1000, EngineOutage: enginesLost}))
+		c.printRow(w, "1, entries stop", "damaskshelf", c.runPolicy(w, passes.Scenario{Load: 1, LengthMs: c.seconds * 1000, InstanceOutage: allInstancesStop}))
+		c.printRow(w, "1, engines lost", "damaskshelf", c.runPolicy(w, passes.Scenario{Load: 1, LengthMs: c.seconds * 1000, EngineOutage: enginesLost}))
 	}
 	return subcommands.ExitSuccess
 }
 
-func (c *flipCommand) policy(w *passes.Workload, p passes.Scenario) passes.Result {
-	return passes.MeanResult(w, passes.Dispatcher(w, dispatch.DefaultParams()), p, c.seeds)
+// runPolicy returns the mean result of the daemon's policy.
+func (c *flipCommand) runPolicy(w *passes.Workload, scenario passes.Scenario) passes.Result {
+	return passes.MeanResult(w, passes.Dispatcher(w, dispatch.DefaultParams()), scenario, c.seeds)
 }
 
-// compare prints a line for each policy at a load.
-func (c *flipCommand) compare(w *passes.Workload, load string, p passes.Scenario) {
-	c.show(w, load, "damaskshelf", c.policy(w, p))
-	c.show(w, load, "each entry alone", passes.MeanResult(w, passes.Uncoordinated(w), p, c.seeds))
-	c.show(w, load, "*bound*", passes.UpperBound(w, p, c.seeds))
+// printPolicies prints a row for each policy, and one for the upper bound, at a load.
+func (c *flipCommand) printPolicies(w *passes.Workload, load string, scenario passes.Scenario) {
+	c.printRow(w, load, "damaskshelf", c.runPolicy(w, scenario))
+	c.printRow(w, load, "each entry alone", passes.MeanResult(w, passes.Uncoordinated(w), scenario, c.seeds))
+	c.printRow(w, load, "*bound*", passes.UpperBound(w, scenario, c.seeds))
 }
 
-func (c *flipCommand) show(w *passes.Workload, load, policy string, r passes.Result) {
+// printRow prints a row of the table.
+func (c *flipCommand) printRow(w *passes.Workload, load, policy string, r passes.Result) {
 	fmt.Printf("| %s | %s | %s |", w.Name, load, policy)
 	for _, kind := range w.ClassNames() {
 		fmt.Printf(" %.3f |", r.InTime[kind])
--- a/cmd/damaskbench/main.go
+++ b/cmd/damaskbench/main.go
@@ -1,12 +1,12 @@
-// Command damaskbench runs the routing experiments under virtual time and prints their tables and plots.
-// It is a developers' tool and is not shipped.
+// Command damaskbench runs the routing experiments in virtual time and prints their tables and plots. It is a tool for
+// developers and is not shipped.
 package main
 
 import (
 	"context"
 	"flag"
 	"os"
-	_ "runtime/cgo" // links the C library, as all programs here are; nothing else here needs it
+	_ "runtime/cgo" // links the C library, as in all programs of this project; nothing else needs it
 
 	"github.com/google/subcommands"
 )
@@ -14,7 +14,7 @@
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(&tableCommand{}, "")
-	subcommands.Register(&vary{}, "")
+	subcommands.Register(&varyCommand{}, "")
 	subcommands.Register(&outageCommand{}, "")
 	subcommands.Register(&plotCommand{}, "")
 	subcommands.Register(&flipCommand{}, "")
--- a/cmd/damaskbench/options.go
+++ b/cmd/damaskbench/options.go
@@ -10,10 +10,10 @@
 	"github.com/damaskshelf/damaskshelf/internal/bench"
 )
 
-// options are the flags that all experiments share.
+// options holds the flags that the experiments on package bench share.
 type options struct {
 	deployments string
-	entries     string
+	instances   string
 	loads       string
 	policies    string
 	seeds       string
@@ -21,9 +21,9 @@
 	workers     int
 }
 
-func (o *options) flags(f *flag.FlagSet) {
+func (o *options) setFlags(f *flag.FlagSet) {
 	f.StringVar(&o.deployments, "deployments", "coteau,asrq", "deployments")
-	f.StringVar(&o.entries, "entries", "6,9", "numbers of entry instances")
+	f.StringVar(&o.instances, "entries", "6,9", "numbers of entry instances")
 	f.StringVar(&o.loads, "loads", "0.3,0.5,0.8,1.0,1.2", "offered loads, 1.0 = capacity")
 	f.StringVar(&o.policies, "policies", strings.Join(bench.Policies, ","), "policies")
 	f.StringVar(&o.seeds, "seeds", "1,2,3", "seeds; their figures are pooled")
@@ -31,7 +31,8 @@
 	f.IntVar(&o.workers, "workers", 3, "runs at a time")
 }
 
-func deployment(name string) (*bench.Deployment, error) {
+// findDeployment returns the deployment with the given name.
+func findDeployment(name string) (*bench.Deployment, error) {
 	for _, d := range []*bench.Deployment{&bench.Coteau, &bench.ASRQ} {
 		if d.Name == name {
 			return d, nil
@@ -40,7 +41,8 @@
 	return nil, fmt.Errorf("deployment %q is not known; allowed: coteau, asrq", name)
 }
 
-func floats(list string) ([]float64, error) {
+// parseFloats parses a comma-separated list of numbers.
+func parseFloats(list string) ([]float64, error) {
 	var all []float64
 	for _, s := range strings.Split(list, ",") {
 		v, err := strconv.ParseFloat(s, 64)
@@ -52,8 +54,9 @@
 	return all, nil
 }
 
+// seedList returns the seeds that the flags name.
 func (o *options) seedList() ([]uint64, error) {
-	values, err := floats(o.seeds)
+	values, err := parseFloats(o.seeds)
 	if err != nil {
 		return nil, err
 	}
@@ -64,23 +67,23 @@
 	return seeds, nil
 }
 
-// configs gives the runs that the flags ask for, by deployment, entries, load and policy.
+// configs returns the runs that the flags select, ordered by deployment, number of instances, load and policy.
 func (o *options) configs() ([]bench.Config, error) {
-	entries, err := floats(o.entries)
+	instances, err := parseFloats(o.instances)
 	if err != nil {
 		return nil, err
 	}
-	loads, err := floats(o.loads)
+	loads, err := parseFloats(o.loads)
 	if err != nil {
 		return nil, err
 	}
 	var all []bench.Config
 	for _, name := range strings.Split(o.deployments, ",") {
-		d, err := deployment(name)
+		d, err := findDeployment(name)
 		if err != nil {
 			return nil, err
 		}
-		for _, n := range entries {
+		for _, n := range instances {
 			for _, load := range loads {
 				for _, policy := range strings.Split(o.policies, ",") {
 					all = append(all, bench.Config{Deployment: d, Instances: int(n), Load: load, Span: o.span, Policy: policy})
@@ -91,8 +94,8 @@
 	return all, nil
 }
 
-// study runs what the flags ask for.
-func (o *options) study() ([]bench.Point, error) {
+// runAll runs the configurations that the flags select, and returns their figures.
+func (o *options) runAll() ([]bench.Point, error) {
 	configs, err := o.configs()
 	if err != nil {
 		return nil, err
--- a/cmd/damaskbench/outage.go
+++ b/cmd/damaskbench/outage.go
@@ -12,7 +12,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/bench"
 )
 
-// outageCommand measures service while a failure domain is out and when it is back.
+// outageCommand measures the service before, during and after the time in which a failure domain is out of service.
 type outageCommand struct{ options }
 
 func (*outageCommand) Name() string { return "outage" }
@@ -21,14 +21,15 @@
 }
 func (*outageCommand) Usage() string { return "damaskbench outage [flags]\n" }
 
-func (o *outageCommand) SetFlags(f *flag.FlagSet) { o.flags(f) }
+func (o *outageCommand) SetFlags(f *flag.FlagSet) { o.setFlags(f) }
 
-// The run: the first domain is out from outFrom to outTo. Five minutes each are compared.
+// The first failure domain is out of service from outageStart to outageEnd. The run compares five minutes before,
+// during and after the outage.
 const (
-	outFrom   = 8 * time.Minute
-	outTo     = 13 * time.Minute
-	outWindow = 5 * time.Minute
-	outSpan   = 22 * time.Minute // the longest time limit after the last window
+	outageStart = 8 * time.Minute
+	outageEnd   = 13 * time.Minute
+	phaseLength = 5 * time.Minute
+	outageSpan  = 22 * time.Minute // leaves time for the longest timeout after the last window
 )
 
 func (o *outageCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
@@ -39,6 +40,7 @@
 	return subcommands.ExitSuccess
 }
 
+// run measures the three phases of each configuration and prints them as policies of one table.
 func (o *outageCommand) run() error {
 	o.policies = bench.PolicyDamaskshelf
 	configs, err := o.configs()
@@ -52,10 +54,10 @@
 	names := []string{"before", "out", "back"}
 	var phases []bench.Config
 	for _, c := range configs {
-		c.Span = outSpan
-		c.Outage = bench.Outage{Domain: c.Deployment.Domains[0], From: outFrom, To: outTo}
-		for _, from := range []time.Duration{outFrom - outWindow, outFrom, outTo} {
-			c.Window = bench.Window{From: from, To: from + outWindow}
+		c.Span = outageSpan
+		c.Outage = bench.Outage{Domain: c.Deployment.Domains[0], From: outageStart, To: outageEnd}
+		for _, from := range []time.Duration{outageStart - phaseLength, outageStart, outageEnd} {
+			c.Window = bench.Window{From: from, To: from + phaseLength}
 			phases = append(phases, c)
 		}
 	}
@@ -63,6 +65,6 @@
 	for i := range points {
 		points[i].Config.Policy = names[i%len(names)]
 	}
-	write(os.Stdout, points)
+	writeTables(os.Stdout, points)
 	return nil
 }
--- a/cmd/damaskbench/plot.go
+++ b/cmd/damaskbench/plot.go
@@ -18,7 +18,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/cost"
 )
 
-// plotCommand draws the first-token time over the load, one line a policy.
+// plotCommand draws the first-token time over the load, with one line per policy.
 type plotCommand struct {
 	options
 	out string
@@ -29,12 +29,12 @@
 func (*plotCommand) Usage() string    { return "damaskbench plot [-out DIRECTORY] [flags]\n" }
 
 func (p *plotCommand) SetFlags(f *flag.FlagSet) {
-	p.flags(f)
+	p.setFlags(f)
 	f.StringVar(&p.out, "out", "docs/plots", "directory of the plots")
 }
 
 func (p *plotCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	points, err := p.study()
+	points, err := p.runAll()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitUsageError
@@ -46,12 +46,13 @@
 	return subcommands.ExitSuccess
 }
 
-// curve is one line of a plot.
+// curve is one policy's line in a plot.
 type curve struct {
 	name   string
 	points plotter.XYs
 }
 
+// draw saves a plot for each deployment, number of instances and class.
 func (p *plotCommand) draw(points []bench.Point) error {
 	for _, class := range []cost.Class{cost.Short, cost.Medium, cost.Long, cost.Group} {
 		figures := map[string][]curve{}
@@ -63,7 +64,7 @@
 				order = append(order, name)
 			}
 			first := points[i].Full.Class[class].Quantile(0.95)
-			figures[name] = extend(figures[name], c.Policy, c.Load, first)
+			figures[name] = addPoint(figures[name], c.Policy, c.Load, first)
 		}
 		for _, name := range order {
 			if err := p.save(name, class, figures[name]); err != nil {
@@ -74,7 +75,8 @@
 	return nil
 }
 
-func extend(curves []curve, policy string, load float64, first time.Duration) []curve {
+// addPoint adds a first-token time to the policy's curve, or starts its curve. It ignores a time of 0.
+func addPoint(curves []curve, policy string, load float64, first time.Duration) []curve {
 	if first == 0 {
 		return curves // no request of the class had a first token
 	}
@@ -88,6 +90,7 @@
 	return append(curves, curve{policy, plotter.XYs{xy}})
 }
 
+// save writes one plot to the output directory as an SVG file.
 func (p *plotCommand) save(name string, class cost.Class, curves []curve) error {
 	chart := plot.New()
 	chart.Title.Text = fmt.Sprintf("%s prompts: p95 of the first token", class)
--- a/cmd/damaskbench/vary.go
+++ b/cmd/damaskbench/vary.go
@@ -16,15 +16,15 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/pick"
 )
 
-// vary measures the policy with one parameter of its profile changed.
-type vary struct {
+// varyCommand measures the policy with one parameter of its profile changed.
+type varyCommand struct {
 	options
-	name   string
-	values string
-	base   string
+	name        string
+	values      string
+	baseChanges string
 }
 
-// parameters are the profile's fields that can be varied.
+// parameters holds, by the name on the command line, the functions that set a parameter of a profile.
 var parameters = map[string]func(p *pick.Profile, v float64){
 	"choices":    func(p *pick.Profile, v float64) { p.RandomChoices = int(v) },
 	"affine":     func(p *pick.Profile, v float64) { p.PrefixChoices = int(v) },
@@ -43,18 +43,18 @@
 	"long-prio":   func(p *pick.Profile, v float64) { p.Priority[cost.Long] = int(v); p.Priority[cost.Group] = int(v) },
 }
 
-func (*vary) Name() string     { return "vary" }
-func (*vary) Synopsis() string { return "measure with one parameter of the profile changed" }
-func (*vary) Usage() string    { return "damaskbench vary -name PARAMETER -values A,B [flags]\n" }
+func (*varyCommand) Name() string     { return "vary" }
+func (*varyCommand) Synopsis() string { return "measure with one parameter of the profile changed" }
+func (*varyCommand) Usage() string    { return "damaskbench vary -name PARAMETER -values A,B [flags]\n" }
 
-func (v *vary) SetFlags(f *flag.FlagSet) {
-	v.flags(f)
+func (v *varyCommand) SetFlags(f *flag.FlagSet) {
+	v.setFlags(f)
 	f.StringVar(&v.name, "name", "choices", "parameter of the profile")
-	f.StringVar(&v.base, "base", "", "other parameters changed in all runs, as in choices=8,spill-ms=200")
-	f.StringVar(&v.values, "values", "2,4,8", "its values")
+	f.StringVar(&v.baseChanges, "base", "", "other parameters changed in all runs, as in choices=8,spill-ms=200")
+	f.StringVar(&v.values, "values", "2,4,8", "values of the parameter, comma-separated")
 }
 
-func (v *vary) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
+func (v *varyCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if err := v.run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitUsageError
@@ -62,12 +62,12 @@
 	return subcommands.ExitSuccess
 }
 
-// rebase changes the profile by -base.
-func (v *vary) rebase(p *pick.Profile) error {
-	if v.base == "" {
+// applyBase applies the changes of the flag -base to the profile.
+func (v *varyCommand) applyBase(p *pick.Profile) error {
+	if v.baseChanges == "" {
 		return nil
 	}
-	for _, change := range strings.Split(v.base, ",") {
+	for _, change := range strings.Split(v.baseChanges, ",") {
 		name, text, _ := strings.Cut(change, "=")
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil || parameters[name] == nil {
@@ -78,12 +78,13 @@
 	return nil
 }
 
-func (v *vary) run() error {
+// run measures each configuration with each value of the parameter and prints the values as policies of one table.
+func (v *varyCommand) run() error {
 	set := parameters[v.name]
 	if set == nil {
 		return fmt.Errorf("parameter %q is not known", v.name)
 	}
-	values, err := floats(v.values)
+	values, err := parseFloats(v.values)
 	if err != nil {
 		return err
 	}
@@ -100,7 +101,7 @@
 	for _, c := range configs {
 		for _, value := range values {
 			p := pick.ProfileOf(c.Deployment.Profile)
-			if err := v.rebase(&p); err != nil {
+			if err := v.applyBase(&p); err != nil {
 				return err
 			}
 			set(&p, value)
@@ -112,6 +113,6 @@
 	for i := range points {
 		points[i].Config.Policy = fmt.Sprintf("%s %g", v.name, values[i%len(values)])
 	}
-	write(os.Stdout, points)
+	writeTables(os.Stdout, points)
 	return nil
 }
