--- a/cmd/damaskctl/demo.go
+++ b/cmd/damaskctl/demo.go
@@ -39,17 +39,17 @@
 func (v *demoVerb) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&v.o.Profile, "profile", "coteau", "users' deployment: "+strings.Join(demo.Profiles(), " or "))
 	f.StringVar(&v.o.Fault, "fault", "", "fault switched on for the second of three phases")
-	f.IntVar(&v.o.Entries, "entries", demo.DefaultEntries, "entry instances")
+	f.IntVar(&v.o.Instances, "entries", demo.DefaultInstances, "entry instances")
 	f.IntVar(&v.o.Requests, "n", demo.DefaultRequests, "requests in each phase")
 	f.Float64Var(&v.o.Rate, "rate", demo.DefaultRate, "requests a second")
-	f.Float64Var(&v.o.Scale, "scale", demo.DefaultScale, "engine seconds in one second")
+	f.Float64Var(&v.o.TimeScale, "scale", demo.DefaultTimeScale, "engine seconds in one second")
 	f.Uint64Var(&v.o.Seed, "seed", 1, "seed of the load")
 	f.BoolVar(&v.o.Serve, "serve", false, "keep the fleet up instead of sending a load")
 	f.StringVar(&v.level, "log", "error", "log level of the instances")
 }
 
 func (v *demoVerb) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if f.NArg() > 0 || v.o.Entries < 1 || v.o.Requests < 1 || v.o.Rate <= 0 || v.o.Scale <= 0 {
+	if f.NArg() > 0 || v.o.Instances < 1 || v.o.Requests < 1 || v.o.Rate <= 0 || v.o.TimeScale <= 0 {
 		fmt.Fprintln(os.Stderr, "damaskctl demo: entries, n, rate and scale must be above zero; no further arguments")
 		return exitUsage
 	}
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -46,20 +46,20 @@
 
 // Request is one request to an entry instance.
 type Request struct {
-	Addr       string // of the instance
-	ID         string
-	Workspace  string
-	Timeout    time.Duration
-	Priority   int
-	Model      string // prompt: model
-	Prompt     string
-	MaxTokens  int
-	Stream     bool
-	Method     string // plain service: HTTP method
-	Path       string // plain service: /services/NAME/...
-	Body       string
-	Key        string // idempotency key
-	Idempotent string // "true", "false" or empty
+	Addr           string // of the instance
+	ID             string
+	Workspace      string
+	Timeout        time.Duration
+	Priority       int
+	Model          string // prompt: model
+	Prompt         string
+	MaxTokens      int
+	Stream         bool
+	Method         string // plain service: HTTP method
+	Path           string // plain service: /services/NAME/...
+	Body           string
+	IdempotencyKey string // idempotency key
+	Idempotent     string // "true", "false" or empty
 }
 
 // Result is what the caller saw.
@@ -71,7 +71,7 @@
 	Detail     string
 	RetryAfter time.Duration
 	Text       string
-	Whole      bool // the end mark came
+	Completed  bool // the end mark came
 	Replayed   bool
 	FirstToken time.Duration
 	Total      time.Duration
@@ -79,7 +79,7 @@
 }
 
 // OK tells whether the answer came whole.
-func (r Result) OK() bool { return r.Err == nil && r.Status/100 == 2 && r.Whole }
+func (r Result) OK() bool { return r.Err == nil && r.Status/100 == 2 && r.Completed }
 
 // Do sends q and reads the whole answer.
 func (c *Client) Do(q Request) Result {
@@ -109,7 +109,7 @@
 	default:
 		var body []byte
 		body, r.Err = bodyOf(resp)
-		r.Text, r.Whole = string(body), r.Err == nil
+		r.Text, r.Completed = string(body), r.Err == nil
 	}
 	r.Total = time.Since(began)
 	return r
@@ -126,7 +126,7 @@
 	set(wire.HeaderRequestID, q.ID)
 	set(wire.HeaderWorkspace, q.Workspace)
 	set(wire.HeaderTimeout, q.Timeout.String())
-	set(wire.HeaderIdempotencyKey, q.Key)
+	set(wire.HeaderIdempotencyKey, q.IdempotencyKey)
 	set(wire.HeaderIdempotent, q.Idempotent)
 	if q.Priority != 0 {
 		set(wire.HeaderPriority, fmt.Sprint(q.Priority))
@@ -205,12 +205,12 @@
 func (r *Result) take(e event) {
 	for _, c := range e.Choices {
 		r.Text += c.Text
-		r.Whole = r.Whole || c.FinishReason != nil
+		r.Completed = r.Completed || c.FinishReason != nil
 	}
 }
 
 // ErrCutOff is a stream that ended without its end mark and without a failure event.
-var ErrCutOff = errors.New("stream was cut off")
+var ErrTruncated = errors.New("stream was cut off")
 
 func (r *Result) stream(body io.Reader, began time.Time) error {
 	s := bufio.NewScanner(body)
@@ -232,7 +232,7 @@
 		}
 		if e.Error != "" {
 			r.fail(e.failureBody)
-			r.Whole = false
+			r.Completed = false
 			r.Text = text.String()
 			return nil
 		}
@@ -241,16 +241,16 @@
 		}
 		for _, c := range e.Choices {
 			text.WriteString(c.Text)
-			r.Whole = r.Whole || c.FinishReason != nil
+			r.Completed = r.Completed || c.FinishReason != nil
 		}
 	}
 	r.Text = text.String()
-	r.Whole = r.Whole && done
+	r.Completed = r.Completed && done
 	if err := s.Err(); err != nil {
 		return err
 	}
 	if !done {
-		return ErrCutOff
+		return ErrTruncated
 	}
 	return nil
 }
--- a/internal/demo/check.go
+++ b/internal/demo/check.go
@@ -22,7 +22,7 @@
 		return fmt.Sprintf("no final answer: %v", s.r.Err)
 	case s.r.Kind != "" || s.q.Model == "":
 		return ""
-	case !s.r.Whole:
+	case !s.r.Completed:
 		return "answer without its end mark"
 	case s.r.Text != answer.Text(s.q.ID, s.q.MaxTokens):
 		return "answer is not this request's"
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -23,28 +23,28 @@
 
 // Options of a run.
 type Options struct {
-	Profile  string // coteau or asrq
-	Fault    string // one of Faults, or empty
-	Entries  int
-	Requests int     // in each phase
-	Rate     float64 // requests a second
-	Scale    float64 // engine seconds in one second
-	Seed     uint64
-	Serve    bool // keep the fleet up until the context ends
-	Log      hclog.Logger
-	Out      io.Writer
+	Profile   string // coteau or asrq
+	Fault     string // one of Faults, or empty
+	Instances int
+	Requests  int     // in each phase
+	Rate      float64 // requests a second
+	TimeScale float64 // engine seconds in one second
+	Seed      uint64
+	Serve     bool // keep the fleet up until the context ends
+	Log       hclog.Logger
+	Out       io.Writer
 }
 
 // Defaults of Options.
 const (
-	DefaultEntries  = 3
-	DefaultRequests = 200
-	DefaultRate     = 40
-	DefaultScale    = 20
+	DefaultInstances = 3
+	DefaultRequests  = 200
+	DefaultRate      = 40
+	DefaultTimeScale = 20
 )
 
 // ErrBroken: an answer was not whole, not its caller's, or said something untrue about what ran.
-var ErrBroken = errors.New("a promise was broken")
+var ErrCheckFailed = errors.New("a promise was broken")
 
 // Profiles names the profiles.
 func Profiles() []string { return slices.Sorted(maps.Keys(profiles)) }
@@ -60,7 +60,7 @@
 		return fmt.Errorf("fault: %q is not allowed; allowed: %v", o.Fault, Faults())
 	}
 	fmt.Fprintf(o.Out, "%s: %d failure domains, %d engines, %d instances of %s, %d entry instances\n",
-		p.Name, len(p.Domains), p.PerDomain*len(p.Domains), p.Services, p.Service, o.Entries)
+		p.Name, len(p.Domains), p.EnginesPerDomain*len(p.Domains), p.ServiceInstances, p.Service, o.Instances)
 	f, err := start(p, o)
 	if err != nil {
 		return fmt.Errorf("start the fleet: %w", err)
@@ -75,13 +75,13 @@
 }
 
 func start(p Profile, o Options) (*local.Fleet, error) {
-	engines := p.PerDomain * len(p.Domains)
+	engines := p.EnginesPerDomain * len(p.Domains)
 	return local.Start(local.Config{
-		Entries: o.Entries, Log: o.Log,
+		Entries: o.Instances, Log: o.Log,
 		Intent: api.Intent{Models: []api.Model{{Name: p.Model, Version: cluster.ModelVersion, Replicas: engines, Floor: 2}}},
 		Cluster: cluster.Config{
-			Domains: p.Domains, Region: p.Region, EnginesPerDomain: p.PerDomain, Models: []string{p.Model},
-			Service: p.Service, Services: p.Services, TimeScale: o.Scale, Seed: o.Seed,
+			Domains: p.Domains, Region: p.Region, EnginesPerDomain: p.EnginesPerDomain, Models: []string{p.Model},
+			Service: p.Service, Services: p.ServiceInstances, TimeScale: o.TimeScale, Seed: o.Seed,
 			Engine: engine.Config{Fencing: true},
 		},
 		Tune: func(s *api.Settings) { s.Profile = p.Routing },
@@ -175,5 +175,5 @@
 	for _, b := range broken {
 		fmt.Fprintln(d.o.Out, b)
 	}
-	return fmt.Errorf("%w: %d of %d requests", ErrBroken, len(broken), len(all))
+	return fmt.Errorf("%w: %d of %d requests", ErrCheckFailed, len(broken), len(all))
 }
--- a/internal/demo/workload.go
+++ b/internal/demo/workload.go
@@ -13,27 +13,27 @@
 
 // Profile is one of the users' deployments, as the brief gives them.
 type Profile struct {
-	Name       string
-	Region     string
-	Domains    []string
-	Model      string // the assistant's model
-	Service    string // the plain service beside it
-	PerDomain  int    // engines in each failure domain; about twenty in all
-	Services   int
-	Workspaces []string
-	Routing    string // settings.profile
+	Name             string
+	Region           string
+	Domains          []string
+	Model            string // the assistant's model
+	Service          string // the plain service beside it
+	EnginesPerDomain int    // engines in each failure domain; about twenty in all
+	ServiceInstances int
+	Workspaces       []string
+	Routing          string // settings.profile
 }
 
 // Profiles of the demo.
 var profiles = map[string]Profile{
 	"coteau": {
 		Name: "coteau", Region: "sask-plains", Domains: []string{"north-ice", "mid-ice", "south-ice"},
-		Model: "guidebot", Service: "bookdesk", PerDomain: 7, Services: 3, Routing: "short_first",
+		Model: "guidebot", Service: "bookdesk", EnginesPerDomain: 7, ServiceInstances: 3, Routing: "short_first",
 		Workspaces: []string{"anglers", "anglers", "anglers", "guides", "guides", "safety", "day", "evening", "rental", "lodge-1", "lodge-2", "lodge-3"},
 	},
 	"asrq": {
 		Name: "asrq", Region: "sul-poa", Domains: []string{"poa-a", "poa-b", "poa-c"},
-		Model: "damask-modelo", Service: "portal-dossie", PerDomain: 7, Services: 3, Routing: "long_first",
+		Model: "damask-modelo", Service: "portal-dossie", EnginesPerDomain: 7, ServiceInstances: 3, Routing: "long_first",
 		Workspaces: []string{"dossiers", "dossiers", "dossiers", "identity", "identity", "status", "tannery-1", "tannery-2", "dyes", "export", "fees", "review"},
 	},
 }
@@ -107,7 +107,7 @@
 	q.Body = fmt.Sprintf(`{"hut":"hut-%d","day":"2027-01-%02d"}`, w.next, 1+w.next%28)
 	q.Timeout = 10 * time.Second
 	if w.rng.IntN(2) == 0 {
-		q.Key = "key-" + q.ID
+		q.IdempotencyKey = "key-" + q.ID
 	} else {
 		q.Idempotent = "false"
 	}
--- a/internal/entry/outcome_test.go
+++ b/internal/entry/outcome_test.go
@@ -84,7 +84,7 @@
 	}
 	return caller.Request{
 		Addr: b.fleet.Nodes[n].CallersAddr(), ID: fmt.Sprintf("booking-%d", b.requests), Timeout: bookingTimeout, Method: "POST",
-		Path: path, Body: `{"hut":"h1","day":"d1"}`, Key: key, Idempotent: "false",
+		Path: path, Body: `{"hut":"h1","day":"d1"}`, IdempotencyKey: key, Idempotent: "false",
 	}
 }
 
@@ -264,7 +264,7 @@
 		is.NoErr(r.Err)
 		complete := answer.Text(q.ID, answerTokens)
 		switch {
-		case r.Whole:
+		case r.Completed:
 			is.Equal(r.Text, complete)
 			is.Equal(r.Run, "yes")
 		default:
@@ -273,7 +273,7 @@
 			is.True(r.Run != "no" || began == 0)
 		}
 		// A fault of a single engine does not fail the request.
-		is.True(r.Whole || len(targets) > 1)
+		is.True(r.Completed || len(targets) > 1)
 	})
 }
 
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -112,7 +112,7 @@
 	b.awaitInFlight(1)
 	is.True(b.fleet.Nodes[0].Stop() != nil) // Stop reports that a request was cut off
 	wg.Wait()
-	is.True(!r.Whole)
+	is.True(!r.Completed)
 	is.Equal(r.Kind, "cancelled")
 	is.True(r.Run != "no")
 	is.True(strings.HasPrefix(answer.Text("long", tokens), r.Text))
@@ -135,7 +135,7 @@
 			r := b.client.Do(q)
 			b.setFault(b.engines(), f, false)
 			is.NoErr(r.Err)
-			is.True(!r.Whole)
+			is.True(!r.Completed)
 			is.True(r.Kind != "")
 			is.True(r.Run == "no" || r.Run == "unknown" || r.Run == "yes")
 			eventually(t, "no prompt in flight after its deadline", func() bool { return b.engineInFlight() == 0 })
