--- a/cmd/damaskshelfd/main.go
+++ b/cmd/damaskshelfd/main.go
@@ -1,9 +1,10 @@
-// Command damaskshelfd is one entry instance of damaskshelf.
+// Command damaskshelfd runs one instance of damaskshelf.
 //
-// It reads its settings once, serves until SIGTERM or SIGINT, and then stops gracefully: requests in
-// flight are finished. Further SIGTERMs change nothing, since a platform may send more than one; a SIGINT
-// during the stop ends the requests that are left with an explicit error. Exit statuses:
-// 0 stopped whole, 1 failed, 2 bad settings or usage.
+// It reads its settings at the start and again when the file changes. It serves until SIGTERM or SIGINT, and then
+// stops gracefully: it waits for the requests in flight. During the stop, further SIGTERMs have no effect, since a
+// platform may send more than one; a SIGINT ends the requests still in flight with an explicit error.
+//
+// Exit statuses: 0 the graceful stop completed, 1 the start or the stop failed, 2 invalid settings or usage.
 package main
 
 import (
@@ -32,13 +33,13 @@
 	exitUsage  = 2
 )
 
-// logFlush bounds the writing of the last lines at the end.
-const logFlush = 200 * time.Millisecond
+// logFlushTimeout limits the time for writing the last log lines before the process exits.
+const logFlushTimeout = 200 * time.Millisecond
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// catchSignals asks for all signals that the process handles. A hangup whose default stays in force would
-// end the process with the requests in flight.
+// catchSignals registers for all signals that the process handles. SIGHUP must be among them: its default action ends
+// the process, and the requests in flight with it.
 func catchSignals() (hangups, stops <-chan os.Signal) {
 	h, s := make(chan os.Signal, 4), make(chan os.Signal, 2)
 	signal.Notify(h, syscall.SIGHUP)
@@ -46,7 +47,7 @@
 	return h, s
 }
 
-// run reads the arguments and settings and serves; it gives the exit status.
+// run parses the arguments, loads the settings and serves. It returns the exit status.
 func run(args []string, out, errOut io.Writer) int {
 	flags := flag.NewFlagSet("damaskshelfd", flag.ContinueOnError)
 	flags.SetOutput(errOut)
@@ -70,43 +71,47 @@
 		return exitDone
 	}
 	sink := logsink.New(out)
-	defer sink.Close(logFlush)
+	defer sink.Close(logFlushTimeout)
 	log := hclog.New(&hclog.LoggerOptions{Name: "damaskshelfd", Level: hclog.LevelFromString(s.LogLevel), Output: sink})
 	return serve(s, *path, log, sink, hangups, stops)
 }
 
-// instance is what the settings make of this process.
+// instance is the server that the process runs. The settings select its implementation.
 type instance interface {
 	Start() error
 	Stop() error
 	Abort()
-	// Reload puts what can change in force, and says what needs a restart.
+	// Reload applies the settings that can change at run time, and logs whether others need a restart.
 	Reload(api.Settings)
 }
 
-func assemble(s api.Settings, log hclog.Logger, sink *logsink.Sink) (instance, error) {
+// newInstance returns an instance that forwards routed requests if the settings have a routed part, and otherwise one
+// that serves completions and plain services.
+func newInstance(s api.Settings, log hclog.Logger, sink *logsink.Sink) (instance, error) {
 	if s.Routed == nil {
 		return node.New(s, node.Options{Log: log})
 	}
 	return routed.New(s, platform.NewAdapter(s.Routed.Store.Address), routed.Options{Log: log, DroppedLines: sink.Dropped})
 }
 
+// serve starts the instance, waits for a signal to stop and stops it. An interrupt during the stop aborts the requests
+// in flight. It returns the exit status.
 func serve(s api.Settings, path string, log hclog.Logger, sink *logsink.Sink, hangups, signals <-chan os.Signal) int {
-	n, err := assemble(s, log, sink)
+	inst, err := newInstance(s, log, sink)
 	if err == nil {
-		err = n.Start()
+		err = inst.Start()
 	}
 	if err != nil {
 		log.Error("not started", "error", err)
 		return exitFailed
 	}
-	reloading, endReloads := context.WithCancel(context.Background())
-	defer endReloads()
-	r := &reloader{path: path, log: log.Named("settings"), apply: n.Reload}
-	go r.run(reloading, hangups)
+	reloadCtx, stopReloads := context.WithCancel(context.Background())
+	defer stopReloads()
+	r := &reloader{path: path, log: log.Named("settings"), apply: inst.Reload}
+	go r.run(reloadCtx, hangups)
 	log.Info("signal", "name", <-signals)
 	stopped := make(chan error, 1)
-	go func() { stopped <- n.Stop() }()
+	go func() { stopped <- inst.Stop() }()
 	for {
 		select {
 		case err := <-stopped:
@@ -119,8 +124,8 @@
 				log.Info("already stopping", "signal", sig)
 				continue
 			}
-			log.Warn("interrupted: ending what is left")
-			n.Abort()
+			log.Warn("interrupted; aborting the requests still in flight")
+			inst.Abort()
 		}
 	}
 }
--- a/cmd/damaskshelfd/main_test.go
+++ b/cmd/damaskshelfd/main_test.go
@@ -12,9 +12,9 @@
 
 const example = "../../examples/coteau-entry-1.json"
 
-// An operator mistypes a setting. The daemon says which field, what stood there and what is allowed, and ends
-// with status 2 before it has bound an address.
-func TestBadSettingsEndWithStatusTwo(t *testing.T) {
+// If a setting is invalid, the daemon reports the field, its value and the allowed values, and exits with status 2
+// before it binds an address.
+func TestInvalidSettingsExitWithUsageStatus(t *testing.T) {
 	good, err := os.ReadFile(example)
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestCheckValidatesAndStops(t *testing.T) {
+func TestCheckFlagValidatesAndExits(t *testing.T) {
 	is := is.New(t)
 	var out, errOut bytes.Buffer
 	is.Equal(run([]string{"-check", "-settings", example}, &out, &errOut), exitDone)
--- a/cmd/damaskshelfd/reload.go
+++ b/cmd/damaskshelfd/reload.go
@@ -11,54 +11,54 @@
 	"github.com/damaskshelf/damaskshelf/api"
 )
 
-// lookEvery is how often the settings file is looked at: it may change without a signal.
-const lookEvery = 2 * time.Second
+// pollInterval is the interval at which the settings file is checked, as it may change without a signal.
+const pollInterval = 2 * time.Second
 
-// reloader reads the settings file again when it has changed. A bad file is kept out: the settings in force
-// stay, and a line says what is wrong and where.
+// reloader applies the settings file when it has changed. It doesn't apply an invalid file: the settings in force stay,
+// and a log line reports the path of the file and the error.
 type reloader struct {
-	path  string
-	seen  []byte // as last read
-	apply func(api.Settings)
-	log   hclog.Logger
+	path     string
+	lastRead []byte // content of the file when it was last read; empty: not read yet
+	apply    func(api.Settings)
+	log      hclog.Logger
 }
 
-// run looks at the file on each signal, and every lookEvery, until ctx ends.
+// run checks the file on each signal and every pollInterval until ctx ends.
 func (r *reloader) run(ctx context.Context, signals <-chan os.Signal) {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-signals:
-			r.look(true)
+			r.reloadIfChanged(true)
 		case <-tick.C:
-			r.look(false)
+			r.reloadIfChanged(false)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// look reads the file, and applies it if it differs from what was last read. asked tells that a signal asked
-// for it, which is answered by a line in any case.
-func (r *reloader) look(asked bool) {
+// reloadIfChanged reads the file, and applies it if it differs from lastRead. requested means that a signal caused the
+// check; in that case an unreadable or unchanged file is logged as well.
+func (r *reloader) reloadIfChanged(requested bool) {
 	data, err := os.ReadFile(r.path)
 	if err != nil {
-		if asked {
-			r.log.Error("settings can't be read: those in force stay", "error", err)
+		if requested {
+			r.log.Error("settings file cannot be read; the settings in force stay", "error", err)
 		}
 		return
 	}
-	if bytes.Equal(data, r.seen) {
-		if asked {
+	if bytes.Equal(data, r.lastRead) {
+		if requested {
 			r.log.Info("settings have not changed")
 		}
 		return
 	}
-	r.seen = data
+	r.lastRead = data
 	s, err := api.ParseSettings(data)
 	if err != nil {
-		r.log.Error("settings are bad: those in force stay", "path", r.path, "error", err)
+		r.log.Error("settings are invalid; the settings in force stay", "path", r.path, "error", err)
 		return
 	}
 	r.apply(s)
--- a/cmd/damaskshelfd/reload_test.go
+++ b/cmd/damaskshelfd/reload_test.go
@@ -16,21 +16,21 @@
 	"github.com/damaskshelf/damaskshelf/api"
 )
 
-// Requests are cut off when an operator changes the settings. The platform sends SIGHUP, nobody had asked for
-// the signal, and its default ends the process.
-func TestAHangupEndsNothing(t *testing.T) {
+// Guards against a settings change that aborts requests. The platform sends SIGHUP after the change; without a handler
+// the signal's default action ends the process.
+func TestHangupDoesNotEndProcess(t *testing.T) {
 	is := is.New(t)
 	hangups, _ := catchSignals()
-	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP)) // ends the test's process without a handler
+	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP)) // without a handler it ends the test process
 	select {
 	case <-hangups:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the signal did not come")
+		t.Fatal("SIGHUP was not received")
 	}
 }
 
-// A bad file is kept out with the field and value at fault, and the next good one comes in force.
-func TestABadFileIsKeptOut(t *testing.T) {
+// An invalid file is not applied, and the log names the field and its value. The next valid file is applied.
+func TestReloadRejectsInvalidFile(t *testing.T) {
 	is := is.New(t)
 	good, err := os.ReadFile(example)
 	is.NoErr(err)
@@ -39,13 +39,13 @@
 	var out bytes.Buffer
 	var applied []api.Settings
 	r := &reloader{
-		path: path, seen: good, log: hclog.New(&hclog.LoggerOptions{Output: &out}),
+		path: path, lastRead: good, log: hclog.New(&hclog.LoggerOptions{Output: &out}),
 		apply: func(s api.Settings) { applied = append(applied, s) },
 	}
-	r.look(true)
+	r.reloadIfChanged(true)
 	is.Equal(len(applied), 0) // nothing has changed
 	is.NoErr(os.WriteFile(path, bytes.Replace(good, []byte(`"queue_length": 512`), []byte(`"queue_length": -5`), 1), 0o600))
-	r.look(false)
+	r.reloadIfChanged(false)
 	is.Equal(len(applied), 0)
 	is.True(strings.Contains(out.String(), "limits.queue_length: -5 is not allowed"))
 	is.NoErr(os.WriteFile(path, bytes.Replace(good, []byte(`"queue_length": 512`), []byte(`"queue_length": 99`), 1), 0o600))
