--- a/cmd/damaskctl/client.go
+++ b/cmd/damaskctl/client.go
@@ -18,20 +18,21 @@
 )
 
 const (
-	defaultAddr = "127.0.0.1:8081"
-	tokenVar    = "DAMASKCTL_TOKEN_FILE"
-	callTimeout = 15 * time.Second // longer than the instance's own bound, so that its answer arrives
-	maxAnswer   = 8 << 20
+	defaultAddr    = "127.0.0.1:8081"
+	tokenFileEnv   = "DAMASKCTL_TOKEN_FILE"
+	callTimeout    = 15 * time.Second // longer than the instance's own limit, so that its answer arrives
+	maxAnswerBytes = 8 << 20
 )
 
-// environment is where a verb prints.
+// environment holds the standard streams of a command.
 type environment struct {
 	in  io.Reader
 	out io.Writer
 	err io.Writer
 }
 
-// envOf takes the environment out of a verb's arguments.
+// envOf returns the environment among the arguments of a command's Execute, or the process's output streams if there
+// is none.
 func envOf(args []any) environment {
 	if len(args) == 1 {
 		if e, ok := args[0].(environment); ok {
@@ -41,14 +42,14 @@
 	return environment{out: os.Stdout, err: os.Stderr}
 }
 
-// printer holds the flag by which a verb prints.
+// printer holds the flag that selects a command's output format.
 type printer struct{ output string }
 
-func (p *printer) setPrintFlag(f *flag.FlagSet) {
+func (p *printer) setOutputFlag(f *flag.FlagSet) {
 	f.StringVar(&p.output, "o", "text", "output `format`: text or json")
 }
 
-// target holds the flags by which every verb finds its instance.
+// target holds the flags that select the instance which a command calls.
 type target struct {
 	printer
 	addr      string
@@ -57,14 +58,16 @@
 
 func (t *target) setFlags(f *flag.FlagSet) {
 	f.StringVar(&t.addr, "addr", defaultAddr, "operators' `address` of any instance, IP and port")
-	f.StringVar(&t.tokenFile, "token-file", os.Getenv(tokenVar), "`file` with the operators' token; default $"+tokenVar)
-	t.setPrintFlag(f)
+	f.StringVar(&t.tokenFile, "token-file", os.Getenv(tokenFileEnv), "`file` with the operators' token; default $"+tokenFileEnv)
+	t.setOutputFlag(f)
 }
 
+// json reports whether the output format is JSON.
 func (p *printer) json() bool { return p.output == "json" }
 
-// usage refuses flags and arguments that make no sense.
-func (p *printer) usage(e environment, f *flag.FlagSet, args int) bool {
+// checkUsage reports whether the output format is valid and the command line has the required number of arguments. If
+// not, it prints the error.
+func (p *printer) checkUsage(e environment, f *flag.FlagSet, args int) bool {
 	switch {
 	case p.output != "text" && p.output != "json":
 		fmt.Fprintf(e.err, "-o %s is not allowed; allowed: text or json\n", p.output)
@@ -76,14 +79,14 @@
 	return false
 }
 
-// refusal is an error answer of the instance.
-type refusal struct {
+// errorResponse is an error that the instance returned.
+type errorResponse struct {
 	body       operate.ErrorBody
 	retryAfter string
 }
 
-// Error gives kind, run outcome and detail in one line.
-func (r *refusal) Error() string {
+// Error returns the error kind, whether the request ran, and the detail in one line.
+func (r *errorResponse) Error() string {
 	s := fmt.Sprintf("%s (run: %s): %s", r.body.Error, r.body.Run, r.body.Detail)
 	if r.retryAfter != "" {
 		s += "; come back after " + r.retryAfter + " s"
@@ -91,25 +94,25 @@
 	return s
 }
 
-// unreachable is a call without an answer: its outcome is not known.
-type unreachable struct{ cause error }
+// unreachableError is the error of a call that received no answer, so that its outcome is unknown.
+type unreachableError struct{ cause error }
 
-// Error gives the cause.
-func (u *unreachable) Error() string {
+// Error returns the cause as text.
+func (u *unreachableError) Error() string {
 	return fmt.Sprintf("no answer, the outcome is unknown: %v", u.cause)
 }
 
-// Unwrap gives the cause.
-func (u *unreachable) Unwrap() error { return u.cause }
+// Unwrap returns the cause.
+func (u *unreachableError) Unwrap() error { return u.cause }
 
-// call sends one request and decodes its answer into out. It is never repeated.
+// call sends one request and decodes the answer into out. It never retries.
 func (t *target) call(method, path string, body, out any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + t.addr + path)
 	req.Header.SetMethod(method)
-	// Without this each look of a long wait leaves a connection open, until the instance refuses more.
+	// Otherwise each status poll of a long wait leaves a connection open, until the instance refuses further ones.
 	req.SetConnectionClose()
 	if err := t.authorize(req); err != nil {
 		return err
@@ -123,15 +126,16 @@
 		req.SetBody(data)
 	}
 	client := fasthttp.Client{
-		MaxResponseBodySize: maxAnswer,
+		MaxResponseBodySize: maxAnswerBytes,
 		RetryIfErr:          func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
 	if err := client.DoTimeout(req, resp, callTimeout); err != nil {
-		return &unreachable{cause: err}
+		return &unreachableError{cause: err}
 	}
 	return decodeAnswer(resp, out)
 }
 
+// authorize adds the operators' token to the request if a token file is set.
 func (t *target) authorize(req *fasthttp.Request) error {
 	if t.tokenFile == "" {
 		return nil
@@ -144,6 +148,8 @@
 	return nil
 }
 
+// decodeAnswer decodes an answer with status 200 into out. It returns any other answer as an *errorResponse, or as a
+// plain error if its body names no error kind.
 func decodeAnswer(resp *fasthttp.Response, out any) error {
 	if resp.StatusCode() == fasthttp.StatusOK {
 		if err := json.Unmarshal(resp.Body(), out); err != nil {
@@ -151,21 +157,21 @@
 		}
 		return nil
 	}
-	r := &refusal{retryAfter: string(resp.Header.Peek(fasthttp.HeaderRetryAfter))}
+	r := &errorResponse{retryAfter: string(resp.Header.Peek(fasthttp.HeaderRetryAfter))}
 	if err := json.Unmarshal(resp.Body(), &r.body); err != nil || r.body.Error == "" {
 		return fmt.Errorf("status %d without a known error kind", resp.StatusCode())
 	}
 	return r
 }
 
-// exit prints an error and gives its exit status.
-func exit(e environment, err error) subcommands.ExitStatus {
+// reportError prints the error, if any, and returns the exit status for it.
+func reportError(e environment, err error) subcommands.ExitStatus {
 	if err == nil {
 		return exitDone
 	}
 	fmt.Fprintln(e.err, err)
-	var r *refusal
-	var u *unreachable
+	var r *errorResponse
+	var u *unreachableError
 	switch {
 	case errors.As(err, &u):
 		return exitUnreachable
@@ -180,7 +186,7 @@
 	}
 }
 
-// print writes v as JSON if that is asked for, else as text.
+// print writes v as JSON if the flag selects it, and otherwise as text.
 func (p *printer) print(e environment, v any, text func(io.Writer)) {
 	if !p.json() {
 		text(e.out)
--- a/cmd/damaskctl/drain.go
+++ b/cmd/damaskctl/drain.go
@@ -9,15 +9,16 @@
 	"github.com/damaskshelf/damaskshelf/api"
 )
 
-type drainVerb struct {
+// drainCommand plans to take a failure domain out of service, or takes it out at once through the metadata store.
+type drainCommand struct {
 	target
 	storeTarget
 	force bool
 }
 
-func (*drainVerb) Name() string     { return "drain" }
-func (*drainVerb) Synopsis() string { return "plan to take a failure domain out of service" }
-func (*drainVerb) Usage() string {
+func (*drainCommand) Name() string     { return "drain" }
+func (*drainCommand) Synopsis() string { return "plan to take a failure domain out of service" }
+func (*drainCommand) Usage() string {
 	return `damaskctl drain [-force] [-addr IP:PORT] [-token-file FILE] [-o json] FAILURE-DOMAIN
 damaskctl drain -store IP:PORT FAILURE-DOMAIN
 Shows what is lost with the failure domain, what would be refused and whether the rest can carry it.
@@ -27,19 +28,19 @@
 `
 }
 
-func (v *drainVerb) SetFlags(f *flag.FlagSet) {
-	v.setFlags(f)
-	v.setStoreFlag(f)
-	f.BoolVar(&v.force, "force", false, "accept a plan that leaves a model without an engine")
+func (cmd *drainCommand) SetFlags(f *flag.FlagSet) {
+	cmd.setFlags(f)
+	cmd.setStoreFlag(f)
+	f.BoolVar(&cmd.force, "force", false, "accept a plan that leaves a model without an engine")
 }
 
-func (v *drainVerb) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
+func (cmd *drainCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
-	if !v.usage(e, f, 1) {
+	if !cmd.checkUsage(e, f, 1) {
 		return exitUsage
 	}
-	if v.storeAddr != "" {
-		return v.move(e, f.Arg(0), true)
+	if cmd.storeAddr != "" {
+		return cmd.setDomainOut(e, f.Arg(0), true)
 	}
-	return v.propose(e, api.Change{Drain: f.Arg(0), Force: v.force})
+	return cmd.propose(e, api.Change{Drain: f.Arg(0), Force: cmd.force})
 }
--- a/cmd/damaskctl/explain.go
+++ b/cmd/damaskctl/explain.go
@@ -15,41 +15,43 @@
 	"github.com/damaskshelf/damaskshelf/internal/operate/query"
 )
 
-type explainVerb struct {
+// explainCommand prints the decisions on a request, as kept by an instance or from logs.
+type explainCommand struct {
 	target
-	logs string // file with logs of instances; "-": standard input
+	logFile string // file with logs of instances; "-": standard input
 }
 
-func (*explainVerb) Name() string     { return "explain" }
-func (*explainVerb) Synopsis() string { return "show why a request was decided as it was" }
-func (*explainVerb) Usage() string {
+func (*explainCommand) Name() string     { return "explain" }
+func (*explainCommand) Synopsis() string { return "show the decisions on a request and their reasons" }
+func (*explainCommand) Usage() string {
 	return `damaskctl explain [-addr IP:PORT] [-token-file FILE] [-o json] REQUEST-ID
-Prints the decision lines that the instance keeps for the request. Ask the instance that took it.
+Prints the decision lines that the instance keeps for the request. Ask the instance that received it.
 
 damaskctl explain -log FILE REQUEST-ID
 Reads logs of one or more instances, in any order, from FILE or from standard input ("-"), and prints the
-request's lines with what the instances came to believe around them. Exit status 1: no line names it.
+lines of the request, with the state changes that the same instances logged around that time: of the
+request's upstreams, the configuration, the store and the dispatcher. Exit status 1: no line names the request.
 `
 }
 
-func (v *explainVerb) SetFlags(f *flag.FlagSet) {
-	v.setFlags(f)
-	f.StringVar(&v.logs, "log", "", "read logs from this file instead of asking an instance; \"-\" is standard input")
+func (cmd *explainCommand) SetFlags(f *flag.FlagSet) {
+	cmd.setFlags(f)
+	f.StringVar(&cmd.logFile, "log", "", "read logs from this file instead of asking an instance; \"-\" is standard input")
 }
 
-func (v *explainVerb) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
+func (cmd *explainCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
-	if !v.usage(e, f, 1) {
+	if !cmd.checkUsage(e, f, 1) {
 		return exitUsage
 	}
-	if v.logs != "" {
-		return v.fromLogs(e, f.Arg(0))
+	if cmd.logFile != "" {
+		return cmd.explainFromLogs(e, f.Arg(0))
 	}
 	var d query.Decisions
-	if err := v.call(fasthttp.MethodGet, planPath(operate.PathExplain, f.Arg(0)), nil, &d); err != nil {
-		return exit(e, err)
+	if err := cmd.call(fasthttp.MethodGet, pathWithID(operate.PathExplain, f.Arg(0)), nil, &d); err != nil {
+		return reportError(e, err)
 	}
-	v.print(e, d, func(w io.Writer) {
+	cmd.print(e, d, func(w io.Writer) {
 		for _, line := range d.Lines {
 			fmt.Fprintln(w, line)
 		}
@@ -57,25 +59,26 @@
 	return exitDone
 }
 
-// fromLogs explains the request from logs.
-func (v *explainVerb) fromLogs(e environment, id string) subcommands.ExitStatus {
-	all, ok := readLogs(e, v.logs)
+// explainFromLogs prints the log lines that explain the request.
+func (cmd *explainCommand) explainFromLogs(e environment, id string) subcommands.ExitStatus {
+	lines, ok := readLogs(e, cmd.logFile)
 	if !ok {
 		return exitFailed
 	}
-	story := explain.Story(all, id)
-	if len(story) == 0 {
-		fmt.Fprintf(e.err, "damaskctl: no line of %d names request %q\n", len(all), id)
+	related := explain.Story(lines, id)
+	if len(related) == 0 {
+		fmt.Fprintf(e.err, "damaskctl: none of %d lines names request %q\n", len(lines), id)
 		return exitFailed
 	}
-	for _, l := range story {
+	for _, l := range related {
 		fmt.Fprintln(e.out, l)
 	}
 	return exitDone
 }
 
-// readLogs reads a file with logs of instances; "-" is standard input.
-func readLogs(e environment, name string) (all []explain.Line, ok bool) {
+// readLogs reads a file with logs of instances; "-" is standard input. It prints an error and returns false if the
+// logs cannot be read.
+func readLogs(e environment, name string) (lines []explain.Line, ok bool) {
 	in := e.in
 	if name != "-" {
 		file, err := os.Open(name)
@@ -86,13 +89,13 @@
 		defer func() { _ = file.Close() }()
 		in = file
 	}
-	all, passedOver, err := explain.ReadLines(in)
+	lines, skipped, err := explain.ReadLines(in)
 	if err != nil {
 		fmt.Fprintln(e.err, "damaskctl: read logs:", err)
 		return nil, false
 	}
-	if passedOver > 0 {
-		fmt.Fprintf(e.err, "damaskctl: passed over %d lines of %s that are no log lines of an instance\n", passedOver, name)
+	if skipped > 0 {
+		fmt.Fprintf(e.err, "damaskctl: skipped %d lines of %s that are not log lines of an instance\n", skipped, name)
 	}
-	return all, true
+	return lines, true
 }
--- a/cmd/damaskctl/losses.go
+++ b/cmd/damaskctl/losses.go
@@ -13,54 +13,55 @@
 	"github.com/damaskshelf/damaskshelf/internal/losses"
 )
 
-// lossesVerb tells from logs where service was lost.
-type lossesVerb struct {
+// lossesCommand counts from logs the requests that were not answered in time, by cause and time window.
+type lossesCommand struct {
 	printer
-	logs  string
-	every time.Duration
-	plot  string
-	// stages has it tell where answered requests' time went instead.
+	logFile  string
+	window   time.Duration
+	plotFile string
+	// stages selects the time that answered requests spent in each stage, instead of the causes and the windows.
 	stages bool
 }
 
-func (*lossesVerb) Name() string { return "losses" }
-func (*lossesVerb) Synopsis() string {
+func (*lossesCommand) Name() string { return "losses" }
+func (*lossesCommand) Synopsis() string {
 	return "sum up from logs which requests were not answered in time, and why"
 }
-func (*lossesVerb) Usage() string {
+func (*lossesCommand) Usage() string {
 	return `damaskctl losses -log FILE [-every 2s] [-stages] [-o text|json] [-plot FILE.svg]
 Reads logs of the instances, in any order, from FILE or from standard input ("-"). Prints for each kind of
-request, and each span of time, how many were answered whole and in time, and what the others were lost to. An
-attempt of a caller counts as a request. With -stages it prints and draws where the time of answered requests went:
-waiting for a place, from there to the first event, from the first event to the last. docs/OPERATIONS.md explains the causes.
+request, and for each time window, how many were answered completely and in time, and why the others were not. Each
+attempt of a caller counts as a request. With -stages it prints and draws how long answered requests spent in each
+stage: until they are sent to an upstream, from there to the first event, from the first event to the last.
+docs/OPERATIONS.md explains the causes.
 `
 }
 
-func (v *lossesVerb) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&v.logs, "log", "", "`file` with logs of instances; \"-\" is standard input")
-	v.setPrintFlag(f)
-	f.DurationVar(&v.every, "every", 2*time.Second, "length of the spans of time")
-	f.BoolVar(&v.stages, "stages", false, "tell where the time of answered requests went")
-	f.StringVar(&v.plot, "plot", "", "draw the causes over time, or the stages, into this `file`, as SVG")
+func (cmd *lossesCommand) SetFlags(f *flag.FlagSet) {
+	f.StringVar(&cmd.logFile, "log", "", "`file` with logs of instances; \"-\" is standard input")
+	cmd.setOutputFlag(f)
+	f.DurationVar(&cmd.window, "every", 2*time.Second, "length of the time windows")
+	f.BoolVar(&cmd.stages, "stages", false, "show how long answered requests spent in each stage")
+	f.StringVar(&cmd.plotFile, "plot", "", "draw the causes over time, or the stages, into this `file`, as SVG")
 }
 
-func (v *lossesVerb) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
+func (cmd *lossesCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
-	if !v.usable(e, f) {
+	if !cmd.checkFlags(e, f) {
 		return exitUsage
 	}
-	all, ok := readLogs(e, v.logs)
+	lines, ok := readLogs(e, cmd.logFile)
 	if !ok {
 		return exitFailed
 	}
-	report := losses.Read(all, v.every)
-	if v.plot != "" {
+	report := losses.Read(lines, cmd.window)
+	if cmd.plotFile != "" {
 		draw := report.Draw
-		if v.stages {
+		if cmd.stages {
 			draw = report.DrawStages
 		}
-		if err := draw(v.plot); err != nil {
-			fmt.Fprintf(e.err, "damaskctl: -plot %s: %v\n", v.plot, err)
+		if err := draw(cmd.plotFile); err != nil {
+			fmt.Fprintf(e.err, "damaskctl: -plot %s: %v\n", cmd.plotFile, err)
 			return exitFailed
 		}
 	}
@@ -68,26 +69,27 @@
 		fmt.Fprintf(e.err, "damaskctl: not counted: %s\n", p)
 	}
 	show := printLosses
-	if v.stages {
+	if cmd.stages {
 		show = printStages
 	}
-	v.print(e, report, func(w io.Writer) { show(w, report) })
+	cmd.print(e, report, func(w io.Writer) { show(w, report) })
 	return exitDone
 }
 
-// usable refuses flags and arguments that make no sense.
-func (v *lossesVerb) usable(e environment, f *flag.FlagSet) bool {
+// checkFlags reports whether the command line is valid. If not, it prints the error.
+func (cmd *lossesCommand) checkFlags(e environment, f *flag.FlagSet) bool {
 	switch {
-	case v.logs == "":
+	case cmd.logFile == "":
 		fmt.Fprintln(e.err, "-log is missing: name a file, or \"-\" for standard input")
-	case v.every <= 0:
-		fmt.Fprintf(e.err, "-every %s is not allowed; allowed: above 0\n", v.every)
+	case cmd.window <= 0:
+		fmt.Fprintf(e.err, "-every %s is not allowed; allowed: above 0\n", cmd.window)
 	default:
-		return v.usage(e, f, 0)
+		return cmd.checkUsage(e, f, 0)
 	}
 	return false
 }
 
+// printLosses prints a table of causes with a column for each kind of request, and the time windows below it.
 func printLosses(out io.Writer, r *losses.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "cause\t")
@@ -120,28 +122,30 @@
 	printWindows(out, r.Windows)
 }
 
-func printWindows(out io.Writer, all []losses.Window) {
+// printWindows prints how many requests of each time window had which outcome, and the most frequent cause of loss.
+func printWindows(out io.Writer, windows []losses.Window) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "from\tasked\tin time\tlate\trefused\tfailed\tleft\tmost by\t")
-	for _, span := range all {
-		o := span.Outcomes
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t\n", span.From.UTC().Format("15:04:05"), span.Asked(),
-			o[losses.InTime], o[losses.Late], o[losses.Refused], o[losses.Failed], o[losses.Left], worst(span))
+	for _, window := range windows {
+		o := window.Outcomes
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t\n", window.From.UTC().Format("15:04:05"), window.Asked(),
+			o[losses.InTime], o[losses.Late], o[losses.Refused], o[losses.Failed], o[losses.Left], topCause(window))
 	}
 	_ = w.Flush()
 }
 
-// worst names the cause of most of a span's losses.
-func worst(span losses.Window) string {
-	name, most := "", 0
+// topCause returns the most frequent cause of a window's losses with its count, or nothing if there were no losses.
+func topCause(window losses.Window) string {
+	top, most := "", 0
 	for _, c := range losses.Causes {
-		if n := span.Causes[c]; n > most {
-			name, most = fmt.Sprintf("%s (%d)", c, n), n
+		if n := window.Causes[c]; n > most {
+			top, most = fmt.Sprintf("%s (%d)", c, n), n
 		}
 	}
-	return name
+	return top
 }
 
+// printStages prints the percentiles of the time that answered requests spent in each stage.
 func printStages(out io.Writer, r *losses.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "requests\tstage\tanswered\tp50 ms\tp95 ms\tp99 ms\tmost ms\t")
--- a/cmd/damaskctl/losses_test.go
+++ b/cmd/damaskctl/losses_test.go
@@ -21,25 +21,27 @@
 	goldenLosses = "testdata/losses.golden"
 )
 
+// runLosses runs the command with the arguments and in as standard input. It returns the exit status and what the
+// command wrote to standard output and to standard error.
 func runLosses(t *testing.T, in string, args ...string) (subcommands.ExitStatus, string, string) {
 	t.Helper()
-	verb := &lossesVerb{}
-	f := flag.NewFlagSet(verb.Name(), flag.ContinueOnError)
-	verb.SetFlags(f)
+	cmd := &lossesCommand{}
+	f := flag.NewFlagSet(cmd.Name(), flag.ContinueOnError)
+	cmd.SetFlags(f)
 	if err := f.Parse(args); err != nil {
 		t.Fatal(err)
 	}
 	var out, errs bytes.Buffer
-	status := verb.Execute(context.Background(), f, environment{in: strings.NewReader(in), out: &out, err: &errs})
+	status := cmd.Execute(context.Background(), f, environment{in: strings.NewReader(in), out: &out, err: &errs})
 	return status, out.String(), errs.String()
 }
 
-// An operator asks from logs alone where service was lost.
-func TestLossesAreToldByCauseAndTime(t *testing.T) {
+// The command derives the lost requests, their causes and their time windows from logs alone.
+func TestLossesByCauseAndTime(t *testing.T) {
 	is := is.New(t)
 	code, out, errs := runLosses(t, "", "-log", lossesLog)
 	is.Equal(code, exitDone)
-	is.True(strings.Contains(errs, "passed over 1 lines"))
+	is.True(strings.Contains(errs, "skipped 1 lines"))
 	if *update {
 		is.NoErr(os.WriteFile(goldenLosses, []byte(out), 0o644))
 	}
@@ -48,37 +50,37 @@
 	is.Equal(out, string(want))
 }
 
-// The same from standard input as JSON, and drawn.
-func TestLossesAsJSONAndDrawn(t *testing.T) {
+// The command reads logs from standard input, prints JSON and draws the plot.
+func TestLossesAsJSONAndPlot(t *testing.T) {
 	is := is.New(t)
 	raw, err := os.ReadFile(lossesLog)
 	is.NoErr(err)
-	drawing := filepath.Join(t.TempDir(), "losses.svg")
-	code, out, _ := runLosses(t, string(raw), "-log", "-", "-o", "json", "-plot", drawing)
+	plot := filepath.Join(t.TempDir(), "losses.svg")
+	code, out, _ := runLosses(t, string(raw), "-log", "-", "-o", "json", "-plot", plot)
 	is.Equal(code, exitDone)
 	var r losses.Report
 	is.NoErr(json.Unmarshal([]byte(out), &r))
 	is.Equal(r.NotOwed, 1)
-	svg, err := os.ReadFile(drawing)
+	svg, err := os.ReadFile(plot)
 	is.NoErr(err)
 	is.True(bytes.Contains(svg, []byte("refused_no_slack")))
 }
 
-// The stages of the same requests, as a table and drawn.
-func TestStagesAreToldAndDrawn(t *testing.T) {
+// With -stages the command prints a table of the stages and draws their plot.
+func TestStagesAsTableAndPlot(t *testing.T) {
 	is := is.New(t)
-	drawing := filepath.Join(t.TempDir(), "stages.svg")
-	code, out, errs := runLosses(t, "", "-log", lossesLog, "-stages", "-plot", drawing)
+	plot := filepath.Join(t.TempDir(), "stages.svg")
+	code, out, errs := runLosses(t, "", "-log", lossesLog, "-stages", "-plot", plot)
 	is.Equal(code, exitDone)
 	is.True(strings.Contains(errs, "not counted: line "))
 	is.True(strings.Contains(out, "short  place"))
-	svg, err := os.ReadFile(drawing)
+	svg, err := os.ReadFile(plot)
 	is.NoErr(err)
 	is.True(bytes.Contains(svg, []byte("short rest")))
 }
 
-// A bad flag is named with its value, and nothing is printed as if it were an account.
-func TestLossesNameABadFlag(t *testing.T) {
+// An invalid flag is reported with its value, and nothing is printed to standard output.
+func TestLossesErrorNamesInvalidFlag(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
 		args []string
--- a/cmd/damaskctl/main.go
+++ b/cmd/damaskctl/main.go
@@ -1,7 +1,7 @@
-// Command damaskctl is the operators' tool.
+// Command damaskctl is the command-line tool for operators.
 //
-// Exit statuses: 0 done; 1 failed; 2 usage; 3 conflict, the plan no longer holds; 4 the instance can't be
-// reached or the outcome is unknown.
+// Exit statuses: 0 done; 1 failed; 2 usage; 3 conflict, the plan is no longer valid; 4 the instance is unreachable or
+// the outcome is unknown.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/google/subcommands"
 )
 
-// Exit statuses of all verbs.
+// Exit statuses of all commands.
 const (
 	exitDone        = subcommands.ExitSuccess
 	exitFailed      = subcommands.ExitFailure
@@ -24,17 +24,17 @@
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
-	for _, c := range verbs() {
+	for _, c := range commands() {
 		subcommands.Register(c, "")
 	}
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background(), environment{in: os.Stdin, out: os.Stdout, err: os.Stderr})))
 }
 
-// verbs lists every verb; each has its own file.
-func verbs() []subcommands.Command {
+// commands returns all commands; each has its own file.
+func commands() []subcommands.Command {
 	return []subcommands.Command{
-		&statusVerb{}, &planVerb{}, &confirmVerb{}, &stopVerb{}, &drainVerb{}, &restoreVerb{},
-		&explainVerb{}, &lossesVerb{}, &versionVerb{}, &demoVerb{},
+		&statusCommand{}, &planCommand{}, &confirmCommand{}, &stopCommand{}, &drainCommand{}, &restoreCommand{},
+		&explainCommand{}, &lossesCommand{}, &versionCommand{}, &demoCommand{},
 	}
 }
--- a/cmd/damaskctl/plan.go
+++ b/cmd/damaskctl/plan.go
@@ -14,50 +14,51 @@
 	"github.com/damaskshelf/damaskshelf/internal/operate"
 )
 
-type planVerb struct {
+// planCommand requests a plan for an intent from an instance.
+type planCommand struct {
 	target
 	file  string
 	force bool
 }
 
-func (*planVerb) Name() string     { return "plan" }
-func (*planVerb) Synopsis() string { return "show what an intent would change; nothing is changed" }
-func (*planVerb) Usage() string {
+func (*planCommand) Name() string     { return "plan" }
+func (*planCommand) Synopsis() string { return "show what an intent would change; nothing is changed" }
+func (*planCommand) Usage() string {
 	return `damaskctl plan -f INTENT.json [-force] [-addr IP:PORT] [-token-file FILE] [-o json]
 Makes a plan from the intent and keeps it. 'damaskctl confirm PLAN' carries it out.
 -force accepts a plan that takes a model below its floor; the plan says which.
 `
 }
 
-func (v *planVerb) SetFlags(f *flag.FlagSet) {
-	v.setFlags(f)
-	f.StringVar(&v.file, "f", "", "intent `file`")
-	f.BoolVar(&v.force, "force", false, "accept a plan that breaks a floor")
+func (cmd *planCommand) SetFlags(f *flag.FlagSet) {
+	cmd.setFlags(f)
+	f.StringVar(&cmd.file, "f", "", "intent `file`")
+	f.BoolVar(&cmd.force, "force", false, "accept a plan that breaks a floor")
 }
 
-func (v *planVerb) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
+func (cmd *planCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
-	if !v.usage(e, f, 0) {
+	if !cmd.checkUsage(e, f, 0) {
 		return exitUsage
 	}
-	data, err := os.ReadFile(v.file)
+	data, err := os.ReadFile(cmd.file)
 	if err != nil {
 		fmt.Fprintf(e.err, "-f: %v\n", err)
 		return exitUsage
 	}
 	intent, err := api.ParseIntent(data)
 	if err != nil {
-		fmt.Fprintf(e.err, "%s: %v\n", v.file, err)
+		fmt.Fprintf(e.err, "%s: %v\n", cmd.file, err)
 		return exitUsage
 	}
-	return v.propose(e, api.Change{Intent: &intent, Force: v.force})
+	return cmd.propose(e, api.Change{Intent: &intent, Force: cmd.force})
 }
 
-// propose asks for a plan of the change and prints it.
+// propose requests a plan for the change from the instance and prints it.
 func (t *target) propose(e environment, change api.Change) subcommands.ExitStatus {
 	var p api.Plan
 	if err := t.call(fasthttp.MethodPost, operate.PathPlans, change, &p); err != nil {
-		return exit(e, err)
+		return reportError(e, err)
 	}
 	t.print(e, p, func(w io.Writer) { printPlan(w, p) })
 	return exitDone
@@ -89,6 +90,7 @@
 	}
 }
 
+// describeStep returns the action of a step, its model or adapter, and the size of the weights to load.
 func describeStep(s api.Step) string {
 	what := s.Model + "@" + s.Version
 	if s.Adapter != "" {
--- a/cmd/damaskctl/restore.go
+++ b/cmd/damaskctl/restore.go
@@ -9,14 +9,15 @@
 	"github.com/damaskshelf/damaskshelf/api"
 )
 
-type restoreVerb struct {
+// restoreCommand plans to bring a failure domain back, or brings it back at once through the metadata store.
+type restoreCommand struct {
 	target
 	storeTarget
 }
 
-func (*restoreVerb) Name() string     { return "restore" }
-func (*restoreVerb) Synopsis() string { return "plan to bring a failure domain back into service" }
-func (*restoreVerb) Usage() string {
+func (*restoreCommand) Name() string     { return "restore" }
+func (*restoreCommand) Synopsis() string { return "plan to bring a failure domain back into service" }
+func (*restoreCommand) Usage() string {
 	return `damaskctl restore [-addr IP:PORT] [-token-file FILE] [-o json] FAILURE-DOMAIN
 damaskctl restore -store IP:PORT FAILURE-DOMAIN
 Shows what comes back. Nothing changes before 'damaskctl confirm PLAN'. The failure domain's upstreams
@@ -25,18 +26,18 @@
 `
 }
 
-func (v *restoreVerb) SetFlags(f *flag.FlagSet) {
-	v.setFlags(f)
-	v.setStoreFlag(f)
+func (cmd *restoreCommand) SetFlags(f *flag.FlagSet) {
+	cmd.setFlags(f)
+	cmd.setStoreFlag(f)
 }
 
-func (v *restoreVerb) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
+func (cmd *restoreCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
-	if !v.usage(e, f, 1) {
+	if !cmd.checkUsage(e, f, 1) {
 		return exitUsage
 	}
-	if v.storeAddr != "" {
-		return v.move(e, f.Arg(0), false)
+	if cmd.storeAddr != "" {
+		return cmd.setDomainOut(e, f.Arg(0), false)
 	}
-	return v.propose(e, api.Change{Restore: f.Arg(0)})
+	return cmd.propose(e, api.Change{Restore: f.Arg(0)})
 }
--- a/cmd/damaskctl/session_test.go
+++ b/cmd/damaskctl/session_test.go
@@ -27,22 +27,23 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 const goldenSession = "testdata/session.golden"
 
-// hangGuard bounds waits that end in seconds when all is well.
-const hangGuard = 60 * time.Second
+// testTimeout limits waits that normally end within seconds.
+const testTimeout = 60 * time.Second
 
-// session types an operator's commands and notes what is seen.
+// session runs an operator's commands against a fleet and records them with their output.
 type session struct {
-	t     *testing.T
-	fleet *local.Fleet
-	dir   string
-	text  bytes.Buffer
-	plans []string // ids in the order in which they were first shown
+	t          *testing.T
+	fleet      *local.Fleet
+	dir        string
+	transcript bytes.Buffer
+	planIDs    []string // in the order in which they were first printed
 }
 
+// startSession starts a fleet of three instances and six engines, and returns a session with it.
 func startSession(t *testing.T) *session {
 	t.Helper()
 	f, err := local.Start(local.Config{
@@ -62,24 +63,25 @@
 	return &session{t: t, fleet: f, dir: t.TempDir()}
 }
 
-// file writes a file that commands name as DIR/name.
-func (s *session) file(name, text string) {
+// writeFile writes a file that commands refer to as DIR/name.
+func (s *session) writeFile(name, text string) {
 	if err := os.WriteFile(filepath.Join(s.dir, name), []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// run carries out one command line as main does and gives its output and exit status.
+// run runs one command line against the first instance. It returns the output and the exit status.
 func (s *session) run(line string) (string, subcommands.ExitStatus) {
 	args := strings.Fields(strings.ReplaceAll(line, "DIR", s.dir))
-	return command(s.t, slices.Concat(args[:1], []string{"-addr", s.fleet.Nodes[0].OperatorsAddr()}, args[1:])...)
+	return runCommand(s.t, slices.Concat(args[:1], []string{"-addr", s.fleet.Nodes[0].OperatorsAddr()}, args[1:])...)
 }
 
-func command(t *testing.T, args ...string) (string, subcommands.ExitStatus) {
+// runCommand runs damaskctl with the arguments as main does. It returns the output and the exit status.
+func runCommand(t *testing.T, args ...string) (string, subcommands.ExitStatus) {
 	set := flag.NewFlagSet("damaskctl", flag.ContinueOnError)
 	commander := subcommands.NewCommander(set, "damaskctl")
-	for _, v := range verbs() {
-		commander.Register(v, "")
+	for _, c := range commands() {
+		commander.Register(c, "")
 	}
 	if err := set.Parse(args); err != nil {
 		t.Fatal(err)
@@ -89,53 +91,55 @@
 	return out.String(), status
 }
 
-// do runs a command and notes it with its output and exit status.
+// do runs a command, and records it with its output and exit status. PLAN1 in the line stands for the id of
+// the plan that was printed first, and so on.
 func (s *session) do(line string) subcommands.ExitStatus {
-	for i, id := range s.plans {
+	for i, id := range s.planIDs {
 		line = strings.ReplaceAll(line, fmt.Sprintf("PLAN%d", i+1), id)
 	}
 	out, status := s.run(line)
-	fmt.Fprintf(&s.text, "$ damaskctl %s\n%s(exit status %d)\n\n", line, out, status)
+	fmt.Fprintf(&s.transcript, "$ damaskctl %s\n%s(exit status %d)\n\n", line, out, status)
 	for _, m := range planID.FindAllString(out, -1) {
-		if !slices.Contains(s.plans, m) {
-			s.plans = append(s.plans, m)
+		if !slices.Contains(s.planIDs, m) {
+			s.planIDs = append(s.planIDs, m)
 		}
 	}
 	return status
 }
 
-// await waits until the status shows what it should; only the last look is noted, by do.
-func (s *session) await(what string) {
+// awaitStatus waits until the output of the status command contains the text. It records nothing.
+func (s *session) awaitStatus(text string) {
 	s.t.Helper()
-	for deadline := time.Now().Add(hangGuard); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
 		out, _ := s.run("status")
-		if strings.Contains(out, what) {
+		if strings.Contains(out, text) {
 			return
 		}
 		if time.Now().After(deadline) {
-			s.t.Fatalf("never %q:\n%s", what, out)
+			s.t.Fatalf("the status never contained %q:\n%s", text, out)
 		}
 	}
 }
 
 var (
-	planID    = regexp.MustCompile(`[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}`)
-	version   = regexp.MustCompile(`version \d+`)
-	spreading = regexp.MustCompile(`(?m)^in force on [0-2] of 3 instances\n`)
+	planID        = regexp.MustCompile(`[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}`)
+	version       = regexp.MustCompile(`version \d+`)
+	partlyInForce = regexp.MustCompile(`(?m)^in force on [0-2] of 3 instances\n`)
 )
 
-// canonical numbers plans and configuration versions in the order in which they appear, and leaves out
-// the looks between confirmation and the moment when all instances have it.
+// canonical returns the transcript with plans and configuration versions numbered in the order in which they appear,
+// and without the lines printed while a confirmed version is not yet in force on all instances.
 func (s *session) canonical() string {
-	text := strings.ReplaceAll(s.text.String(), s.dir, "DIR")
-	text = spreading.ReplaceAllString(text, "")
-	text = number(planID, text, "PLAN")
-	return number(version, text, "version V")
+	text := strings.ReplaceAll(s.transcript.String(), s.dir, "DIR")
+	text = partlyInForce.ReplaceAllString(text, "")
+	text = numberMatches(planID, text, "PLAN")
+	return numberMatches(version, text, "version V")
 }
 
-func number(what *regexp.Regexp, text, name string) string {
+// numberMatches replaces each distinct match of the pattern by name and a number, counted from 1 by first appearance.
+func numberMatches(pattern *regexp.Regexp, text, name string) string {
 	var seen []string
-	return what.ReplaceAllStringFunc(text, func(found string) string {
+	return pattern.ReplaceAllStringFunc(text, func(found string) string {
 		i := slices.Index(seen, found)
 		if i < 0 {
 			seen = append(seen, found)
@@ -147,22 +151,22 @@
 
 const intentV2 = `{"models": [{"name": "guidebot", "version": "v2", "replicas": 6, "floor": 4, "weight_gb": 40}]}`
 
-// A whole operator's day against instances and stand-ins: look, plan a new version, confirm, watch it
-// being worked off, race another operator, take a failure domain out and bring it back, stop a plan.
+// Runs all of an operator's tasks against instances and stand-ins: read the status, plan a new version, confirm it, wait
+// for its execution, conflict with another operator, take a failure domain out and bring it back, stop a plan.
 func TestOperatorSession(t *testing.T) {
 	is := is.New(t)
 	s := startSession(t)
-	s.file("intent.json", intentV2)
-	s.file("bad.json", `{"models": [{"name": "guidebot", "version": "v2", "replicas": 2, "floor": 3}]}`)
+	s.writeFile("intent.json", intentV2)
+	s.writeFile("bad.json", `{"models": [{"name": "guidebot", "version": "v2", "replicas": 2, "floor": 3}]}`)
 
-	s.await("on 3 of 3 instances")
+	s.awaitStatus("on 3 of 3 instances")
 	is.Equal(s.do("status"), exitDone)
 	is.Equal(s.do("plan -f DIR/bad.json"), exitUsage)
 	is.Equal(s.do("plan -f DIR/intent.json"), exitDone)
 	is.Equal(s.do("drain mid-ice"), exitDone) // another operator, from the same version
 	is.Equal(s.do("confirm -wait 30s PLAN2"), exitDone)
 	is.Equal(s.do("confirm PLAN3"), exitConflict)
-	s.await("progress       6 of 6 steps")
+	s.awaitStatus("progress       6 of 6 steps")
 	is.Equal(s.do("status"), exitDone)
 	is.Equal(s.do("drain nowhere"), exitFailed)
 	is.Equal(s.do("drain mid-ice"), exitDone)
@@ -195,19 +199,19 @@
 	}
 	is.Equal(s.fleet.Cluster.Weights.Counts().TakenGB, 240.0) // six loads of 40 GB, none twice
 
-	// One of the instances gave the engine its orders, and tells why.
+	// One of the instances sent the engine its orders, and keeps the reasons.
 	var explained strings.Builder
 	for _, n := range s.fleet.Nodes {
-		out, _ := command(t, "explain", "-addr", n.OperatorsAddr(), "engine-mid-ice-0")
+		out, _ := runCommand(t, "explain", "-addr", n.OperatorsAddr(), "engine-mid-ice-0")
 		explained.WriteString(out)
 	}
 	is.True(strings.Contains(explained.String(), "place reason=next_step"))
 	is.True(strings.Contains(explained.String(), "place reason=matches_plan"))
 }
 
-// An operator waits for a version with -wait: each look opened a connection and left it open, and after 64
-// of them the instance refused the operators' calls.
-func TestLooksLeaveNoConnectionOpen(t *testing.T) {
+// Guards against a connection leak in confirm -wait. If each status poll leaves its connection open, the instance
+// refuses the operators' calls after 64 polls.
+func TestCallsCloseTheirConnections(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -215,26 +219,27 @@
 	go func() { _ = server.Serve(l) }()
 	defer func() { _ = server.Shutdown() }()
 	for range 10 {
-		_, status := command(t, "status", "-addr", l.Addr().String())
+		_, status := runCommand(t, "status", "-addr", l.Addr().String())
 		is.Equal(status, exitDone)
-		for deadline := time.Now().Add(hangGuard / 10); server.GetOpenConnectionsCount() > 0; time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(testTimeout / 10); server.GetOpenConnectionsCount() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatal("the connection stays open")
+				t.Fatal("the connection is still open")
 			}
 		}
 	}
 }
 
-// Nobody answers: the outcome is not known, and words and exit status say so.
-func TestNobodyAnswers(t *testing.T) {
+// If no instance answers, the message and the exit status say that the outcome is unknown.
+func TestUnreachableInstanceIsReported(t *testing.T) {
 	is := is.New(t)
-	out, status := command(t, "status", "-addr", "127.0.0.1:1")
+	out, status := runCommand(t, "status", "-addr", "127.0.0.1:1")
 	is.Equal(status, exitUnreachable)
 	is.True(strings.Contains(out, "the outcome is unknown"))
 }
 
-// The token goes out as a bearer, and a refusal shows kind, run and when to come back.
-func TestTokenAndRefusal(t *testing.T) {
+// The token is sent as a bearer token. An error response is printed with its kind, whether the request ran, and the
+// delay before a retry.
+func TestTokenIsSentAndErrorResponseIsPrinted(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -249,7 +254,7 @@
 	defer func() { _ = server.Shutdown() }()
 	file := filepath.Join(t.TempDir(), "token")
 	is.NoErr(os.WriteFile(file, []byte("ice\n"), 0o600))
-	out, status := command(t, "confirm", "-addr", l.Addr().String(), "-token-file", file, "p1")
+	out, status := runCommand(t, "confirm", "-addr", l.Addr().String(), "-token-file", file, "p1")
 	is.Equal(<-bearer, "Bearer ice")
 	is.Equal(status, exitUnreachable) // it may have been accepted
 	is.Equal(out, "store_unavailable (run: unknown): no answer; come back after 5 s\n")
--- a/cmd/damaskctl/status.go
+++ b/cmd/damaskctl/status.go
@@ -14,14 +14,15 @@
 	"github.com/damaskshelf/damaskshelf/internal/operate"
 )
 
-type statusVerb struct {
+// statusCommand prints the fleet's status, read from one instance or from the metadata store.
+type statusCommand struct {
 	target
 	storeTarget
 }
 
-func (*statusVerb) Name() string     { return "status" }
-func (*statusVerb) Synopsis() string { return "show what one instance knows of the fleet" }
-func (*statusVerb) Usage() string {
+func (*statusCommand) Name() string     { return "status" }
+func (*statusCommand) Synopsis() string { return "show what one instance knows of the fleet" }
+func (*statusCommand) Usage() string {
 	return `damaskctl status [-addr IP:PORT] [-token-file FILE] [-o json]
 damaskctl status -store IP:PORT [-o json]
 Shows the configuration in force, the plan that made it and how far it is worked off, failure domains
@@ -31,24 +32,24 @@
 `
 }
 
-func (v *statusVerb) SetFlags(f *flag.FlagSet) {
-	v.setFlags(f)
-	v.setStoreFlag(f)
+func (cmd *statusCommand) SetFlags(f *flag.FlagSet) {
+	cmd.setFlags(f)
+	cmd.setStoreFlag(f)
 }
 
-func (v *statusVerb) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
+func (cmd *statusCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
-	if !v.usage(e, f, 0) {
+	if !cmd.checkUsage(e, f, 0) {
 		return exitUsage
 	}
-	if v.storeAddr != "" {
-		return v.fleetStatus(e)
+	if cmd.storeAddr != "" {
+		return cmd.showFleetStatus(e)
 	}
 	var s api.Status
-	if err := v.call(fasthttp.MethodGet, operate.PathStatus, nil, &s); err != nil {
-		return exit(e, err)
+	if err := cmd.call(fasthttp.MethodGet, operate.PathStatus, nil, &s); err != nil {
+		return reportError(e, err)
 	}
-	v.print(e, s, func(w io.Writer) { printStatus(w, s) })
+	cmd.print(e, s, func(w io.Writer) { printStatus(w, s) })
 	return exitDone
 }
 
--- a/cmd/damaskctl/stop.go
+++ b/cmd/damaskctl/stop.go
@@ -13,28 +13,29 @@
 	"github.com/damaskshelf/damaskshelf/internal/operate"
 )
 
-type stopVerb struct{ target }
+// stopCommand stops the execution of a plan.
+type stopCommand struct{ target }
 
-func (*stopVerb) Name() string     { return "stop" }
-func (*stopVerb) Synopsis() string { return "stop working off a plan where it stands" }
-func (*stopVerb) Usage() string {
+func (*stopCommand) Name() string     { return "stop" }
+func (*stopCommand) Synopsis() string { return "stop the execution of a plan where it stands" }
+func (*stopCommand) Usage() string {
 	return `damaskctl stop [-addr IP:PORT] [-token-file FILE] [-o json] PLAN
-No further order of the plan is given; what is done stays done, and so does the plan's configuration.
+Sends no further orders of the plan. Steps that are done stay done, and the plan's configuration stays in force.
 Make a new plan from there with 'damaskctl plan', 'drain' or 'restore'.
 `
 }
 
-func (v *stopVerb) SetFlags(f *flag.FlagSet) { v.setFlags(f) }
+func (cmd *stopCommand) SetFlags(f *flag.FlagSet) { cmd.setFlags(f) }
 
-func (v *stopVerb) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
+func (cmd *stopCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
-	if !v.usage(e, f, 1) {
+	if !cmd.checkUsage(e, f, 1) {
 		return exitUsage
 	}
 	var p api.Plan
-	if err := v.call(fasthttp.MethodPost, planPath(operate.PathStop, f.Arg(0)), nil, &p); err != nil {
-		return exit(e, err)
+	if err := cmd.call(fasthttp.MethodPost, pathWithID(operate.PathStop, f.Arg(0)), nil, &p); err != nil {
+		return reportError(e, err)
 	}
-	v.print(e, p, func(w io.Writer) { fmt.Fprintf(w, "plan %s is %s\n", p.ID, p.State) })
+	cmd.print(e, p, func(w io.Writer) { fmt.Fprintf(w, "plan %s is %s\n", p.ID, p.State) })
 	return exitDone
 }
--- a/cmd/damaskctl/store.go
+++ b/cmd/damaskctl/store.go
@@ -24,68 +24,70 @@
 )
 
 const (
-	// storeTime bounds all that a verb does with the metadata store: some calls of 1 s each.
-	storeTime = 5 * time.Second
-	storePoll = 5 * time.Millisecond
+	// storeTimeout limits all calls of a command to the metadata store together; each of them may take 1 s.
+	storeTimeout      = 5 * time.Second
+	storePollInterval = 5 * time.Millisecond
 )
 
-// storeTarget holds the flag by which a verb finds the metadata store of a fleet that forwards routed requests.
-// There operators write to the store, and ask no instance.
+// storeTarget holds the flag that selects the metadata store of a fleet that forwards routed requests. Operators of such
+// a fleet read and write the store directly; commands call no instance.
 type storeTarget struct{ storeAddr string }
 
 func (t *storeTarget) setStoreFlag(f *flag.FlagSet) {
 	f.StringVar(&t.storeAddr, "store", "", "`address` of the metadata store, IP and port, instead of an instance's")
 }
 
-// withFleet calls do with the store and what it holds of the fleet.
-func (t *storeTarget) withFleet(e environment, do func(context.Context, *platform.Store, *catalog.Snapshot) subcommands.ExitStatus) subcommands.ExitStatus {
+// withFleet calls fn with the store and a snapshot of the fleet from it.
+func (t *storeTarget) withFleet(e environment, fn func(context.Context, *platform.Store, *catalog.Snapshot) subcommands.ExitStatus) subcommands.ExitStatus {
 	if _, err := netip.ParseAddrPort(t.storeAddr); err != nil {
-		fmt.Fprintf(e.err, "-store %s: no IP address and port\n", t.storeAddr)
+		fmt.Fprintf(e.err, "-store %s is not an IP address and port\n", t.storeAddr)
 		return exitUsage
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), storeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	s := platform.NewStore(t.storeAddr)
 	defer s.Close()
 	snap, err := readFleet(ctx, s)
 	if err != nil {
-		return exit(e, err)
+		return reportError(e, err)
 	}
-	return do(ctx, s, snap)
+	return fn(ctx, s, snap)
 }
 
-// readFleet reads all that the store holds of the fleet.
+// readFleet reads a snapshot of the whole fleet from the store. It fails if ctx ends before all kinds of objects
+// have been read.
 func readFleet(ctx context.Context, s *platform.Store) (*catalog.Snapshot, error) {
 	f := watch.New(watch.Deps{Store: s, Kinds: platform.Kinds(), Decoder: platform.Decoder{}, Log: hclog.NewNullLogger()})
-	reading, stop := context.WithCancel(ctx)
-	ended := make(chan struct{})
+	watchCtx, stop := context.WithCancel(ctx)
+	done := make(chan struct{})
 	go func() {
-		f.Run(reading)
-		close(ended)
+		f.Run(watchCtx)
+		close(done)
 	}()
 	defer func() {
 		stop()
-		<-ended
+		<-done
 	}()
 	unknown := func(p watch.Proof) bool { return !p.Known }
 	for slices.ContainsFunc(f.Proofs(), unknown) {
-		if !wait.For(ctx, storePoll) {
-			return nil, &unreachable{cause: errors.New("the metadata store gives no whole answer")}
+		if !wait.For(ctx, storePollInterval) {
+			return nil, &unreachableError{cause: errors.New("the metadata store gives no whole answer")}
 		}
 	}
 	return f.Snapshot(), nil
 }
 
-// fleetStatus prints what the store says of the fleet.
-func (v *statusVerb) fleetStatus(e environment) subcommands.ExitStatus {
-	return v.withFleet(e, func(_ context.Context, _ *platform.Store, snap *catalog.Snapshot) subcommands.ExitStatus {
-		status := fleetStatusOf(snap, time.Now())
-		v.print(e, status, func(w io.Writer) { printFleet(w, status) })
+// showFleetStatus prints the fleet's status from the store.
+func (cmd *statusCommand) showFleetStatus(e environment) subcommands.ExitStatus {
+	return cmd.withFleet(e, func(_ context.Context, _ *platform.Store, snap *catalog.Snapshot) subcommands.ExitStatus {
+		status := newFleetStatus(snap, time.Now())
+		cmd.print(e, status, func(w io.Writer) { printFleetStatus(w, status) })
 		return exitDone
 	})
 }
 
-func fleetStatusOf(snap *catalog.Snapshot, now time.Time) api.FleetStatus {
+// newFleetStatus returns the status of the fleet in the snapshot. Instances are in dispatcher order.
+func newFleetStatus(snap *catalog.Snapshot, now time.Time) api.FleetStatus {
 	status := api.FleetStatus{FleetRevision: snap.FleetVersion}
 	for d := range snap.DomainsOut {
 		status.DomainsOut = append(status.DomainsOut, string(d))
@@ -101,13 +103,14 @@
 	}
 	status.ConfigVersion, status.ConfigRevision = snap.Config.Version, snap.Config.Revision
 	for name := range snap.Config.Services() {
-		status.Services = append(status.Services, serviceStatus(snap, name, now))
+		status.Services = append(status.Services, newServiceStatus(snap, name, now))
 	}
 	slices.SortFunc(status.Services, func(a, b api.FleetService) int { return strings.Compare(a.Name, b.Name) })
 	return status
 }
 
-func serviceStatus(snap *catalog.Snapshot, name catalog.ServiceName, now time.Time) api.FleetService {
+// newServiceStatus counts the service's upstreams by state. A cold upstream counts in another state as well.
+func newServiceStatus(snap *catalog.Snapshot, name catalog.ServiceName, now time.Time) api.FleetService {
 	s := api.FleetService{Name: string(name)}
 	for _, u := range snap.Upstreams(name) {
 		switch {
@@ -125,13 +128,13 @@
 	return s
 }
 
-func printFleet(w io.Writer, s api.FleetStatus) {
+func printFleetStatus(w io.Writer, s api.FleetStatus) {
 	fmt.Fprintf(w, "configuration  version %d at revision %d\n", s.ConfigVersion, s.ConfigRevision)
 	fmt.Fprintf(w, "store          revision %d\n", s.FleetRevision)
 	for i, m := range s.Instances {
 		role := ""
 		if i == 0 {
-			role = ", dispatcher if it is reached"
+			role = ", dispatcher if reachable"
 		}
 		fmt.Fprintf(w, "instance       %s in %s, peers at %s%s\n", m.ID, m.FailureDomain, m.PeerAddr, role)
 	}
@@ -143,28 +146,28 @@
 	}
 }
 
-// move takes a failure domain out of service, or back, at once: what is written to the store counts as confirmed.
-func (t *storeTarget) move(e environment, domain string, out bool) subcommands.ExitStatus {
+// setDomainOut takes a failure domain out of service, or back, at once. A write to the store needs no confirmation.
+func (t *storeTarget) setDomainOut(e environment, domain string, out bool) subcommands.ExitStatus {
 	return t.withFleet(e, func(ctx context.Context, s *platform.Store, snap *catalog.Snapshot) subcommands.ExitStatus {
 		id := fleet.DomainID(domain)
-		if known := domainsOf(snap); !slices.Contains(known, id) {
+		if known := knownDomains(snap); !slices.Contains(known, id) {
 			fmt.Fprintf(e.err, "failure domain %q is not known; known: %v\n", domain, known)
 			return exitUsage
 		}
-		act, what := s.RestoreDomain, "taken back: its upstreams may be cold, and get work again"
+		write, outcome := s.RestoreDomain, "taken back: its upstreams may be cold, and get work again"
 		if out {
-			act, what = s.DrainDomain, "taken out: its upstreams get no new work within seconds"
+			write, outcome = s.DrainDomain, "taken out: its upstreams get no new work within seconds"
 		}
-		if err := act(ctx, id); err != nil {
-			return exit(e, &unreachable{cause: err})
+		if err := write(ctx, id); err != nil {
+			return reportError(e, &unreachableError{cause: err})
 		}
-		fmt.Fprintf(e.out, "failure domain %s is %s\n", domain, what)
+		fmt.Fprintf(e.out, "failure domain %s is %s\n", domain, outcome)
 		return exitDone
 	})
 }
 
-// domainsOf lists the failure domains of instances and upstreams, and those that are out.
-func domainsOf(snap *catalog.Snapshot) []fleet.DomainID {
+// knownDomains returns the sorted failure domains of instances and upstreams, and those that are out.
+func knownDomains(snap *catalog.Snapshot) []fleet.DomainID {
 	seen := map[fleet.DomainID]bool{}
 	for d := range snap.DomainsOut {
 		seen[d] = true
--- a/cmd/damaskctl/store_test.go
+++ b/cmd/damaskctl/store_test.go
@@ -15,19 +15,21 @@
 	"github.com/damaskshelf/damaskshelf/platform/standin"
 )
 
-// onStore runs a verb against a stand-in of the metadata store.
-func onStore(t *testing.T, verb subcommands.Command, args ...string) (subcommands.ExitStatus, string, string) {
+// runWithStore runs a command. It returns the exit status and what the command wrote to standard output and to standard
+// error.
+func runWithStore(t *testing.T, cmd subcommands.Command, args ...string) (subcommands.ExitStatus, string, string) {
 	t.Helper()
-	f := flag.NewFlagSet(verb.Name(), flag.ContinueOnError)
-	verb.SetFlags(f)
+	f := flag.NewFlagSet(cmd.Name(), flag.ContinueOnError)
+	cmd.SetFlags(f)
 	if err := f.Parse(args); err != nil {
 		t.Fatal(err)
 	}
 	var out, errs bytes.Buffer
-	status := verb.Execute(context.Background(), f, environment{out: &out, err: &errs})
+	status := cmd.Execute(context.Background(), f, environment{out: &out, err: &errs})
 	return status, out.String(), errs.String()
 }
 
+// newStore starts a stand-in of the metadata store with one service, a ready upstream and one that is leaving.
 func newStore(t *testing.T) *standin.Store {
 	t.Helper()
 	s, err := standin.NewStore()
@@ -42,61 +44,62 @@
 	return s
 }
 
-// An operator who is new to the fleet sees what serves, takes a failure domain out and back, and sees that too.
-func TestAFleetIsOperatedThroughItsStore(t *testing.T) {
+// With -store an operator reads the status, takes a failure domain out and back, and the status shows both.
+func TestStatusDrainAndRestoreThroughStore(t *testing.T) {
 	is := is.New(t)
 	store := newStore(t)
-	see := func() api.FleetStatus {
-		code, out, errs := onStore(t, &statusVerb{}, "-store", store.Addr(), "-o", "json")
+	readStatus := func() api.FleetStatus {
+		code, out, errs := runWithStore(t, &statusCommand{}, "-store", store.Addr(), "-o", "json")
 		is.Equal(errs, "")
 		is.Equal(code, exitDone)
 		var s api.FleetStatus
 		is.NoErr(json.Unmarshal([]byte(out), &s))
 		return s
 	}
-	s := see()
+	s := readStatus()
 	is.Equal(s.ConfigVersion, uint64(7))
 	is.Equal(s.Services, []api.FleetService{{Name: "desk", Ready: 1, Leaving: 1}})
 	is.Equal(len(s.DomainsOut), 0)
 
-	for range 2 { // the second time it is out already
-		code, out, _ := onStore(t, &drainVerb{}, "-store", store.Addr(), "a")
+	for range 2 { // the second call repeats the first
+		code, out, _ := runWithStore(t, &drainCommand{}, "-store", store.Addr(), "a")
 		is.Equal(code, exitDone)
 		is.True(strings.Contains(out, "taken out"))
 	}
-	s = see()
+	s = readStatus()
 	is.Equal(s.DomainsOut, []string{"a"})
 	is.Equal(s.Services, []api.FleetService{{Name: "desk", Leaving: 1, Out: 1}})
 
 	for range 2 {
-		code, out, _ := onStore(t, &restoreVerb{}, "-store", store.Addr(), "a")
+		code, out, _ := runWithStore(t, &restoreCommand{}, "-store", store.Addr(), "a")
 		is.Equal(code, exitDone)
 		is.True(strings.Contains(out, "taken back"))
 	}
-	is.Equal(len(see().DomainsOut), 0)
-	_, out, _ := onStore(t, &statusVerb{}, "-store", store.Addr())
+	is.Equal(len(readStatus().DomainsOut), 0)
+	_, out, _ := runWithStore(t, &statusCommand{}, "-store", store.Addr())
 	is.True(strings.Contains(out, "service        desk: 1 ready, 0 cold, 1 leaving, 0 out"))
 }
 
-// Bad input names the flag and its value, changes nothing, and has the exit status of wrong usage.
-func TestBadInputChangesNothing(t *testing.T) {
+// Invalid input is reported with its value, with the exit status of a usage error.
+func TestInvalidInputIsUsageError(t *testing.T) {
 	is := is.New(t)
 	store := newStore(t)
-	code, _, errs := onStore(t, &drainVerb{}, "-store", store.Addr(), "b")
+	code, _, errs := runWithStore(t, &drainCommand{}, "-store", store.Addr(), "b")
 	is.Equal(code, exitUsage)
 	is.True(strings.Contains(errs, `failure domain "b" is not known; known: [a]`))
-	code, _, errs = onStore(t, &statusVerb{}, "-store", "nowhere")
+	code, _, errs = runWithStore(t, &statusCommand{}, "-store", "nowhere")
 	is.Equal(code, exitUsage)
 	is.True(strings.Contains(errs, "-store nowhere"))
 }
 
-// A store that gives no answer is no empty fleet: the verb says so and exits with its own status.
-func TestAStoreThatIsAwayIsSaidSo(t *testing.T) {
+// If the store does not answer, the command prints no empty fleet, reports the error and exits with the status for an
+// unreachable server.
+func TestUnreachableStoreIsReported(t *testing.T) {
 	is := is.New(t)
 	store := newStore(t)
 	addr := store.Addr()
 	store.Close()
-	code, out, errs := onStore(t, &statusVerb{}, "-store", addr)
+	code, out, errs := runWithStore(t, &statusCommand{}, "-store", addr)
 	is.Equal(code, exitUnreachable)
 	is.Equal(out, "")
 	is.True(strings.Contains(errs, "metadata store"))
--- a/cmd/damaskctl/version.go
+++ b/cmd/damaskctl/version.go
@@ -9,15 +9,16 @@
 	"github.com/google/subcommands"
 )
 
-type versionVerb struct{}
+// versionCommand prints the version of this program.
+type versionCommand struct{}
 
-func (*versionVerb) Name() string     { return "version" }
-func (*versionVerb) Synopsis() string { return "show the version of this program" }
-func (*versionVerb) Usage() string    { return "damaskctl version\n" }
+func (*versionCommand) Name() string     { return "version" }
+func (*versionCommand) Synopsis() string { return "show the version of this program" }
+func (*versionCommand) Usage() string    { return "damaskctl version\n" }
 
-func (*versionVerb) SetFlags(*flag.FlagSet) {}
+func (*versionCommand) SetFlags(*flag.FlagSet) {}
 
-func (*versionVerb) Execute(_ context.Context, _ *flag.FlagSet, args ...any) subcommands.ExitStatus {
+func (*versionCommand) Execute(_ context.Context, _ *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
