--- a/cmd/damaskstandin/main.go
+++ b/cmd/damaskstandin/main.go
@@ -1,5 +1,5 @@
-// Command damaskstandin serves stand-ins of the platform and of upstreams on loopback, for tests and
-// demonstrations. It prints one line of JSON with all addresses when it is ready, and ends on SIGTERM.
+// Command damaskstandin serves stand-ins of the platform and of upstreams on loopback, for tests and demonstrations. It
+// prints one line of JSON with all addresses when it is ready, and exits on SIGTERM or SIGINT.
 package main
 
 import (
@@ -18,16 +18,17 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/cluster"
 )
 
+// options holds the values of the command's flags.
 type options struct {
-	cluster cluster.Config
-	config  string // file with a cluster.Config
-	control string
-	stdin   bool
+	cluster      cluster.Config
+	configFile   string // file with a cluster.Config
+	controlAddr  string // address of the control listener
+	endWithStdin bool   // exit when standard input closes
 }
 
 func main() {
 	log := hclog.New(&hclog.LoggerOptions{Name: "damaskstandin"})
-	opts := parse()
+	opts := parseFlags()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := run(ctx, opts, os.Stdin, os.Stdout); err != nil {
@@ -36,7 +37,8 @@
 	}
 }
 
-func parse() options {
+// parseFlags parses the command line.
+func parseFlags() options {
 	var o options
 	var domains, models string
 	flag.StringVar(&domains, "domains", "a,b,c", "failure domains, comma-separated")
@@ -47,19 +49,19 @@
 	flag.IntVar(&o.cluster.Services, "services", cluster.DefaultServices, "instances of the plain service")
 	flag.Float64Var(&o.cluster.TimeScale, "timescale", 1, "engine seconds in one second")
 	flag.Uint64Var(&o.cluster.Seed, "seed", 1, "seed")
-	flag.IntVar(&o.cluster.BasePort, "port", 0, "first port; 0: any free ones")
-	flag.StringVar(&o.control, "control", "127.0.0.1:0", "address of the control listener")
-	flag.StringVar(&o.config, "config", "", "JSON file of a cluster; its fields override the flags")
-	flag.BoolVar(&o.stdin, "stdin", false, "end when standard input closes")
+	flag.IntVar(&o.cluster.BasePort, "port", 0, "first port; 0: any free ports")
+	flag.StringVar(&o.controlAddr, "control", "127.0.0.1:0", "address of the control listener")
+	flag.StringVar(&o.configFile, "config", "", "JSON file with the cluster's configuration; its fields override the flags")
+	flag.BoolVar(&o.endWithStdin, "stdin", false, "exit when standard input closes")
 	flag.Parse()
 	o.cluster.Domains = strings.Split(domains, ",")
 	o.cluster.Models = strings.Split(models, ",")
 	return o
 }
 
-// run serves a cluster until ctx is done, or standard input ends if the options say so.
+// run serves a cluster until ctx is done, or until standard input closes if the options require it.
 func run(ctx context.Context, o options, stdin io.Reader, stdout io.Writer) error {
-	if err := readConfig(o.config, &o.cluster); err != nil {
+	if err := readConfig(o.configFile, &o.cluster); err != nil {
 		return err
 	}
 	c, err := cluster.Start(o.cluster)
@@ -67,7 +69,7 @@
 		return fmt.Errorf("start cluster: %w", err)
 	}
 	defer c.Close()
-	control, err := c.ServeControl(o.control)
+	control, err := c.ServeControl(o.controlAddr)
 	if err != nil {
 		return err
 	}
@@ -79,33 +81,36 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-ended(o.stdin, stdin):
+	case <-closedAtEOF(o.endWithStdin, stdin):
 	}
 	return nil
 }
 
+// readConfig decodes the file into the configuration; fields that the file lacks keep their values. An empty path reads
+// nothing.
 func readConfig(path string, into *cluster.Config) error {
 	if path == "" {
 		return nil
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("read cluster: %w", err)
+		return fmt.Errorf("read cluster configuration: %w", err)
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return fmt.Errorf("read cluster: %w", err)
+		return fmt.Errorf("read cluster configuration: %w", err)
 	}
 	return nil
 }
 
-// ended is closed when r ends; never when it is not watched.
-func ended(watched bool, r io.Reader) <-chan struct{} {
-	end := make(chan struct{})
+// closedAtEOF returns a channel that is closed when r reaches its end. If watched is false, r is not read and the channel
+// stays open.
+func closedAtEOF(watched bool, r io.Reader) <-chan struct{} {
+	closed := make(chan struct{})
 	if watched {
 		go func() {
 			_, _ = io.Copy(io.Discard, r)
-			close(end)
+			close(closed)
 		}()
 	}
-	return end
+	return closed
 }
