--- a/internal/demo/check.go
+++ b/internal/demo/check.go
@@ -8,45 +8,46 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/answer"
 )
 
-// sample is one request and what its caller saw.
+// sample is one request and the result that its caller received.
 type sample struct {
-	q caller.Request
-	r caller.Result
+	request caller.Request
+	result  caller.Result
 }
 
-// broken tells how the sample breaks a promise; empty where it doesn't. An explicit refusal or failure
-// breaks none.
-func (s sample) broken() string {
+// violation describes how the answer to the request is wrong, or returns nothing if it is correct. An explicit refusal
+// or failure is correct. Answers of the plain service are checked by commandViolations.
+func (s sample) violation() string {
 	switch {
-	case s.r.Err != nil:
-		return fmt.Sprintf("no final answer: %v", s.r.Err)
-	case s.r.Kind != "" || s.q.Model == "":
+	case s.result.Err != nil:
+		return fmt.Sprintf("no final answer: %v", s.result.Err)
+	case s.result.Kind != "" || s.request.Model == "":
 		return ""
-	case !s.r.Completed:
+	case !s.result.Completed:
 		return "answer without its end mark"
-	case s.r.Text != answer.Text(s.q.ID, s.q.MaxTokens):
-		return "answer is not this request's"
+	case s.result.Text != answer.Text(s.request.ID, s.request.MaxTokens):
+		return "answer does not match its request"
 	}
 	return ""
 }
 
-// brokenCommands compares what callers of the plain service were told with what ran there.
-func brokenCommands(samples []sample, runs map[string]int) []string {
-	var found []string
+// commandViolations compares the answers to callers of the plain service with the runs there, which are counted by
+// request id. It returns one sorted line for each request that ran more than once or whose answer is untrue.
+func commandViolations(samples []sample, runs map[string]int) []string {
+	var violations []string
 	for _, s := range samples {
-		if s.q.Model != "" {
+		if s.request.Model != "" {
 			continue
 		}
-		n := runs[s.q.ID]
+		n := runs[s.request.ID]
 		switch {
 		case n > 1:
-			found = append(found, fmt.Sprintf("%s ran %d times", s.q.ID, n))
-		case n == 1 && s.r.Run == "no":
-			found = append(found, fmt.Sprintf("%s ran and was answered run: no", s.q.ID))
-		case n == 0 && s.r.OK():
-			found = append(found, fmt.Sprintf("%s was confirmed and did not run", s.q.ID))
+			violations = append(violations, fmt.Sprintf("%s ran %d times", s.request.ID, n))
+		case n == 1 && s.result.Run == "no":
+			violations = append(violations, fmt.Sprintf("%s ran and was answered run: no", s.request.ID))
+		case n == 0 && s.result.OK():
+			violations = append(violations, fmt.Sprintf("%s was confirmed and did not run", s.request.ID))
 		}
 	}
-	slices.Sort(found)
-	return found
+	slices.Sort(violations)
+	return violations
 }
--- a/internal/demo/fault.go
+++ b/internal/demo/fault.go
@@ -8,48 +8,49 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/faults"
 )
 
-// fault is one fault of the demo: what switches it on before the second phase, and off before the third.
+// fault is one fault of the demo, with functions that switch it on before the second phase and off before the third. The
+// zero value is no fault.
 type fault struct {
 	name    string
 	on, off func(d *run) error
 }
 
-// inForce bounds the wait for a configuration change.
-const inForce = 10 * time.Second
+// inForceTimeout limits the wait until a configuration change is in force.
+const inForceTimeout = 10 * time.Second
 
-// faultList is every fault of the demo; the first is none.
+// faultList holds all faults of the demo. The first one is no fault.
 var faultList = []fault{
 	{},
-	switched("kill", engineOf, faults.Kill),
-	switched("cold", engineOf, faults.Cold),
-	switched("silent", engineOf, faults.SilentConnections),
-	switched("store", func(*run) string { return cluster.TargetObjects }, faults.RefuseEverything),
-	switched("lag", func(*run) string { return cluster.TargetInstances }, faults.StaleInstanceList),
-	{name: "drain", on: func(d *run) error { return d.apply(api.Change{Drain: d.p.Domains[0]}) },
-		off: func(d *run) error { return d.apply(api.Change{Restore: d.p.Domains[0]}) }},
+	standinFault("kill", faultyEngine, faults.Kill),
+	standinFault("cold", faultyEngine, faults.Cold),
+	standinFault("silent", faultyEngine, faults.SilentConnections),
+	standinFault("store", func(*run) string { return cluster.TargetObjects }, faults.RefuseEverything),
+	standinFault("lag", func(*run) string { return cluster.TargetInstances }, faults.StaleInstanceList),
+	{name: "drain", on: func(d *run) error { return d.apply(api.Change{Drain: d.profile.Domains[0]}) },
+		off: func(d *run) error { return d.apply(api.Change{Restore: d.profile.Domains[0]}) }},
 }
 
-// engineOf is the engine that faults of one engine hit.
-func engineOf(d *run) string { return d.fleet.Cluster.Engines[0].ID() }
+// faultyEngine returns the id of the engine that engine faults apply to.
+func faultyEngine(d *run) string { return d.fleet.Cluster.Engines[0].ID() }
 
-// switched makes a fault of a stand-in.
-func switched(name string, target func(*run) string, f faults.Fault) fault {
+// standinFault returns a fault that switches f on the stand-in that target names.
+func standinFault(name string, target func(*run) string, f faults.Fault) fault {
 	set := func(on bool) func(*run) error {
 		return func(d *run) error { return d.fleet.Cluster.Switch(target(d), f, on, 0) }
 	}
 	return fault{name: name, on: set(true), off: set(false)}
 }
 
-// apply confirms a change and waits until it is in force everywhere.
+// apply plans and confirms a change, and waits until it is in force on every instance.
 func (d *run) apply(c api.Change) error {
 	version, err := d.fleet.Apply(c)
 	if err != nil {
 		return err
 	}
-	return d.fleet.WaitInForce(version, inForce)
+	return d.fleet.WaitInForce(version, inForceTimeout)
 }
 
-// Faults names the faults of the demo.
+// Faults returns the names of the demo's faults.
 func Faults() []string {
 	var names []string
 	for _, f := range faultList[1:] {
@@ -58,7 +59,8 @@
 	return names
 }
 
-func faultNamed(name string) (fault, bool) {
+// findFault returns the fault with the name; the empty name finds no fault.
+func findFault(name string) (fault, bool) {
 	for _, f := range faultList {
 		if f.name == name {
 			return f, true
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -12,42 +12,44 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// classes are the length classes of the table, by their upper bound in tokens.
-var classes = []struct {
+// lengthClasses are the prompt length classes of the table, with their upper limits in tokens.
+var lengthClasses = []struct {
 	name string
 	max  int
 }{
-	{"1k-4k", 4_000}, {"4k-32k", 32_000}, {"32k-100k", 100_000}, {"over 100k", maxTokens + 1},
+	{"1k-4k", 4_000}, {"4k-32k", 32_000}, {"32k-100k", 100_000}, {"over 100k", maxPromptTokens + 1},
 }
 
-const maxMs = 600_000
+// maxFirstTokenMs limits the recorded first-token times, in milliseconds.
+const maxFirstTokenMs = 600_000
 
-// row collects one class of one phase.
+// row holds the results of one length class in one phase.
 type row struct {
-	sent, whole int
-	first       *hdrhistogram.Histogram // milliseconds
+	sent, completed int
+	firstToken      *hdrhistogram.Histogram // first-token times of completed answers in milliseconds
 }
 
-// table prints first-token time by prompt length, then refusals and failures by kind, then bookings.
-func table(out io.Writer, title string, samples []sample) error {
-	rows := make([]row, len(classes))
+// printTable prints the first-token times by prompt length, then the number of refusals and failures by kind, then the
+// number of bookings by outcome.
+func printTable(out io.Writer, title string, samples []sample) error {
+	rows := make([]row, len(lengthClasses))
 	for i := range rows {
-		rows[i].first = hdrhistogram.New(1, maxMs, 3)
+		rows[i].firstToken = hdrhistogram.New(1, maxFirstTokenMs, 3)
 	}
 	kinds, bookings := map[string]int{}, map[string]int{}
 	for _, s := range samples {
-		if s.r.Kind != "" {
-			kinds[s.r.Kind+" (run: "+s.r.Run+")"]++
+		if s.result.Kind != "" {
+			kinds[s.result.Kind+" (run: "+s.result.Run+")"]++
 		}
-		if s.q.Model == "" {
+		if s.request.Model == "" {
 			bookings[bookingOutcome(s)]++
 			continue
 		}
-		r := &rows[classOf(wire.TokenCount(len(s.q.Prompt)))]
+		r := &rows[classOf(wire.TokenCount(len(s.request.Prompt)))]
 		r.sent++
-		if s.r.OK() {
-			r.whole++
-			if err := r.first.RecordValue(min(s.r.FirstToken.Milliseconds(), maxMs)); err != nil {
+		if s.result.OK() {
+			r.completed++
+			if err := r.firstToken.RecordValue(min(s.result.FirstToken.Milliseconds(), maxFirstTokenMs)); err != nil {
 				return fmt.Errorf("record first-token time: %w", err)
 			}
 		}
@@ -55,35 +57,38 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%s\tsent\twhole\tp50 ms\tp95 ms\tp99 ms\t\n", title)
 	for i, r := range rows {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t\n", classes[i].name, r.sent, r.whole,
-			r.first.ValueAtQuantile(50), r.first.ValueAtQuantile(95), r.first.ValueAtQuantile(99))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t\n", lengthClasses[i].name, r.sent, r.completed,
+			r.firstToken.ValueAtQuantile(50), r.firstToken.ValueAtQuantile(95), r.firstToken.ValueAtQuantile(99))
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	counts(out, "refused or failed", kinds)
-	counts(out, "bookings", bookings)
+	printCounts(out, "refused or failed", kinds)
+	printCounts(out, "bookings", bookings)
 	_, err := fmt.Fprintln(out)
 	return err
 }
 
+// classOf returns the index of the length class of a prompt.
 func classOf(tokens int) int {
-	for i, c := range classes {
+	for i, c := range lengthClasses {
 		if tokens <= c.max {
 			return i
 		}
 	}
-	return len(classes) - 1
+	return len(lengthClasses) - 1
 }
 
+// bookingOutcome returns the outcome under which a booking is counted.
 func bookingOutcome(s sample) string {
-	if s.r.OK() {
+	if s.result.OK() {
 		return "confirmed"
 	}
-	return "answered run: " + s.r.Run
+	return "answered run: " + s.result.Run
 }
 
-func counts(out io.Writer, title string, n map[string]int) {
+// printCounts prints the counts in one line, sorted by name.
+func printCounts(out io.Writer, title string, n map[string]int) {
 	fmt.Fprintf(out, "  %s:", title)
 	if len(n) == 0 {
 		fmt.Fprint(out, " none")
--- a/internal/demo/workload.go
+++ b/internal/demo/workload.go
@@ -11,20 +11,20 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// Profile is one of the users' deployments, as the brief gives them.
+// Profile describes one of the users' deployments.
 type Profile struct {
 	Name             string
 	Region           string
 	Domains          []string
-	Model            string // the assistant's model
-	Service          string // the plain service beside it
-	EnginesPerDomain int    // engines in each failure domain; about twenty in all
-	ServiceInstances int
-	Workspaces       []string
-	Routing          string // settings.profile
+	Model            string   // the assistant's model
+	Service          string   // name of the plain service
+	EnginesPerDomain int      // about twenty engines in all failure domains together
+	ServiceInstances int      // of the plain service
+	Workspaces       []string // drawn with equal weights; a repeated one gets more requests
+	Routing          string   // settings.profile
 }
 
-// Profiles of the demo.
+// profiles holds the profiles of the demo by name.
 var profiles = map[string]Profile{
 	"coteau": {
 		Name: "coteau", Region: "sask-plains", Domains: []string{"north-ice", "mid-ice", "south-ice"},
@@ -40,57 +40,57 @@
 
 // Prompt lengths in tokens.
 const (
-	minTokens  = 1_000
-	longTokens = 100_000
-	maxTokens  = 1_000_000
-	longOneIn  = 50 // one prompt in so many is over longTokens
+	minPromptTokens      = 1_000
+	longPromptTokens     = 100_000
+	maxPromptTokens      = 1_000_000
+	promptsPerLongPrompt = 50 // on average one prompt in so many has more than longPromptTokens
 )
 
-// commandOneIn is the share of plain-service calls: one request in so many.
-const commandOneIn = 4
+// requestsPerCommand is the number of requests of which one is a call of the plain service.
+const requestsPerCommand = 4
 
-// workload makes the requests of a run from a seed.
+// workload generates the requests of a run from a seed.
 type workload struct {
-	p    Profile
-	rng  *rand.Rand
-	next int
+	profile Profile
+	rng     *rand.Rand
+	count   int
 }
 
 func newWorkload(p Profile, seed uint64) *workload {
-	return &workload{p: p, rng: rand.New(rand.NewPCG(seed, seed))}
+	return &workload{profile: p, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// request makes the next request.
-func (w *workload) request() caller.Request {
-	w.next++
+// nextRequest returns the next request: a prompt, or a booking in every requestsPerCommand-th request.
+func (w *workload) nextRequest() caller.Request {
+	w.count++
 	q := caller.Request{
-		ID:        fmt.Sprintf("demo-%d", w.next),
-		Workspace: w.p.Workspaces[w.rng.IntN(len(w.p.Workspaces))],
+		ID:        fmt.Sprintf("demo-%d", w.count),
+		Workspace: w.profile.Workspaces[w.rng.IntN(len(w.profile.Workspaces))],
 		Timeout:   time.Minute,
 	}
-	if w.next%commandOneIn == 0 {
+	if w.count%requestsPerCommand == 0 {
 		return w.booking(q)
 	}
-	q.Model = w.p.Model
-	q.Prompt = w.text(w.tokens())
+	q.Model = w.profile.Model
+	q.Prompt = w.prompt(w.promptTokens())
 	q.MaxTokens = 20 + w.rng.IntN(180)
 	q.Stream = w.rng.IntN(4) > 0
 	return q
 }
 
-// tokens draws a prompt length: one in fifty is long, the others lean to the short end.
-func (w *workload) tokens() int {
-	low, high := float64(minTokens), float64(longTokens)
-	if w.rng.IntN(longOneIn) == 0 {
-		low, high = longTokens, maxTokens
+// promptTokens draws a prompt length in tokens: on average one prompt in fifty is long. Short lengths are more frequent
+// in both ranges.
+func (w *workload) promptTokens() int {
+	low, high := float64(minPromptTokens), float64(longPromptTokens)
+	if w.rng.IntN(promptsPerLongPrompt) == 0 {
+		low, high = longPromptTokens, maxPromptTokens
 	}
 	u := w.rng.Float64()
 	return int(low * math.Pow(high/low, u*u))
 }
 
-// text is a prompt of n tokens. Prompts of one workload share beginnings, as questions over the same log
-// do.
-func (w *workload) text(n int) string {
+// prompt returns a prompt of n tokens. Prompts of one workload share prefixes, as questions about the same log do.
+func (w *workload) prompt(n int) string {
 	topic := w.rng.IntN(8)
 	var b strings.Builder
 	b.Grow(n * wire.BytesPerToken)
@@ -100,11 +100,12 @@
 	return b.String()[:n*wire.BytesPerToken]
 }
 
-// booking makes a call of the plain service: half of them with a key, half with the mark alone.
+// booking completes q as a call of the plain service. On average half of the calls have an idempotency key; the others
+// are declared not idempotent.
 func (w *workload) booking(q caller.Request) caller.Request {
 	q.Method = "POST"
-	q.Path = "/services/" + w.p.Service + "/bookings"
-	q.Body = fmt.Sprintf(`{"hut":"hut-%d","day":"2027-01-%02d"}`, w.next, 1+w.next%28)
+	q.Path = "/services/" + w.profile.Service + "/bookings"
+	q.Body = fmt.Sprintf(`{"hut":"hut-%d","day":"2027-01-%02d"}`, w.count, 1+w.count%28)
 	q.Timeout = 10 * time.Second
 	if w.rng.IntN(2) == 0 {
 		q.IdempotencyKey = "key-" + q.ID
