--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a caller of damaskshelf for the demo, tests and experiments: it sends prompts and
-// plain-service calls and tells whether each answer was whole.
+// Package caller implements a client of damaskshelf for the demo, tests and experiments. It sends prompts and calls of
+// plain services, and reports whether each answer is complete.
 package caller
 
 import (
@@ -18,22 +18,22 @@
 )
 
 const (
-	maxEvent    = 1 << 20
-	maxBody     = 64 << 20
-	dialTimeout = 2 * time.Second
-	grace       = 5 * time.Second // beyond a request's own time, before a caller gives an instance up
+	maxEventBytes = 1 << 20
+	maxBodyBytes  = 64 << 20
+	dialTimeout   = 2 * time.Second
+	timeoutGrace  = 5 * time.Second // added to a request's timeout before the client stops waiting for the instance
 )
 
-// Client calls entry instances. It is safe for concurrent use.
+// Client sends requests to instances. It is safe for concurrent use.
 type Client struct {
 	http *fasthttp.Client
 }
 
-// New gives a client.
+// New returns a client that never retries a request.
 func New() *Client {
 	return &Client{http: &fasthttp.Client{
 		StreamResponseBody:        true,
-		MaxResponseBodySize:       maxBody,
+		MaxResponseBodySize:       maxBodyBytes,
 		MaxConnsPerHost:           4096,
 		MaxIdleConnDuration:       2 * time.Second,
 		MaxIdemponentCallAttempts: 1,
@@ -41,10 +41,10 @@
 	}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Request is one request to an entry instance.
+// Request is one request to an instance: a prompt if Model is set, and otherwise a call of a plain service.
 type Request struct {
 	Addr           string // of the instance
 	ID             string
@@ -58,40 +58,40 @@
 	Method         string // plain service: HTTP method
 	Path           string // plain service: /services/NAME/...
 	Body           string
-	IdempotencyKey string // idempotency key
+	IdempotencyKey string // empty: none
 	Idempotent     string // "true", "false" or empty
 }
 
-// Result is what the caller saw.
+// Result is the outcome of a request as its caller received it.
 type Result struct {
 	ID         string
 	Status     int    // HTTP status; 0: no answer
 	Kind       string // error kind; empty: none
-	Run        string // no, yes, unknown
+	Run        string // whether the request ran: no, yes, unknown
 	Detail     string
 	RetryAfter time.Duration
 	Text       string
-	Completed  bool // the end mark came
+	Completed  bool // the answer includes its end mark; a plain service's body was read completely
 	Replayed   bool
-	FirstToken time.Duration
-	Total      time.Duration
-	Err        error // of the transport
+	FirstToken time.Duration // until a stream's first event, or the end of another completion; 0: none came
+	Total      time.Duration // until the end of the answer, or until the error
+	Err        error         // transport or decoding error
 }
 
-// OK tells whether the answer came whole.
+// OK reports whether the answer is a success and complete.
 func (r Result) OK() bool { return r.Err == nil && r.Status/100 == 2 && r.Completed }
 
-// Do sends q and reads the whole answer.
+// Do sends q and reads the complete answer.
 func (c *Client) Do(q Request) Result {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	began := time.Now()
 	r := Result{ID: q.ID}
-	if r.Err = fill(req, q); r.Err != nil {
+	if r.Err = fillRequest(req, q); r.Err != nil {
 		return r
 	}
-	if r.Err = c.http.DoDeadline(req, resp, began.Add(q.Timeout+grace)); r.Err != nil {
+	if r.Err = c.http.DoDeadline(req, resp, began.Add(q.Timeout+timeoutGrace)); r.Err != nil {
 		r.Total = time.Since(began)
 		return r
 	}
@@ -101,22 +101,23 @@
 	r.Replayed = string(resp.Header.Peek(wire.HeaderReplayed)) == "true"
 	switch {
 	case r.Status/100 != 2:
-		r.failure(resp)
+		r.readFailure(resp)
 	case string(resp.Header.ContentType()) == "text/event-stream":
-		r.Err = r.stream(resp.BodyStream(), began)
+		r.Err = r.readStream(resp.BodyStream(), began)
 	case q.Model != "":
-		r.Err = r.whole(resp, began)
+		r.Err = r.readAnswer(resp, began)
 	default:
 		var body []byte
-		body, r.Err = bodyOf(resp)
+		body, r.Err = readBody(resp)
 		r.Text, r.Completed = string(body), r.Err == nil
 	}
 	r.Total = time.Since(began)
 	return r
 }
 
-func fill(req *fasthttp.Request, q Request) error {
-	req.SetTimeout(q.Timeout + grace)
+// fillRequest sets URI, headers and body of req from q.
+func fillRequest(req *fasthttp.Request, q Request) error {
+	req.SetTimeout(q.Timeout + timeoutGrace)
 	h := &req.Header
 	set := func(name, value string) {
 		if value != "" {
@@ -149,14 +150,15 @@
 	return nil
 }
 
-func bodyOf(resp *fasthttp.Response) ([]byte, error) {
+// readBody returns the complete body of the response.
+func readBody(resp *fasthttp.Response) ([]byte, error) {
 	if s := resp.BodyStream(); s != nil {
 		return io.ReadAll(s)
 	}
 	return resp.Body(), nil
 }
 
-// failureBody is the body of a refusal or failure.
+// failureBody is the JSON body of a refusal or a failure.
 type failureBody struct {
 	Error        string `json:"error"`
 	Run          string `json:"run"`
@@ -164,22 +166,24 @@
 	RetryAfterMs int64  `json:"retry_after_ms"`
 }
 
-func (r *Result) fail(f failureBody) {
+// setFailure records a refusal or a failure.
+func (r *Result) setFailure(f failureBody) {
 	r.Kind, r.Run, r.Detail = f.Error, f.Run, f.Detail
 	r.RetryAfter = time.Duration(f.RetryAfterMs) * time.Millisecond
 }
 
-func (r *Result) failure(resp *fasthttp.Response) {
-	body, err := bodyOf(resp)
+// readFailure reads a response without a success status.
+func (r *Result) readFailure(resp *fasthttp.Response) {
+	body, err := readBody(resp)
 	var f failureBody
 	if err != nil || json.Unmarshal(body, &f) != nil || f.Error == "" || f.Run == "" {
 		r.Kind, r.Detail = "answer_of_service", string(body) // a plain service's own error answer
 		return
 	}
-	r.fail(f)
+	r.setFailure(f)
 }
 
-// event is a chunk of the usual API or a failure.
+// event is a completion answer, a chunk of one, or a failure.
 type event struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -188,8 +192,9 @@
 	failureBody
 }
 
-func (r *Result) whole(resp *fasthttp.Response, began time.Time) error {
-	body, err := bodyOf(resp)
+// readAnswer reads a completion that is not streamed.
+func (r *Result) readAnswer(resp *fasthttp.Response, began time.Time) error {
+	body, err := readBody(resp)
 	if err != nil {
 		return err
 	}
@@ -198,23 +203,25 @@
 	if err := json.Unmarshal(body, &e); err != nil {
 		return fmt.Errorf("decode answer: %w", err)
 	}
-	r.take(e)
+	r.addChoices(e)
 	return nil
 }
 
-func (r *Result) take(e event) {
+// addChoices appends the text of the choices. A finish reason is the answer's end mark.
+func (r *Result) addChoices(e event) {
 	for _, c := range e.Choices {
 		r.Text += c.Text
 		r.Completed = r.Completed || c.FinishReason != nil
 	}
 }
 
-// ErrCutOff is a stream that ended without its end mark and without a failure event.
+// ErrTruncated is returned if a stream ended without its end mark and without a failure event.
 var ErrTruncated = errors.New("stream was cut off")
 
-func (r *Result) stream(body io.Reader, began time.Time) error {
+// readStream reads a streamed completion until the stream ends or reports a failure.
+func (r *Result) readStream(body io.Reader, began time.Time) error {
 	s := bufio.NewScanner(body)
-	s.Buffer(make([]byte, 0, 4<<10), maxEvent)
+	s.Buffer(make([]byte, 0, 4<<10), maxEventBytes)
 	var text strings.Builder
 	done := false
 	for s.Scan() {
@@ -231,7 +238,7 @@
 			return fmt.Errorf("decode event: %w", err)
 		}
 		if e.Error != "" {
-			r.fail(e.failureBody)
+			r.setFailure(e.failureBody)
 			r.Completed = false
 			r.Text = text.String()
 			return nil
