--- a/internal/httplog/httplog.go
+++ b/internal/httplog/httplog.go
@@ -1,4 +1,4 @@
-// Package httplog passes the HTTP library's own messages on at debug level; they repeat what our lines say.
+// Package httplog logs the messages of the HTTP library at debug level, as they repeat what other log lines say.
 package httplog
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Logger implements fasthttp.Logger.
+// Logger implements fasthttp.Logger and writes to Log.
 type Logger struct {
 	Log hclog.Logger
 }
