--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the one wait that ends early with its context.
+// Package wait provides a sleep that ends early if its context ends.
 package wait
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends, and tells whether it waited the whole time. Without a time to wait it
-// tells whether ctx goes on.
+// For waits for d or until ctx ends, and reports whether it waited for all of d. If d is not positive, it returns at once
+// and reports whether ctx has not ended.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
