--- a/internal/vtime/vtime.go
+++ b/internal/vtime/vtime.go
@@ -1,5 +1,6 @@
-// Package vtime runs events in virtual time, for tests and measurements of the pure core. Events of one
-// instant run in the order in which they were scheduled, so that a run repeats exactly.
+// Package vtime runs events in virtual time, for tests and measurements of the pure packages below
+// internal/decide. Events at the same instant run in the order in which they were scheduled, so that runs are
+// reproducible.
 package vtime
 
 import (
@@ -10,20 +11,22 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide"
 )
 
-// Loop is a clock with its pending events. The zero value starts at instant 0. It belongs to one
-// goroutine.
+// Loop is a virtual clock with a queue of pending events. The zero value starts at instant 0. A Loop is not safe for
+// concurrent use.
 type Loop struct {
 	now   decide.Instant
 	seq   uint64
 	queue events
 }
 
+// event is a function scheduled for an instant. seq is the order of scheduling.
 type event struct {
 	at  decide.Instant
 	seq uint64
 	run func()
 }
 
+// events implements heap.Interface, earliest event first.
 type events []event
 
 func (q events) Len() int { return len(q) }
@@ -39,10 +42,10 @@
 	return e
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (l *Loop) Now() decide.Instant { return l.now }
 
-// At schedules run for instant at, or for now if that is past.
+// At schedules run for the instant at, or for now if at is in the past.
 func (l *Loop) At(at decide.Instant, run func()) {
 	l.seq++
 	heap.Push(&l.queue, event{at: max(at, l.now), seq: l.seq, run: run})
@@ -51,8 +54,8 @@
 // After schedules run for d from now.
 func (l *Loop) After(d time.Duration, run func()) { l.At(l.now.Add(d), run) }
 
-// Step runs the next event if it is due by end, and tells whether it was; without one it sets the clock
-// to end.
+// Step runs the next event if it is due by end, and reports whether it ran one. If no event is due, it sets the clock to
+// end.
 func (l *Loop) Step(end decide.Instant) bool {
 	if len(l.queue) == 0 || l.queue[0].at > end {
 		l.now = end
@@ -70,7 +73,7 @@
 	}
 }
 
-// Exponential draws the time to the next event of a Poisson process with the given events a second.
+// Exponential returns a random time to the next event of a Poisson process; rate is its mean number of events a second.
 func Exponential(r decide.Rand, rate float64) time.Duration {
 	return time.Duration(-math.Log(1-decide.Float(r)) / rate * float64(time.Second))
 }
