--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,4 +1,5 @@
-// Package fixedseed runs tests whose randomized checks give the same verdict on every run.
+// Package fixedseed runs a package's tests with a fixed seed for the randomized checks of the rapid library, so that
+// every run checks the same cases.
 package fixedseed
 
 import (
@@ -7,17 +8,17 @@
 )
 
 const (
-	seedFlag = "rapid.seed"
-	unset    = "0"
-	seed     = "1"
-	// noFileFlag keeps failing cases out of the tree: the seed that is printed gives them again.
+	seedFlag  = "rapid.seed"
+	unsetSeed = "0"
+	seed      = "1"
+	// noFileFlag stops rapid from writing failing cases into the source tree; the printed seed reproduces them.
 	noFileFlag = "rapid.nofailfile"
 )
 
-// Main runs a package's tests and exits; a TestMain calls it. The seed is fixed unless one is given by hand.
+// Main runs a package's tests and exits; TestMain calls it. The seed is fixed unless the command line sets one.
 func Main(m interface{ Run() int }) {
 	flag.Parse()
-	if flag.Lookup(seedFlag).Value.String() == unset {
+	if flag.Lookup(seedFlag).Value.String() == unsetSeed {
 		_ = flag.Set(seedFlag, seed)
 	}
 	_ = flag.Set(noFileFlag, "true")
