--- a/cmd/damaskctl/explain.go
+++ b/cmd/damaskctl/explain.go
@@ -65,7 +65,7 @@
 	if !ok {
 		return exitFailed
 	}
-	related := explain.Story(lines, id)
+	related := explain.RequestLines(lines, id)
 	if len(related) == 0 {
 		fmt.Fprintf(e.err, "damaskctl: none of %d lines names request %q\n", len(lines), id)
 		return exitFailed
--- a/cmd/damaskctl/losses.go
+++ b/cmd/damaskctl/losses.go
@@ -54,7 +54,7 @@
 	if !ok {
 		return exitFailed
 	}
-	report := losses.Read(lines, cmd.window)
+	report := losses.Summarize(lines, cmd.window)
 	if cmd.plotFile != "" {
 		draw := report.Draw
 		if cmd.stages {
@@ -110,15 +110,15 @@
 		}
 		return n
 	}
-	row("asked", func(c *losses.Class) int { return c.Asked }, sum(func(c *losses.Class) int { return c.Tokens }))
-	row("in time", func(c *losses.Class) int { return c.InTime }, sum(func(c *losses.Class) int { return c.TokensInTime() }))
+	row("asked", func(c *losses.Class) int { return c.Requests }, sum(func(c *losses.Class) int { return c.PromptTokens }))
+	row("in time", func(c *losses.Class) int { return c.InTime }, sum(func(c *losses.Class) int { return c.PromptTokensInTime() }))
 	for _, cause := range losses.Causes {
 		if lost := func(c *losses.Class) int { return c.Lost[cause] }; sum(lost) > 0 {
-			row(string(cause), lost, sum(func(c *losses.Class) int { return c.LostSize[cause] }))
+			row(string(cause), lost, sum(func(c *losses.Class) int { return c.LostPromptTokens[cause] }))
 		}
 	}
 	_ = w.Flush()
-	fmt.Fprintf(out, "not owed %d, still under way at the end %d, answers without what they are judged by %d\n\n", r.NotOwed, r.Unended, r.Unusable)
+	fmt.Fprintf(out, "not owed %d, still under way at the end %d, answers without what they are judged by %d\n\n", r.CallerFaults, r.Unfinished, r.UnusableAnswers)
 	printWindows(out, r.Windows)
 }
 
@@ -128,8 +128,8 @@
 	fmt.Fprintln(w, "from\tasked\tin time\tlate\trefused\tfailed\tleft\tmost by\t")
 	for _, window := range windows {
 		o := window.Outcomes
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t\n", window.From.UTC().Format("15:04:05"), window.Asked(),
-			o[losses.InTime], o[losses.Late], o[losses.Refused], o[losses.Failed], o[losses.Left], topCause(window))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t\n", window.From.UTC().Format("15:04:05"), window.RequestCount(),
+			o[losses.InTime], o[losses.Late], o[losses.Refused], o[losses.Failed], o[losses.CallerLeft], topCause(window))
 	}
 	_ = w.Flush()
 }
@@ -150,7 +150,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "requests\tstage\tanswered\tp50 ms\tp95 ms\tp99 ms\tmost ms\t")
 	for _, s := range r.Stages {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t\n", s.Class, s.Stage, s.Count, s.P50, s.P95, s.P99, s.Most)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t\n", s.Class, s.Stage, s.Count, s.P50, s.P95, s.P99, s.Max)
 	}
 	_ = w.Flush()
 }
--- a/cmd/damaskctl/losses_test.go
+++ b/cmd/damaskctl/losses_test.go
@@ -60,7 +60,7 @@
 	is.Equal(code, exitDone)
 	var r losses.Report
 	is.NoErr(json.Unmarshal([]byte(out), &r))
-	is.Equal(r.NotOwed, 1)
+	is.Equal(r.CallerFaults, 1)
 	svg, err := os.ReadFile(plot)
 	is.NoErr(err)
 	is.True(bytes.Contains(svg, []byte("refused_no_slack")))
--- a/cmd/damaskctl/session_test.go
+++ b/cmd/damaskctl/session_test.go
@@ -47,7 +47,7 @@
 func startSession(t *testing.T) *session {
 	t.Helper()
 	f, err := local.Start(local.Config{
-		Entries: 3,
+		Instances: 3,
 		Cluster: cluster.Config{
 			Domains: []string{"north-ice", "mid-ice", "south-ice"}, Region: "sask-plains", EnginesPerDomain: 2,
 			Models: []string{"guidebot"}, Service: "bookdesk", TimeScale: 50, Seed: 1,
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -79,14 +79,14 @@
 func startFleet(p Profile, o Options) (*local.Fleet, error) {
 	engines := p.EnginesPerDomain * len(p.Domains)
 	return local.Start(local.Config{
-		Entries: o.Instances, Log: o.Log,
+		Instances: o.Instances, Log: o.Log,
 		Intent: api.Intent{Models: []api.Model{{Name: p.Model, Version: cluster.ModelVersion, Replicas: engines, Floor: 2}}},
 		Cluster: cluster.Config{
 			Domains: p.Domains, Region: p.Region, EnginesPerDomain: p.EnginesPerDomain, Models: []string{p.Model},
 			Service: p.Service, Services: p.ServiceInstances, TimeScale: o.TimeScale, Seed: o.Seed,
 			Engine: engine.Config{Fencing: true},
 		},
-		Tune: func(s *api.Settings) { s.Profile = p.Routing },
+		EditSettings: func(s *api.Settings) { s.Profile = p.Routing },
 	})
 }
 
--- a/internal/entry/outcome_test.go
+++ b/internal/entry/outcome_test.go
@@ -52,13 +52,13 @@
 func startFleetWith(t *testing.T, tune func(*api.Settings)) *testFleet {
 	t.Helper()
 	f, err := local.Start(local.Config{
-		Entries: 2,
-		Intent:  api.Intent{Models: []api.Model{{Name: model, Version: cluster.ModelVersion, Replicas: 3, Floor: 1}}},
+		Instances: 2,
+		Intent:    api.Intent{Models: []api.Model{{Name: model, Version: cluster.ModelVersion, Replicas: 3, Floor: 1}}},
 		Cluster: cluster.Config{
 			Domains: []string{"north", "mid", "south"}, Region: "plains", EnginesPerDomain: 1,
 			Models: []string{model}, Service: service, TimeScale: 1, Seed: 1,
 		},
-		Tune: func(s *api.Settings) {
+		EditSettings: func(s *api.Settings) {
 			s.Intervals.StreamGap = api.Duration(time.Second)
 			tune(s)
 		},
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -61,7 +61,7 @@
 }
 
 // About gives the kept decisions about subject, oldest first.
-func (r *Recorder) About(subject string) []*Decision {
+func (r *Recorder) ForSubject(subject string) []*Decision {
 	var found []*Decision
 	next := r.next.Load()
 	for i := range uint64(kept) {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -22,12 +22,12 @@
 	r.Record("retry", "p1", "resume", "offset", 7)
 	is.Equal(bytes.Count(out.Bytes(), []byte("\n")), 3)
 	is.True(bytes.HasPrefix(out.Bytes(), []byte("[INFO]  e1.decision: route: subject=p1 reason=least_loaded upstream=engine-1 attempt=1\n")))
-	about := r.About("p1")
+	about := r.ForSubject("p1")
 	is.Equal(len(about), 2)
 	is.Equal(about[0].Kind, "route")
 	is.Equal(about[0].Fields(), "upstream=engine-1 attempt=1")
 	is.Equal(about[1].Fields(), "offset=7")
-	is.Equal(len(r.About("p3")), 0)
+	is.Equal(len(r.ForSubject("p3")), 0)
 }
 
 // Many requests record at once and push the oldest decisions out; the latest are still there, whole.
@@ -46,6 +46,6 @@
 	}
 	wg.Wait()
 	r.Record("route", "last", "reason", "n", -1)
-	is.Equal(len(r.About("w0-0")), 0) // 24,001 decisions, the latest 8,192 kept
-	is.Equal(r.About("last")[0].Fields(), "n=-1")
+	is.Equal(len(r.ForSubject("w0-0")), 0) // 24,001 decisions, the latest 8,192 kept
+	is.Equal(r.ForSubject("last")[0].Fields(), "n=-1")
 }
--- a/internal/explain/logs.go
+++ b/internal/explain/logs.go
@@ -95,7 +95,7 @@
 
 // Story gives the lines that name the request, and beside them what the same instances came to believe
 // around it: of the upstreams that the request met, of the configuration, the store and the dispatcher.
-func Story(all []Line, id string) []Line {
+func RequestLines(all []Line, id string) []Line {
 	var own []Line
 	for _, l := range all {
 		if names(l.Text, id) {
--- a/internal/explain/logs_test.go
+++ b/internal/explain/logs_test.go
@@ -26,7 +26,7 @@
 			all, _, err := explain.ReadLines(file)
 			is.NoErr(err)
 			var got strings.Builder
-			for _, l := range explain.Story(all, id) {
+			for _, l := range explain.RequestLines(all, id) {
 				got.WriteString(l.String() + "\n")
 			}
 			want, err := os.ReadFile("testdata/" + name + ".golden")
@@ -43,6 +43,6 @@
 		"junk\n2026-04-11T09:40:38.269Z [INFO]  damaskshelfd.e.decision: answer: subject=abc1 reason=served\n"))
 	is.NoErr(err)
 	is.Equal(len(all), 1)
-	is.Equal(len(explain.Story(all, "abc")), 0)
-	is.Equal(len(explain.Story(all, "abc1")), 1)
+	is.Equal(len(explain.RequestLines(all, "abc")), 0)
+	is.Equal(len(explain.RequestLines(all, "abc1")), 1)
 }
--- a/internal/follow/calls.go
+++ b/internal/follow/calls.go
@@ -147,7 +147,7 @@
 	instances := entryInstances(l)
 	f.deps.Keeper.SetInstances(l)
 	f.handleEvent(func(now decide.Instant) []relay.Effect { return f.node.UpdateInstances(now, l.Version, instances) })
-	f.client.Keep(f.peerAddrs())
+	f.client.CloseExcept(f.peerAddrs())
 	f.pruneBootIDs(l)
 	return len(instances)
 }
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -28,13 +28,13 @@
 
 // Config is the shape of a local fleet.
 type Config struct {
-	Cluster cluster.Config
-	Entries int
-	Intent  api.Intent
-	Log     hclog.Logger // nil: none
-	NewID   func() string
-	Tune    func(*api.Settings) // changes each instance's settings; may be nil
-	Execute execute.Config      // times of the executors; zero values: the defaults
+	Cluster      cluster.Config
+	Instances    int
+	Intent       api.Intent
+	Log          hclog.Logger // nil: none
+	NewID        func() string
+	EditSettings func(*api.Settings) // changes each instance's settings; may be nil
+	Execute      execute.Config      // times of the executors; zero values: the defaults
 }
 
 // Fleet is a running local fleet.
@@ -60,8 +60,8 @@
 }
 
 func (f *Fleet) start() error {
-	for i := range f.cfg.Entries {
-		if _, err := f.Add(fmt.Sprintf("entry-%d", i), f.cfg.Cluster.Domains[i%len(f.cfg.Cluster.Domains)]); err != nil {
+	for i := range f.cfg.Instances {
+		if _, err := f.AddInstance(fmt.Sprintf("entry-%d", i), f.cfg.Cluster.Domains[i%len(f.cfg.Cluster.Domains)]); err != nil {
 			return err
 		}
 	}
@@ -103,14 +103,14 @@
 	s.Intervals.LoadReport = api.Duration(50 * time.Millisecond)
 	s.Intervals.Heartbeat = api.Duration(50 * time.Millisecond)
 	s.Intervals.BalancerLag = api.Duration(100 * time.Millisecond)
-	if f.cfg.Tune != nil {
-		f.cfg.Tune(&s)
+	if f.cfg.EditSettings != nil {
+		f.cfg.EditSettings(&s)
 	}
 	return s
 }
 
 // Add starts one more instance and lists it.
-func (f *Fleet) Add(name, domain string) (*node.Node, error) {
+func (f *Fleet) AddInstance(name, domain string) (*node.Node, error) {
 	s := f.Settings(name, domain)
 	if err := s.Validate(); err != nil {
 		return nil, err
--- a/internal/losses/cause.go
+++ b/internal/losses/cause.go
@@ -13,10 +13,10 @@
 
 // The closed list of causes, in the order in which a report shows them.
 const (
-	LatePlace         Cause = "late_place"          // it waited for a place; with one at once it would have been in time
-	LateFirst         Cause = "late_first"          // its upstreams took too long to the first event, or to a plain answer
-	Paused            Cause = "paused"              // its engine paused between two events for too long
-	PausedResume      Cause = "paused_resume"       // its engine broke off, and it went on elsewhere too late
+	LateQueued        Cause = "late_place"          // it waited for a place; with one at once it would have been in time
+	LateFirstEvent    Cause = "late_first"          // its upstreams took too long to the first event, or to a plain answer
+	LateNextEvent     Cause = "paused"              // its engine paused between two events for too long
+	LateResume        Cause = "paused_resume"       // its engine broke off, and it went on elsewhere too late
 	RefusedTooLate    Cause = "refused_too_late"    // no place in its caller's time
 	RefusedNoSlack    Cause = "refused_no_slack"    // over one engine's memory, and the fleet was busy
 	RefusedTooLarge   Cause = "refused_too_large"   // over the memory of all engines that could hold it together
@@ -27,7 +27,7 @@
 	RefusedStarting   Cause = "refused_starting"    // its instance had just started, or had been paused
 	UpstreamFailed    Cause = "upstream_failed"     // its upstream failed it, and it could not be sent again in time
 	StreamCut         Cause = "stream_cut"          // its stream broke off, and none could go on with it
-	TimeUp            Cause = "time_up"             // its caller's or its route's time ended first
+	DeadlineExceeded  Cause = "time_up"             // its caller's or its route's time ended first
 	CallerGone        Cause = "caller_gone"         // its caller left before the end of the answer
 	InstanceEnded     Cause = "instance_ended"      // its instance ended without answering it
 	Other             Cause = "other"               // a fault that should not come from the fleet
@@ -35,8 +35,8 @@
 
 // Causes lists every cause.
 var Causes = []Cause{
-	LatePlace, LateFirst, Paused, PausedResume, RefusedTooLate, RefusedNoSlack, RefusedTooLarge, RefusedQueueFull,
-	RefusedLimit, RefusedNoUpstream, RefusedStopping, RefusedStarting, UpstreamFailed, StreamCut, TimeUp, CallerGone, InstanceEnded, Other,
+	LateQueued, LateFirstEvent, LateNextEvent, LateResume, RefusedTooLate, RefusedNoSlack, RefusedTooLarge, RefusedQueueFull,
+	RefusedLimit, RefusedNoUpstream, RefusedStopping, RefusedStarting, UpstreamFailed, StreamCut, DeadlineExceeded, CallerGone, InstanceEnded, Other,
 }
 
 // Outcome is what a caller saw of a request, more roughly than its cause.
@@ -44,23 +44,23 @@
 
 // The outcomes.
 const (
-	InTime  Outcome = "in_time"
-	Late    Outcome = "late"
-	Refused Outcome = "refused" // it did not run
-	Failed  Outcome = "failed"
-	Left    Outcome = "left" // the caller went away
+	InTime     Outcome = "in_time"
+	Late       Outcome = "late"
+	Refused    Outcome = "refused" // it did not run
+	Failed     Outcome = "failed"
+	CallerLeft Outcome = "left" // the caller went away
 )
 
 func (c Cause) outcome() Outcome {
 	switch {
 	case c == "":
 		return InTime
-	case c == LatePlace || c == LateFirst || c == Paused || c == PausedResume:
+	case c == LateQueued || c == LateFirstEvent || c == LateNextEvent || c == LateResume:
 		return Late
 	case strings.HasPrefix(string(c), "refused_"):
 		return Refused
 	case c == CallerGone:
-		return Left
+		return CallerLeft
 	default:
 		return Failed
 	}
@@ -76,7 +76,7 @@
 var faults = map[string]Cause{
 	"no_upstream": RefusedNoUpstream, "stopping": RefusedStopping, "not_ready": RefusedStarting, "stale_instance": RefusedStarting,
 	"upstream_failed": UpstreamFailed, "upstream_busy": UpstreamFailed, "incomplete_answer": StreamCut,
-	"deadline_exceeded": TimeUp, "caller_gone": CallerGone,
+	"deadline_exceeded": DeadlineExceeded, "caller_gone": CallerGone,
 }
 
 // notOwed are faults of callers: what they asked for is not allowed or makes no sense.
@@ -119,7 +119,7 @@
 		return c, true
 	}
 	if kind == "infeasible" {
-		return TimeUp, true
+		return DeadlineExceeded, true
 	}
 	return Other, true
 }
@@ -133,9 +133,9 @@
 	case gap == 0 || end.ms("pause_ms") <= gap:
 		return ""
 	case end.number("attempts") > 1:
-		return PausedResume
+		return LateResume
 	default:
-		return Paused
+		return LateNextEvent
 	}
 }
 
@@ -145,8 +145,8 @@
 	case aim == 0 || took <= aim:
 		return ""
 	case took-waited <= aim:
-		return LatePlace
+		return LateQueued
 	default:
-		return LateFirst
+		return LateFirstEvent
 	}
 }
--- a/internal/losses/draw.go
+++ b/internal/losses/draw.go
@@ -23,7 +23,7 @@
 		return errors.New("logs hold no answered request")
 	}
 	chart := plot.New()
-	chart.Title.Text = fmt.Sprintf("requests not answered whole and in time, by cause, each %s", r.Every)
+	chart.Title.Text = fmt.Sprintf("requests not answered whole and in time, by cause, each %s", r.WindowLength)
 	chart.X.Label.Text = "seconds from " + r.Windows[0].From.UTC().Format("15:04:05")
 	chart.Y.Label.Text = "requests"
 	chart.Legend.Top = true
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -18,7 +18,7 @@
 }
 
 // Asked is the number of its requests.
-func (w *Window) Asked() int {
+func (w *Window) RequestCount() int {
 	n := 0
 	for _, k := range w.Outcomes {
 		n += k
@@ -28,19 +28,19 @@
 
 // Class is what is told of requests of one kind, or of streams by the size of their prompts.
 type Class struct {
-	Name     string          `json:"name"`
-	Asked    int             `json:"asked"`
-	InTime   int             `json:"in_time"`
-	Tokens   int             `json:"prompt_tokens"`
-	Lost     map[Cause]int   `json:"lost"`
-	LostSize map[Cause]int   `json:"lost_prompt_tokens"` // prompt tokens of the lost ones
-	Outcomes map[Outcome]int `json:"outcomes"`
+	Name             string          `json:"name"`
+	Requests         int             `json:"asked"`
+	InTime           int             `json:"in_time"`
+	PromptTokens     int             `json:"prompt_tokens"`
+	Lost             map[Cause]int   `json:"lost"`
+	LostPromptTokens map[Cause]int   `json:"lost_prompt_tokens"` // prompt tokens of the lost ones
+	Outcomes         map[Outcome]int `json:"outcomes"`
 }
 
 // TokensInTime is the prompt tokens of what was answered whole and in time.
-func (c *Class) TokensInTime() int {
-	n := c.Tokens
-	for _, lost := range c.LostSize {
+func (c *Class) PromptTokensInTime() int {
+	n := c.PromptTokens
+	for _, lost := range c.LostPromptTokens {
 		n -= lost
 	}
 	return n
@@ -48,15 +48,15 @@
 
 // Report is the account of some logs.
 type Report struct {
-	Every    time.Duration `json:"-"`
-	Classes  []Class       `json:"classes"`
-	Windows  []Window      `json:"windows"`
-	Stages   []StageTimes  `json:"stages"`
-	NotOwed  int           `json:"not_owed"` // callers had no right to an answer
-	Unended  int           `json:"unended"`  // still under way where the logs end
-	Lines    int           `json:"lines"`
-	Unusable int           `json:"unusable_answers"` // answer lines that lack what they are judged by
-	Problems []string      `json:"problems"`         // of the first of these, with line and field
+	WindowLength    time.Duration `json:"-"`
+	Classes         []Class       `json:"classes"`
+	Windows         []Window      `json:"windows"`
+	Stages          []StageTimes  `json:"stages"`
+	CallerFaults    int           `json:"not_owed"` // callers had no right to an answer
+	Unfinished      int           `json:"unended"`  // still under way where the logs end
+	Lines           int           `json:"lines"`
+	UnusableAnswers int           `json:"unusable_answers"` // answer lines that lack what they are judged by
+	Problems        []string      `json:"problems"`         // of the first of these, with line and field
 }
 
 // attempt is a request on an instance.
@@ -83,22 +83,22 @@
 
 // unusable notes a line that can't be judged.
 func (r *reader) unusable(l explain.Line, problem string) {
-	r.report.Unusable++
+	r.report.UnusableAnswers++
 	if len(r.report.Problems) < mostProblems {
 		r.report.Problems = append(r.report.Problems, fmt.Sprintf("line %d: %s", l.Number, problem))
 	}
 }
 
 // Read sums up lines, ordered by time, in windows of a length.
-func Read(lines []explain.Line, every time.Duration) *Report {
+func Summarize(lines []explain.Line, every time.Duration) *Report {
 	r := reader{
-		report: &Report{Every: every, Lines: len(lines)}, open: map[attempt]sent{},
+		report: &Report{WindowLength: every, Lines: len(lines)}, open: map[attempt]sent{},
 		classes: map[string]*Class{}, windows: map[time.Time]*Window{}, stages: stageTimes{},
 	}
 	for _, l := range lines {
 		r.take(l)
 	}
-	r.report.Unended = len(r.open)
+	r.report.Unfinished = len(r.open)
 	return r.finish()
 }
 
@@ -140,7 +140,7 @@
 	}
 	c, owed := causeOf(f, waited)
 	if !owed {
-		r.report.NotOwed++
+		r.report.CallerFaults++
 		return
 	}
 	r.stages.take(f, waited)
@@ -151,18 +151,18 @@
 	name := cmp.Or(f["class"], "unknown")
 	class := r.classes[name]
 	if class == nil {
-		class = &Class{Name: name, Lost: map[Cause]int{}, LostSize: map[Cause]int{}, Outcomes: map[Outcome]int{}}
+		class = &Class{Name: name, Lost: map[Cause]int{}, LostPromptTokens: map[Cause]int{}, Outcomes: map[Outcome]int{}}
 		r.classes[name] = class
 	}
-	from := arrived.Truncate(r.report.Every)
+	from := arrived.Truncate(r.report.WindowLength)
 	window := r.windows[from]
 	if window == nil {
 		window = &Window{From: from, Outcomes: map[Outcome]int{}, Causes: map[Cause]int{}}
 		r.windows[from] = window
 	}
 	prompt := f.number("prompt")
-	class.Asked++
-	class.Tokens += prompt
+	class.Requests++
+	class.PromptTokens += prompt
 	class.Outcomes[c.outcome()]++
 	window.Outcomes[c.outcome()]++
 	if c == "" {
@@ -170,7 +170,7 @@
 		return
 	}
 	class.Lost[c]++
-	class.LostSize[c] += prompt
+	class.LostPromptTokens[c] += prompt
 	window.Causes[c]++
 }
 
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return losses.Read(all, every), passedOver
+	return losses.Summarize(all, every), passedOver
 }
 
 func logs(t *testing.T) []byte {
@@ -39,13 +39,13 @@
 	is := is.New(t)
 	r, passedOver := read(t, logs(t))
 	is.Equal(passedOver, 1)
-	is.Equal(r.NotOwed, 1)
-	is.Equal(r.Unended, 1)
-	is.Equal(r.Unusable, 1) // the line that was cut
+	is.Equal(r.CallerFaults, 1)
+	is.Equal(r.Unfinished, 1)
+	is.Equal(r.UnusableAnswers, 1) // the line that was cut
 	lost := map[losses.Cause]int{}
 	asked, inTime := 0, 0
 	for _, c := range r.Classes {
-		asked += c.Asked
+		asked += c.Requests
 		inTime += c.InTime
 		for cause, n := range c.Lost {
 			lost[cause] += n
@@ -53,14 +53,14 @@
 	}
 	is.Equal(inTime, 2)
 	is.Equal(lost, map[losses.Cause]int{
-		losses.LatePlace: 1, losses.LateFirst: 1, losses.Paused: 1, losses.PausedResume: 1, losses.RefusedNoSlack: 1,
-		losses.RefusedTooLate: 1, losses.RefusedNoUpstream: 1, losses.RefusedStopping: 1, losses.TimeUp: 1,
+		losses.LateQueued: 1, losses.LateFirstEvent: 1, losses.LateNextEvent: 1, losses.LateResume: 1, losses.RefusedNoSlack: 1,
+		losses.RefusedTooLate: 1, losses.RefusedNoUpstream: 1, losses.RefusedStopping: 1, losses.DeadlineExceeded: 1,
 		losses.UpstreamFailed: 2, losses.StreamCut: 1, losses.CallerGone: 1, losses.InstanceEnded: 1,
 	})
 	is.Equal(asked, inTime+14)
 	windows := 0
 	for _, w := range r.Windows {
-		windows += w.Asked()
+		windows += w.RequestCount()
 	}
 	is.Equal(windows, asked)
 }
@@ -83,7 +83,7 @@
 		got, _ := read(t, part)
 		is.True(got.Lines <= whole.Lines)
 		for _, c := range got.Classes {
-			is.True(c.InTime <= c.Asked)
+			is.True(c.InTime <= c.Requests)
 		}
 	}
 }
--- a/internal/losses/stages.go
+++ b/internal/losses/stages.go
@@ -19,13 +19,13 @@
 
 // The stages, in the order in which a request goes through them.
 const (
-	Place Stage = "place" // from its arrival until it is first sent to an upstream
-	First Stage = "first" // from there to its first event, or to the whole of a plain answer; second tries included
-	Rest  Stage = "rest"  // from its first event to its last
+	StageQueued     Stage = "place" // from its arrival until it is first sent to an upstream
+	StageFirstEvent Stage = "first" // from there to its first event, or to the whole of a plain answer; second tries included
+	StageStreaming  Stage = "rest"  // from its first event to its last
 )
 
 // Stages lists every stage.
-var Stages = []Stage{Place, First, Rest}
+var Stages = []Stage{StageQueued, StageFirstEvent, StageStreaming}
 
 // longestStage bounds a recorded time: no caller waits that long.
 const longestStage = 10 * time.Minute
@@ -41,7 +41,7 @@
 	P50   int64  `json:"p50_ms"`
 	P95   int64  `json:"p95_ms"`
 	P99   int64  `json:"p99_ms"`
-	Most  int64  `json:"most_ms"`
+	Max   int64  `json:"most_ms"`
 
 	points []stagePoint
 }
@@ -63,12 +63,12 @@
 	class := end["class"]
 	switch end["reason"] {
 	case "served":
-		t.record(class, Place, waited)
-		t.record(class, First, end.ms("first_ms")-waited)
-		t.record(class, Rest, end.ms("took_ms")-end.ms("first_ms"))
+		t.record(class, StageQueued, waited)
+		t.record(class, StageFirstEvent, end.ms("first_ms")-waited)
+		t.record(class, StageStreaming, end.ms("took_ms")-end.ms("first_ms"))
 	case "passed_on":
-		t.record(class, Place, waited)
-		t.record(class, First, end.ms("took_ms")-waited)
+		t.record(class, StageQueued, waited)
+		t.record(class, StageFirstEvent, end.ms("took_ms")-waited)
 	}
 }
 
@@ -89,7 +89,7 @@
 	for key, h := range t {
 		times := StageTimes{
 			Class: key.class, Stage: key.stage, Count: h.TotalCount(),
-			P50: h.ValueAtQuantile(50), P95: h.ValueAtQuantile(95), P99: h.ValueAtQuantile(99), Most: h.Max(),
+			P50: h.ValueAtQuantile(50), P95: h.ValueAtQuantile(95), P99: h.ValueAtQuantile(99), Max: h.Max(),
 		}
 		for _, b := range h.CumulativeDistributionWithTicks(pointsPerHalf) {
 			times.points = append(times.points, stagePoint{b.Quantile / 100, float64(b.ValueAt)})
@@ -140,5 +140,5 @@
 
 // stageDashes tell the stages apart.
 var stageDashes = map[Stage][]vg.Length{
-	Place: {vg.Points(1), vg.Points(2)}, First: nil, Rest: {vg.Points(5), vg.Points(2)},
+	StageQueued: {vg.Points(1), vg.Points(2)}, StageFirstEvent: nil, StageStreaming: {vg.Points(5), vg.Points(2)},
 }
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -29,6 +29,6 @@
 			ID: fleet.InstanceID(s.Instance), Domain: fleet.DomainID(s.FailureDomain), Region: fleet.RegionID(s.Region),
 		},
 		Store: store, Instances: listObserver{p, l}, Keeper: k, Log: log,
-		ListInterval: time.Duration(s.Intervals.InstanceList), HeartbeatInterval: time.Duration(s.Intervals.Heartbeat), OnPeerListVersion: l.OnPeerList,
+		ListInterval: time.Duration(s.Intervals.InstanceList), HeartbeatInterval: time.Duration(s.Intervals.Heartbeat), OnPeerListVersion: l.OnPeerVersion,
 	})
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -87,10 +87,10 @@
 	log := &decisionLog{}
 	var ids atomic.Int64
 	f, err := local.Start(local.Config{
-		Entries: 1,
-		Log:     hclog.New(&hclog.LoggerOptions{Output: log, DisableTime: true}),
-		NewID:   func() string { return fmt.Sprint("id-", ids.Add(1)) },
-		Intent:  api.Intent{Models: []api.Model{{Name: model, Version: cluster.ModelVersion, Replicas: 1, Floor: 1}}},
+		Instances: 1,
+		Log:       hclog.New(&hclog.LoggerOptions{Output: log, DisableTime: true}),
+		NewID:     func() string { return fmt.Sprint("id-", ids.Add(1)) },
+		Intent:    api.Intent{Models: []api.Model{{Name: model, Version: cluster.ModelVersion, Replicas: 1, Floor: 1}}},
 		Cluster: cluster.Config{
 			Domains: []string{"north"}, Region: "plains", EnginesPerDomain: 1, Models: []string{model},
 			TimeScale: 20, Seed: 1,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -109,9 +109,9 @@
 	n.runInBackground(p.Observer.Run)
 	n.runInBackground(p.Sweeper.Run)
 	n.runInBackground(p.Limits.Run)
-	n.runInBackground(func(ctx context.Context) { p.Limits.WarmUp(ctx, p.Client, warmUpInterval) })
+	n.runInBackground(func(ctx context.Context) { p.Limits.RunWarmUp(ctx, p.Client, warmUpInterval) })
 	n.runInBackground(func(ctx context.Context) {
-		p.Limits.Probe(ctx, p.Client, time.Duration(p.Settings.Intervals.LoadReport))
+		p.Limits.RunProbes(ctx, p.Client, time.Duration(p.Settings.Intervals.LoadReport))
 	})
 	n.runInBackground(newClaimSweep(p.Settings, p.Claims, p.Keeper, p.Log))
 	p.Executor.run(n.workCtx)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -33,7 +33,7 @@
 func startWithSettings(t *testing.T, instances int, tune func(*api.Settings)) *local.Fleet {
 	t.Helper()
 	f, err := local.Start(local.Config{
-		Entries: instances, Tune: tune,
+		Instances: instances, EditSettings: tune,
 		Intent: api.Intent{Models: []api.Model{{Name: model, Version: cluster.ModelVersion, Replicas: 3, Floor: 1}}},
 		Cluster: cluster.Config{
 			Domains: []string{"north", "mid", "south"}, Region: "plains", EnginesPerDomain: 1,
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -74,7 +74,7 @@
 func decisionLines(rec *explain.Recorder) func(id fleet.RequestID) ([]string, bool) {
 	return func(id fleet.RequestID) ([]string, bool) {
 		var lines []string
-		for _, d := range rec.About(string(id)) {
+		for _, d := range rec.ForSubject(string(id)) {
 			lines = append(lines, fmt.Sprintf("%s reason=%s %s", d.Kind, d.Reason, d.Fields()))
 		}
 		return lines, len(lines) > 0
--- a/internal/node/plans_test.go
+++ b/internal/node/plans_test.go
@@ -25,8 +25,8 @@
 func startPlanFleet(t *testing.T, fencing bool) *local.Fleet {
 	t.Helper()
 	f, err := local.Start(local.Config{
-		Entries: 3,
-		Intent:  intentWithVersion(cluster.ModelVersion),
+		Instances: 3,
+		Intent:    intentWithVersion(cluster.ModelVersion),
 		Cluster: cluster.Config{
 			Domains: []string{"north", "mid", "south"}, Region: "plains", EnginesPerDomain: 2,
 			Models: []string{model}, Service: service, TimeScale: 10, Seed: 1, WeightRate: 40, WeightBurst: 80,
--- a/internal/node/sink.go
+++ b/internal/node/sink.go
@@ -36,7 +36,7 @@
 
 // OnReportMissed passes on that an engine's report could not be read.
 func (s sink) OnReportMissed(u *fleet.Upstream, err error) {
-	s.limits.OnSilent(u, err)
+	s.limits.OnNoReply(u, err)
 	s.Router.OnReportMissed(u, err)
 }
 
--- a/internal/node/warm.go
+++ b/internal/node/warm.go
@@ -22,7 +22,7 @@
 	i := s.Intervals
 	return warm.New(warm.Config{
 		Self: s.Instance, View: k.View, Explain: rec, Log: log,
-		Params: warm.ParamsOf(time.Duration(i.InstanceList), time.Duration(i.Heartbeat)),
+		Params: warm.NewParams(time.Duration(i.InstanceList), time.Duration(i.Heartbeat)),
 	})
 }
 
@@ -38,7 +38,7 @@
 	start := time.Now()
 	l, err := t.list.Instances(ctx)
 	if err == nil {
-		t.limits.OnList(l.Version, liveInstances(l), start)
+		t.limits.OnInstanceList(l.Version, liveInstances(l), start)
 	}
 	return l, err
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -93,7 +93,7 @@
 }
 
 // Keep closes the connections to all but these addresses.
-func (c *Client) Keep(addrs []string) {
+func (c *Client) CloseExcept(addrs []string) {
 	c.mu.Lock()
 	var gone []*lane
 	for addr, l := range c.kept {
@@ -111,7 +111,7 @@
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
-	c.Keep(nil)
+	c.CloseExcept(nil)
 }
 
 // dropAll closes the lanes' connections, each after the call that uses it.
@@ -172,17 +172,17 @@
 
 // Dial connects to an instance at addr. Each write is bounded, and so is the size of a message.
 func Dial(ctx context.Context, addr string) (*drpcconn.Conn, error) {
-	return DialHeard(ctx, addr, nil)
+	return DialWithReadHook(ctx, addr, nil)
 }
 
 // DialHeard is Dial; heard is called whenever bytes come, also those of a message that isn't whole yet. nil: nobody asks.
-func DialHeard(ctx context.Context, addr string, heard func()) (*drpcconn.Conn, error) {
+func DialWithReadHook(ctx context.Context, addr string, heard func()) (*drpcconn.Conn, error) {
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	return drpcconn.NewWithOptions(&timedConn{Conn: raw, heard: heard}, drpcconn.Options{Manager: drpcmanager.Options{
-		Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessage},
+		Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes},
 	}}), nil
 }
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -16,7 +16,7 @@
 }
 
 // Bounded gives a listener of which no more than a fixed number of connections are open.
-func Bounded(l net.Listener) net.Listener {
+func LimitListener(l net.Listener) net.Listener {
 	return &boundedListener{Listener: l, bound: maxServed}
 }
 
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -15,9 +15,9 @@
 const (
 	// MaxMessage bounds one message in bytes. A packed configuration is below the store's megabyte, and so is a
 	// packed list of ten thousand upstreams; messages that wait for a slow reader are sent as one.
-	MaxMessage  = 8 << 20
-	maxUnpacked = 1 << 20 // bytes of one object of the store
-	maxDigest   = 256     // signs that a received digest may carry
+	MaxMessageBytes = 8 << 20
+	maxUnpacked     = 1 << 20 // bytes of one object of the store
+	maxDigest       = 256     // signs that a received digest may carry
 )
 
 func encodeDigest(d relay.Digest) *peerpb.Digest {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	options := drpcserver.Options{Manager: drpcmanager.Options{
-		Reader:            drpcwire.ReaderOptions{MaximumBufferSize: MaxMessage},
+		Reader:            drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes},
 		InactivityTimeout: idleTimeout,
 	}}
 	return &Server{drpc: drpcserver.NewWithOptions(mux, options)}, nil
@@ -51,7 +51,7 @@
 
 // Serve answers peers until ctx ends, then closes l and every connection.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	return s.drpc.Serve(ctx, Bounded(l))
+	return s.drpc.Serve(ctx, LimitListener(l))
 }
 
 type service struct {
--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -95,9 +95,9 @@
 		return err
 	}
 	options := drpcserver.Options{Manager: drpcmanager.Options{
-		Reader: drpcwire.ReaderOptions{MaximumBufferSize: peer.MaxMessage}, InactivityTimeout: time.Minute,
+		Reader: drpcwire.ReaderOptions{MaximumBufferSize: peer.MaxMessageBytes}, InactivityTimeout: time.Minute,
 	}}
-	return drpcserver.NewWithOptions(mux, options).Serve(ctx, peer.Bounded(l))
+	return drpcserver.NewWithOptions(mux, options).Serve(ctx, peer.LimitListener(l))
 }
 
 // Run keeps a session with the dispatcher and does this instance's own work as a dispatcher until ctx ends.
--- a/internal/placement/session.go
+++ b/internal/placement/session.go
@@ -240,7 +240,7 @@
 	dialCtx, cancelDial := context.WithTimeout(ctx, connectTimeout)
 	defer cancelDial()
 	s := &session{peerID: member.ID, openedAt: time.Now()}
-	conn, err := peer.DialHeard(dialCtx, member.Addr, s.recordReceived)
+	conn, err := peer.DialWithReadHook(dialCtx, member.Addr, s.recordReceived)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/route/cluster_test.go
+++ b/internal/route/cluster_test.go
@@ -30,8 +30,8 @@
 			Domains: []string{"north", "mid", "south"}, Region: "plains", EnginesPerDomain: 2,
 			Models: []string{model}, TimeScale: 50, Engine: cfg,
 		},
-		Entries: 2,
-		Intent:  api.Intent{Models: []api.Model{{Name: model, Version: cluster.ModelVersion, Replicas: 6, Floor: 1}}},
+		Instances: 2,
+		Intent:    api.Intent{Models: []api.Model{{Name: model, Version: cluster.ModelVersion, Replicas: 6, Floor: 1}}},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -107,8 +107,8 @@
 		is.Equal(g.Priority, 6)
 		g.RecordFirstToken()
 		g.Release(OK)
-		is.Equal(len(b.recorder.About("r1")), 1)
-		is.Equal(b.recorder.About("r1")[0].Kind, "route")
+		is.Equal(len(b.recorder.ForSubject("r1")), 1)
+		is.Equal(b.recorder.ForSubject("r1")[0].Kind, "route")
 	})
 }
 
@@ -127,7 +127,7 @@
 		is.Equal(time.Since(started), 700*time.Millisecond)
 		g.Release(OK)
 		kinds := []string{}
-		for _, d := range b.recorder.About("r1") {
+		for _, d := range b.recorder.ForSubject("r1") {
 			kinds = append(kinds, d.Kind)
 		}
 		is.Equal(kinds, []string{"queue", "route"})
--- a/internal/warm/follow.go
+++ b/internal/warm/follow.go
@@ -11,7 +11,7 @@
 )
 
 // OnList takes a read of the instance list that began at began: the entry instances that are live.
-func (l *Limits) OnList(version uint64, live []string, began time.Time) {
+func (l *Limits) OnInstanceList(version uint64, live []string, began time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.cfg.Now()
@@ -19,7 +19,7 @@
 }
 
 // OnPeerList notes that a peer went by that version of the list, not before at.
-func (l *Limits) OnPeerList(version uint64, at time.Time) {
+func (l *Limits) OnPeerVersion(version uint64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slots.OnPeerVersion(version, l.cfg.Now().Add(-time.Since(at)))
@@ -121,7 +121,7 @@
 
 // ParamsOf gives the slots' bounds for an instance that reads the list and hears from peers at these
 // intervals. They must be the same on all instances, as their settings are.
-func ParamsOf(list, heartbeat time.Duration) warm.Params {
+func NewParams(list, heartbeat time.Duration) warm.Params {
 	const (
 		lagReads, leastLag     = 10, time.Second
 		pauseBeats, leastPause = 3, 250 * time.Millisecond
--- a/internal/warm/limits.go
+++ b/internal/warm/limits.go
@@ -242,7 +242,7 @@
 }
 
 // OnSilent takes note that a report or probe was not answered.
-func (l *Limits) OnSilent(u *fleet.Upstream, _ error) { l.RecordEvidence(u, health.NoReply) }
+func (l *Limits) OnNoReply(u *fleet.Upstream, _ error) { l.RecordEvidence(u, health.NoReply) }
 
 // on applies an event; up.mu is held.
 func (l *Limits) on(id fleet.UpstreamID, up *upstream, e health.Event) {
--- a/internal/warm/probe.go
+++ b/internal/warm/probe.go
@@ -23,7 +23,7 @@
 
 // Probe asks plain services that are not warm for a sign of life at each interval until ctx ends. Engines
 // make load reports instead.
-func (l *Limits) Probe(ctx context.Context, p Pinger, every time.Duration) {
+func (l *Limits) RunProbes(ctx context.Context, p Pinger, every time.Duration) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
@@ -59,7 +59,7 @@
 		return
 	}
 	if err != nil {
-		l.OnSilent(u, err)
+		l.OnNoReply(u, err)
 		return
 	}
 	up := l.upstream(u)
--- a/internal/warm/warm_test.go
+++ b/internal/warm/warm_test.go
@@ -39,7 +39,7 @@
 	b := &bed{}
 	b.show(1, ups...)
 	b.Limits = warm.New(warm.Config{
-		Self: self, Params: warm.ParamsOf(500*time.Millisecond, 500*time.Millisecond), View: b.view.Load,
+		Self: self, Params: warm.NewParams(500*time.Millisecond, 500*time.Millisecond), View: b.view.Load,
 		Now:     func() decide.Instant { return decide.Instant(b.clock.Load()) },
 		Explain: explain.New(hclog.NewNullLogger()), Log: hclog.NewNullLogger(),
 	})
@@ -55,10 +55,10 @@
 // settle lets the instance read the list until its slots are settled.
 func (b *bed) settle(live ...string) {
 	for range 40 {
-		b.OnList(1, live, time.Now())
+		b.OnInstanceList(1, live, time.Now())
 		b.pass(500 * time.Millisecond)
 	}
-	b.OnList(1, live, time.Now())
+	b.OnInstanceList(1, live, time.Now())
 	b.Tick(false)
 }
 
@@ -112,7 +112,7 @@
 	b.pass(3 * time.Second)
 	is.True(!b.HasCapacity(e))
 	is.True(!b.Acquire(e))
-	b.OnList(1, []string{"a"}, time.Now())
+	b.OnInstanceList(1, []string{"a"}, time.Now())
 	b.Tick(false)
 	is.True(b.Acquire(e)) // the same version of the list: nothing changed meanwhile
 }
@@ -231,14 +231,14 @@
 	probe := func(p warm.Pinger) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		b.Probe(ctx, p, time.Hour) // one round that is cut off at once counts for nothing
+		b.RunProbes(ctx, p, time.Hour) // one round that is cut off at once counts for nothing
 		is.Equal(b.State(desk), health.Unknown)
 		ctx, cancel = context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			b.Probe(ctx, p, time.Millisecond)
+			b.RunProbes(ctx, p, time.Millisecond)
 		}()
 		for b.State(desk) == health.Unknown {
 			time.Sleep(time.Millisecond)
--- a/internal/warm/warmup.go
+++ b/internal/warm/warmup.go
@@ -21,7 +21,7 @@
 // WarmUp sends small prompts of the lowest priority to cold engines in this instance's own slots, until ctx
 // ends. An engine gets warm by work, and a good choice of engine avoids one that is cold as long as there
 // are others: without this, one that came back under load would stay cold for ever.
-func (l *Limits) WarmUp(ctx context.Context, p Prompter, every time.Duration) {
+func (l *Limits) RunWarmUp(ctx context.Context, p Prompter, every time.Duration) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	tick := time.NewTicker(every)
