--- a/internal/warm/follow.go
+++ b/internal/warm/follow.go
@@ -10,7 +10,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// OnList takes a read of the instance list that began at began: the entry instances that are live.
+// OnInstanceList applies a version of the instance list, the ids of the live instances, from a read that began at began.
 func (l *Limits) OnInstanceList(version uint64, live []string, began time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -18,28 +18,28 @@
 	l.slots.OnInstanceList(version, live, now.Add(-time.Since(began)), now)
 }
 
-// OnPeerList notes that a peer went by that version of the list, not before at.
+// OnPeerVersion records that a peer used that version of the instance list at the time at or later.
 func (l *Limits) OnPeerVersion(version uint64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slots.OnPeerVersion(version, l.cfg.Now().Add(-time.Since(at)))
 }
 
-// Settled tells whether this instance's slots are settled. Before that it can't send to cold upstreams.
+// Settled reports whether this instance's slots are settled. Until then it can't send requests to cold engines.
 func (l *Limits) Settled() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.slots.Settled(l.cfg.Now())
 }
 
-// Run keeps the published caps in step with view and slots until ctx ends.
+// Run updates the published caps from the view and the slots until ctx is done.
 func (l *Limits) Run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	last := l.cfg.Now()
 	for {
 		now := l.cfg.Now()
-		shrink := now.Sub(last) >= shrinkEvery
+		shrink := now.Sub(last) >= shrinkInterval
 		if shrink {
 			last = now
 		}
@@ -52,24 +52,25 @@
 	}
 }
 
-// Tick works off a new view and deals the slots; shrink lets unused windows shrink as well.
+// Tick applies a new view and updates every upstream's share of slots and caps. If shrink is set, it also reduces the
+// windows that are not used.
 func (l *Limits) Tick(shrink bool) {
 	v := l.cfg.View()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if v != l.seen {
-		l.follow(v)
+	if v != l.lastView {
+		l.applyView(v)
 	}
-	l.seen = v
+	l.lastView = v
 	now := l.cfg.Now()
-	until := l.slots.ValidUntil()
+	validUntil := l.slots.ValidUntil()
 	for _, u := range v.Upstreams {
-		l.deal(u, now, until, shrink)
+		l.updateShare(u, now, validUntil, shrink)
 	}
 }
 
-// follow takes listed, leaving and unlisted upstreams; l.mu is held.
-func (l *Limits) follow(v *fleet.View) {
+// applyView records which upstreams are listed, leaving and no longer listed. The caller holds l.mu.
+func (l *Limits) applyView(v *fleet.View) {
 	for _, u := range v.Upstreams {
 		switch state := l.State(u); {
 		case !u.AcceptsWork() && state != health.Leaving:
@@ -81,53 +82,54 @@
 			l.RecordEvidence(u, health.Listed)
 		}
 	}
-	l.ups.Range(func(id, up any) bool { return l.unlisted(v, id.(fleet.UpstreamID), up.(*upstream)) })
+	l.upstreams.Range(func(id, up any) bool { return l.handleUnlisted(v, id.(fleet.UpstreamID), up.(*upstream)) })
 }
 
-// unlisted takes note of upstreams that the list no longer names. What is known of one is dropped at the
-// next change of the view, when no request of the old view can come any more.
-func (l *Limits) unlisted(v *fleet.View, id fleet.UpstreamID, up *upstream) bool {
+// handleUnlisted records that an upstream is no longer in the view. A later change of the view deletes its state, once
+// it has no requests in flight; by then no request of the old view can arrive. It returns true, so that the iteration
+// over the upstreams continues.
+func (l *Limits) handleUnlisted(v *fleet.View, id fleet.UpstreamID, up *upstream) bool {
 	switch {
 	case v.Upstream(id) != nil:
 	case up.caps.Load().state != health.Gone:
 		l.RecordEvidence(&fleet.Upstream{ID: id}, health.Unlisted)
 	case up.inFlight.Load() == 0:
-		l.ups.Delete(id)
+		l.upstreams.Delete(id)
 	}
 	return true
 }
 
-// deal gives one upstream its share of slots; l.mu is held.
-func (l *Limits) deal(u *fleet.Upstream, now, until decide.Instant, shrink bool) {
+// updateShare updates this instance's share of the upstream's slots, and the published caps. The caller holds l.mu.
+func (l *Limits) updateShare(u *fleet.Upstream, now, validUntil decide.Instant, shrink bool) {
 	up := l.upstream(u)
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	state := up.machine.State()
 	if shrink && state == health.Warm {
-		up.growth.ShrinkWindow(int(up.inFlight.Load() - up.answered.Load()))
+		up.growth.ShrinkWindow(int(up.inFlight.Load() - up.streaming.Load()))
 	}
 	if u.Kind == fleet.Engine && state != health.Warm {
 		share, reason := l.slots.Share(string(u.ID), up.coldLimit, now)
-		if share != up.share {
-			l.cfg.Explain.Record("slots", string(u.ID), reason, "share", share, "before", up.share, "limit", up.coldLimit)
+		if share != up.slotShare {
+			l.cfg.Explain.Record("slots", string(u.ID), reason, "share", share, "before", up.slotShare, "limit", up.coldLimit)
 		}
-		up.share = share
+		up.slotShare = share
 	}
-	p := &published{Caps: up.capsIn(state), state: state, until: until}
+	p := &publishedCaps{Caps: up.computeCaps(state), state: state, validUntil: validUntil}
 	if *up.caps.Load() != *p {
 		up.caps.Store(p)
 	}
 }
 
-// ParamsOf gives the slots' bounds for an instance that reads the list and hears from peers at these
-// intervals. They must be the same on all instances, as their settings are.
-func NewParams(list, heartbeat time.Duration) warm.Params {
+// NewParams returns the bounds of the slots for an instance that reads the instance list and receives heartbeats at
+// these intervals. All instances must have the same bounds, and therefore the same intervals in their settings.
+func NewParams(listInterval, heartbeatInterval time.Duration) warm.Params {
 	const (
-		lagReads, leastLag     = 10, time.Second
-		pauseBeats, leastPause = 3, 250 * time.Millisecond
+		readsPerListLag, minListLag  = 10, time.Second
+		heartbeatsPerPause, minPause = 3, 250 * time.Millisecond
 	)
-	p := warm.DefaultParams()
-	p.ListLag = max(lagReads*list, leastLag)
-	p.MaxPause = max(pauseBeats*heartbeat, leastPause)
-	return p
+	params := warm.DefaultParams()
+	params.ListLag = max(readsPerListLag*listInterval, minListLag)
+	params.MaxPause = max(heartbeatsPerPause*heartbeatInterval, minPause)
+	return params
 }
--- a/internal/warm/limits.go
+++ b/internal/warm/limits.go
@@ -1,5 +1,5 @@
-// Package warm is the shell of cold starts: it keeps each upstream's health and this instance's part of
-// its load, and answers on the path of a request out of atomics. See docs/design/cold-start.md.
+// Package warm executes the decisions of decide/health and decide/warm: it tracks each upstream's health and limits the
+// load that this instance puts on it. Requests check the limits through atomics. See docs/design/cold-start.md.
 package warm
 
 import (
@@ -18,18 +18,18 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// Constants of the shell.
 const (
-	// unknownLimit is what a cold engine is taken to bear that has not said.
-	unknownLimit = 1
-	// serviceShare is what one instance sends at once to a plain service that is not warm. Services don't
-	// say whether they are cold, so no slots are dealt for them: their load only grows by successes.
-	serviceShare = 4
-	tickEvery    = 100 * time.Millisecond
-	shrinkEvery  = time.Second
+	// defaultColdLimit is the limit of requests in flight at a cold engine that has not reported one.
+	defaultColdLimit = 1
+	// serviceInFlight is the number of requests that one instance may have in flight at a plain service that is not
+	// warm. Services don't report whether they are cold, so they have no slots: their load grows only with successful
+	// requests.
+	serviceInFlight = 4
+	tickInterval    = 100 * time.Millisecond // between two calls of Limits.Tick
+	shrinkInterval  = time.Second            // between two reductions of unused windows
 )
 
-// Config is what Limits need.
+// Config holds the dependencies and parameters of Limits.
 type Config struct {
 	Self    string // this instance's id
 	Params  warm.Params
@@ -39,38 +39,39 @@
 	Log     hclog.Logger
 }
 
-// Limits bound what this instance has at each upstream. It is safe for concurrent use.
+// Limits limits the requests that this instance has in flight at each upstream. It is safe for concurrent use.
 type Limits struct {
-	cfg Config
-	ups sync.Map // fleet.UpstreamID to *upstream
+	cfg       Config
+	upstreams sync.Map // fleet.UpstreamID to *upstream
 
-	mu    sync.Mutex
-	slots *warm.Slots // guarded by mu
-	seen  *fleet.View // guarded by mu: the last view that was worked off
+	mu       sync.Mutex
+	slots    *warm.Slots // guarded by mu
+	lastView *fleet.View // guarded by mu: the view that was applied last
 }
 
-// upstream is one upstream's state. Requests touch the atomics; mu is taken for evidence only.
+// upstream is one upstream's state. A request that only checks, acquires or releases uses the atomics alone. Evidence,
+// first bytes and successes at a warming upstream lock mu.
 type upstream struct {
-	inFlight atomic.Int64
-	answered atomic.Int64 // of those, with their first byte
-	caps     atomic.Pointer[published]
+	inFlight  atomic.Int64
+	streaming atomic.Int64 // requests in flight whose first byte has arrived
+	caps      atomic.Pointer[publishedCaps]
 
 	mu        sync.Mutex
 	kind      fleet.UpstreamKind
 	machine   health.Machine // guarded by mu
 	growth    warm.Growth    // guarded by mu
 	coldLimit int            // guarded by mu
-	share     int            // guarded by mu
+	slotShare int            // guarded by mu
 }
 
-// published are caps with the instant up to which a share of slots is good.
-type published struct {
+// publishedCaps holds the caps that requests read. Caps from a share of slots are valid until validUntil.
+type publishedCaps struct {
 	warm.Caps
-	state health.State
-	until decide.Instant
+	state      health.State
+	validUntil decide.Instant
 }
 
-// New gives Limits that know nothing: every upstream is treated as cold, and no slot is settled.
+// New returns Limits without any evidence: every upstream is treated as cold, and no slot is settled.
 func New(cfg Config) *Limits {
 	if cfg.Now == nil {
 		start := time.Now()
@@ -86,148 +87,154 @@
 	Release(*fleet.Upstream, route.Outcome)
 } = (*Limits)(nil)
 
+// upstream returns the state of u and creates it on the first call.
 func (l *Limits) upstream(u *fleet.Upstream) *upstream {
-	if up, ok := l.ups.Load(u.ID); ok {
+	if up, ok := l.upstreams.Load(u.ID); ok {
 		return up.(*upstream)
 	}
-	fresh := &upstream{kind: u.Kind, coldLimit: unknownLimit}
-	fresh.caps.Store(&published{Caps: fresh.capsIn(health.Unknown)})
-	up, _ := l.ups.LoadOrStore(u.ID, fresh)
+	created := &upstream{kind: u.Kind, coldLimit: defaultColdLimit}
+	created.caps.Store(&publishedCaps{Caps: created.computeCaps(health.Unknown)})
+	up, _ := l.upstreams.LoadOrStore(u.ID, created)
 	return up.(*upstream)
 }
 
-// capsIn gives the caps in a state; mu is held or up is not shared yet.
-func (up *upstream) capsIn(s health.State) warm.Caps {
-	held := up.machine.InHoldoff()
+// computeCaps returns the caps in state s. The caller holds mu, or up is not shared yet.
+func (up *upstream) computeCaps(s health.State) warm.Caps {
+	inHoldoff := up.machine.InHoldoff()
 	switch {
-	case !s.AcceptsWork(), up.kind == fleet.Engine && held:
+	case !s.AcceptsWork(), up.kind == fleet.Engine && inHoldoff:
 		return warm.Caps{}
 	case up.kind == fleet.Engine:
-		return up.growth.Caps(s, up.share)
+		return up.growth.Caps(s, up.slotShare)
 	}
-	c := up.growth.Caps(s, serviceShare)
-	if held { // one at a time: a call that always fails must not keep the others from the whole service
+	c := up.growth.Caps(s, serviceInFlight)
+	if inHoldoff {
+		// A request that always fails must not block all others from the service, so one at a time is permitted.
 		c.InFlight = 1
 	}
 	c.FromSlots = false
 	return c
 }
 
-// room gives the caps as they hold now.
-func (up *upstream) room(now decide.Instant) warm.Caps {
+// currentCaps returns the caps that apply at now.
+func (up *upstream) currentCaps(now decide.Instant) warm.Caps {
 	p := up.caps.Load()
-	if p.FromSlots && now > p.until {
-		// The clock ran on while nothing here did, or the list could not be read: the slots may be
-		// somebody else's by now.
+	if p.FromSlots && now > p.validUntil {
+		// The process was paused, or the instance list could not be read. The slots may be assigned to another
+		// instance by now.
 		return warm.Caps{FromSlots: true}
 	}
 	return p.Caps
 }
 
-// Open tells whether the upstream may get one request more now. It takes nothing.
+// HasCapacity reports whether the upstream may receive one more request now. It acquires nothing.
 func (l *Limits) HasCapacity(u *fleet.Upstream) bool {
 	up := l.upstream(u)
-	c := up.room(l.cfg.Now())
+	c := up.currentCaps(l.cfg.Now())
 	n := up.inFlight.Load()
-	return n < int64(c.InFlight) && n-up.answered.Load() < int64(c.AwaitingFirstByte)
+	return n < int64(c.InFlight) && n-up.streaming.Load() < int64(c.AwaitingFirstByte)
 }
 
-// Allow takes a place for one request; Done gives it back.
+// Acquire counts one more request in flight if the caps permit it, and reports whether they do. Release ends the
+// request.
 func (l *Limits) Acquire(u *fleet.Upstream) bool {
 	up := l.upstream(u)
-	c := up.room(l.cfg.Now())
+	c := up.currentCaps(l.cfg.Now())
 	n := up.inFlight.Add(1)
-	if n > int64(c.InFlight) || n-up.answered.Load() > int64(c.AwaitingFirstByte) {
+	if n > int64(c.InFlight) || n-up.streaming.Load() > int64(c.AwaitingFirstByte) {
 		up.inFlight.Add(-1)
 		return false
 	}
 	return true
 }
 
-// Bound is the longest time that one dispatch to the upstream may take, and whether there is one: what is
-// sent to a cold upstream ends before its slot can be another instance's.
+// MaxDispatch returns the longest time of one dispatch to the upstream, and whether its dispatches are bounded. A
+// dispatch in a slot of a cold upstream is bounded, so that it ends before another instance may use the slot.
 func (l *Limits) MaxDispatch(u *fleet.Upstream) (time.Duration, bool) {
 	return l.cfg.Params.MaxDispatch, l.upstream(u).caps.Load().FromSlots
 }
 
-// FirstByte notes that the first byte of a dispatch came after took. LastByte must follow, before Done.
-func (l *Limits) OnFirstByte(u *fleet.Upstream, took, expected time.Duration) {
+// OnFirstByte records the first byte of a dispatch, which arrived after elapsed. expected is the predicted time; 0
+// means that there is none. OnLastByte must follow, before Release.
+func (l *Limits) OnFirstByte(u *fleet.Upstream, elapsed, expected time.Duration) {
 	up := l.upstream(u)
-	unanswered := up.inFlight.Load() - up.answered.Add(1) + 1
-	if expected > 0 && health.IsSlowFirstByte(took, expected) {
+	awaiting := up.inFlight.Load() - up.streaming.Add(1) + 1
+	if expected > 0 && health.IsSlowFirstByte(elapsed, expected) {
 		l.RecordEvidence(u, health.SlowFirstByte)
 		return
 	}
 	if up.caps.Load().state == health.Warming {
-		l.succeeded(u, up)
+		l.recordSuccess(u, up)
 		return
 	}
-	// The window is a hint: a request that would have to wait for it leaves it to the next one.
+	// The window may grow a little later, so a request that would have to wait for mu skips this.
 	if up.mu.TryLock() {
-		up.growth.OnFirstByte(int(unanswered))
-		l.publish(up)
+		up.growth.OnFirstByte(int(awaiting))
+		l.publishCaps(up)
 		up.mu.Unlock()
 	}
 }
 
-// LastByte ends a dispatch whose first byte had come.
-func (l *Limits) OnLastByte(u *fleet.Upstream) { l.upstream(u).answered.Add(-1) }
+// OnLastByte records the end of a dispatch for which OnFirstByte was called.
+func (l *Limits) OnLastByte(u *fleet.Upstream) { l.upstream(u).streaming.Add(-1) }
 
-// Done gives a place back.
+// Release removes a request with outcome o from those in flight, and uses the outcome as evidence of the upstream's
+// health.
 func (l *Limits) Release(u *fleet.Upstream, o route.Outcome) {
 	up := l.upstream(u)
 	up.inFlight.Add(-1)
 	switch o {
 	case route.OK:
-		if up.kind == fleet.Service { // an engine's first byte has told
-			l.succeeded(u, up)
+		if up.kind == fleet.Service { // OnFirstByte has recorded an engine's success
+			l.recordSuccess(u, up)
 		}
 	case route.Failed:
 		l.RecordEvidence(u, health.Errored)
 	}
 }
 
-// succeeded lets the load of a warming upstream grow.
-func (l *Limits) succeeded(u *fleet.Upstream, up *upstream) {
+// recordSuccess counts a successful dispatch, which raises the caps of a warming upstream.
+func (l *Limits) recordSuccess(u *fleet.Upstream, up *upstream) {
 	if up.caps.Load().state != health.Warming {
 		return
 	}
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if up.growth.OnSuccess() {
-		l.on(u.ID, up, health.RampCompleted)
+		l.applyEvent(u.ID, up, health.RampCompleted)
 	}
-	l.publish(up)
+	l.publishCaps(up)
 }
 
-// Evidence takes what else was seen of an upstream, as that it refused a connection.
+// RecordEvidence applies other evidence of an upstream's health, such as a refused connection.
 func (l *Limits) RecordEvidence(u *fleet.Upstream, e health.Event) {
 	up := l.upstream(u)
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	l.on(u.ID, up, e)
-	l.publish(up)
+	l.applyEvent(u.ID, up, e)
+	l.publishCaps(up)
 }
 
-// OnBoot takes the boot id that an answer bore.
+// OnBoot records the boot id that an answer carried.
 func (l *Limits) OnBoot(u *fleet.Upstream, bootID string) {
 	up := l.upstream(u)
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if t, changed := up.machine.ApplyBootID(bootID, l.cfg.Now()); changed {
-		l.changed(u.ID, up, t)
-		l.publish(up)
+		l.recordTransition(u.ID, up, t)
+		l.publishCaps(up)
 	}
 }
 
-// OnLoad takes an engine's load report whose figures were true at the given time.
+// OnLoad applies an engine's load report, whose figures are from the time at. If at is before the start of the current
+// health state, or within its holdoff, the report changes nothing but the boot id.
 func (l *Limits) OnLoad(u *fleet.Upstream, r wire.LoadReport, at time.Time) {
 	l.OnBoot(u, r.BootID)
 	up := l.upstream(u)
-	made := l.cfg.Now().Add(-time.Since(at))
+	evidenceAt := l.cfg.Now().Add(-time.Since(at))
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	if !up.machine.AcceptsEvidence(made) {
+	if !up.machine.AcceptsEvidence(evidenceAt) {
 		return
 	}
 	if r.ColdLimit > 0 {
@@ -237,34 +244,34 @@
 	if r.Cold {
 		e = health.ReportedCold
 	}
-	l.on(u.ID, up, e)
-	l.publish(up)
+	l.applyEvent(u.ID, up, e)
+	l.publishCaps(up)
 }
 
-// OnSilent takes note that a report or probe was not answered.
+// OnNoReply records that a load report or a probe was not answered.
 func (l *Limits) OnNoReply(u *fleet.Upstream, _ error) { l.RecordEvidence(u, health.NoReply) }
 
-// on applies an event; up.mu is held.
-func (l *Limits) on(id fleet.UpstreamID, up *upstream, e health.Event) {
+// applyEvent applies an event to the state machine. The caller holds up.mu.
+func (l *Limits) applyEvent(id fleet.UpstreamID, up *upstream, e health.Event) {
 	if t, changed := up.machine.Apply(e, l.cfg.Now()); changed {
-		l.changed(id, up, t)
+		l.recordTransition(id, up, t)
 	}
 }
 
-// changed records a transition, the one line of its decision; up.mu is held.
-func (l *Limits) changed(id fleet.UpstreamID, up *upstream, t health.Transition) {
-	up.growth.OnStateChange(t.To, up.share)
+// recordTransition adjusts the caps to a transition and logs it as a decision. The caller holds up.mu.
+func (l *Limits) recordTransition(id fleet.UpstreamID, up *upstream, t health.Transition) {
+	up.growth.OnStateChange(t.To, up.slotShare)
 	l.cfg.Explain.Record("health", string(id), t.Reason, "from", t.From, "to", t.To)
 }
 
-// publish makes the caps known to requests; up.mu is held.
-func (l *Limits) publish(up *upstream) {
+// publishCaps stores the current caps for requests to read. The caller holds up.mu.
+func (l *Limits) publishCaps(up *upstream) {
 	old := up.caps.Load()
-	p := &published{Caps: up.capsIn(up.machine.State()), state: up.machine.State(), until: old.until}
+	p := &publishedCaps{Caps: up.computeCaps(up.machine.State()), state: up.machine.State(), validUntil: old.validUntil}
 	if *old != *p {
 		up.caps.Store(p)
 	}
 }
 
-// State gives an upstream's health as this instance sees it.
+// State returns an upstream's health from the view of this instance.
 func (l *Limits) State(u *fleet.Upstream) health.State { return l.upstream(u).caps.Load().state }
--- a/internal/warm/probe.go
+++ b/internal/warm/probe.go
@@ -10,21 +10,21 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Pinger asks an upstream for a sign of life over a new connection; upstream.Client does.
+// Pinger probes an upstream over a new connection. upstream.Client implements it.
 type Pinger interface {
-	Ping(ctx context.Context, addr string, wait time.Duration) error
+	Ping(ctx context.Context, addr string, timeout time.Duration) error
 }
 
 const (
-	probeWait   = time.Second
-	probesAtOne = 16               // probes at once
-	provenAfter = 10 * time.Second // of answered probes, for a plain service that turned cold
+	probeTimeout        = time.Second
+	maxConcurrentProbes = 16
+	probationTime       = 10 * time.Second // time in state Cold after which an answered probe ends it
 )
 
-// Probe asks plain services that are not warm for a sign of life at each interval until ctx ends. Engines
-// make load reports instead.
-func (l *Limits) RunProbes(ctx context.Context, p Pinger, every time.Duration) {
-	tick := time.NewTicker(every)
+// RunProbes probes the plain services that are not warm at each interval until ctx is done. Engines send load reports
+// instead.
+func (l *Limits) RunProbes(ctx context.Context, p Pinger, interval time.Duration) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		l.probeAll(ctx, p)
@@ -36,25 +36,26 @@
 	}
 }
 
+// probeAll probes each plain service that accepts work and is not warm, and waits for the results.
 func (l *Limits) probeAll(ctx context.Context, p Pinger) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	places := make(chan struct{}, probesAtOne)
+	semaphore := make(chan struct{}, maxConcurrentProbes)
 	for _, u := range l.cfg.View().Upstreams {
 		if s := l.State(u); u.Kind != fleet.Service || s == health.Warm || !s.AcceptsWork() {
 			continue
 		}
-		places <- struct{}{}
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-semaphore }()
 			sent := l.cfg.Now()
-			l.probed(ctx, u, sent, p.Ping(ctx, u.Addr, probeWait))
+			l.handleProbeResult(ctx, u, sent, p.Ping(ctx, u.Addr, probeTimeout))
 		})
 	}
 }
 
-// probed takes a probe's result.
-func (l *Limits) probed(ctx context.Context, u *fleet.Upstream, sent decide.Instant, err error) {
+// handleProbeResult records the result of a probe sent at sent. It ignores probes canceled through ctx.
+func (l *Limits) handleProbeResult(ctx context.Context, u *fleet.Upstream, sent decide.Instant, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -64,13 +65,13 @@
 	}
 	up := l.upstream(u)
 	up.mu.Lock()
-	newer := up.machine.AcceptsEvidence(sent)
-	proven := up.machine.State() == health.Cold && l.cfg.Now().Sub(up.machine.Since()) >= provenAfter
+	accepted := up.machine.AcceptsEvidence(sent)
+	probationPassed := up.machine.State() == health.Cold && l.cfg.Now().Sub(up.machine.Since()) >= probationTime
 	up.mu.Unlock()
 	switch {
-	case proven:
+	case probationPassed:
 		l.RecordEvidence(u, health.ProbationPassed)
-	case newer:
+	case accepted:
 		l.RecordEvidence(u, health.ProbeAnswered)
 	}
 }
--- a/internal/warm/warm_test.go
+++ b/internal/warm/warm_test.go
@@ -24,8 +24,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bed is one instance's Limits on a clock that the test sets.
-type bed struct {
+// testLimits holds one instance's Limits with a view and a clock that the test sets.
+type testLimits struct {
 	*warm.Limits
 	clock atomic.Int64
 	view  atomic.Pointer[fleet.View]
@@ -35,48 +35,48 @@
 	return &fleet.Upstream{ID: fleet.UpstreamID(id), Addr: id, Kind: fleet.Engine}
 }
 
-func newBed(self string, ups ...*fleet.Upstream) *bed {
-	b := &bed{}
-	b.show(1, ups...)
-	b.Limits = warm.New(warm.Config{
-		Self: self, Params: warm.NewParams(500*time.Millisecond, 500*time.Millisecond), View: b.view.Load,
-		Now:     func() decide.Instant { return decide.Instant(b.clock.Load()) },
+func newTestLimits(self string, ups ...*fleet.Upstream) *testLimits {
+	l := &testLimits{}
+	l.setView(1, ups...)
+	l.Limits = warm.New(warm.Config{
+		Self: self, Params: warm.NewParams(500*time.Millisecond, 500*time.Millisecond), View: l.view.Load,
+		Now:     func() decide.Instant { return decide.Instant(l.clock.Load()) },
 		Explain: explain.New(hclog.NewNullLogger()), Log: hclog.NewNullLogger(),
 	})
-	return b
+	return l
 }
 
-func (b *bed) show(version uint64, ups ...*fleet.Upstream) {
-	b.view.Store(fleet.NewView(1, api.Config{}, version, nil, ups))
+func (l *testLimits) setView(version uint64, ups ...*fleet.Upstream) {
+	l.view.Store(fleet.NewView(1, api.Config{}, version, nil, ups))
 }
 
-func (b *bed) pass(d time.Duration) { b.clock.Add(int64(d)) }
+func (l *testLimits) advance(d time.Duration) { l.clock.Add(int64(d)) }
 
-// settle lets the instance read the list until its slots are settled.
-func (b *bed) settle(live ...string) {
+// settleSlots applies the instance list at intervals until the instance's slots are settled.
+func (l *testLimits) settleSlots(live ...string) {
 	for range 40 {
-		b.OnInstanceList(1, live, time.Now())
-		b.pass(500 * time.Millisecond)
+		l.OnInstanceList(1, live, time.Now())
+		l.advance(500 * time.Millisecond)
 	}
-	b.OnInstanceList(1, live, time.Now())
-	b.Tick(false)
+	l.OnInstanceList(1, live, time.Now())
+	l.Tick(false)
 }
 
-// take counts how many requests the upstream gets at once.
-func (b *bed) take(u *fleet.Upstream) int {
+// acquireAll acquires until the limit refuses, at most 200 times, and returns the number of acquired requests.
+func (l *testLimits) acquireAll(u *fleet.Upstream) int {
 	n := 0
-	for n < 200 && b.Acquire(u) {
+	for n < 200 && l.Acquire(u) {
 		n++
 	}
 	return n
 }
 
-func cold(limit int) wire.LoadReport {
+func coldReport(limit int) wire.LoadReport {
 	return wire.LoadReport{BootID: "b1", Cold: true, ColdLimit: limit}
 }
 
-// A cold engine bears four at once, and nine instances hold requests for it.
-func TestSlotsOverInstances(t *testing.T) {
+// The cold limit is 4 and nine instances send requests: each may use one slot at most, and all together use 4.
+func TestInstancesTogetherKeepColdLimit(t *testing.T) {
 	is := is.New(t)
 	e := engine("e1")
 	var ids []string
@@ -85,172 +85,174 @@
 	}
 	sum := 0
 	for _, id := range ids {
-		b := newBed(id, e)
-		b.settle(ids...)
-		b.OnLoad(e, cold(4), time.Now())
-		b.Tick(false)
-		n := b.take(e)
+		l := newTestLimits(id, e)
+		l.settleSlots(ids...)
+		l.OnLoad(e, coldReport(4), time.Now())
+		l.Tick(false)
+		n := l.acquireAll(e)
 		is.True(n <= 1)
-		is.Equal(b.HasCapacity(e), false)
+		is.Equal(l.HasCapacity(e), false)
 		sum += n
-		_, bounded := b.MaxDispatch(e)
+		_, bounded := l.MaxDispatch(e)
 		is.True(bounded)
 	}
 	is.Equal(sum, 4)
 }
 
-// An instance is frozen with a slot in hand. When it wakes, a request comes before any tick or read; its
-// slot may be another instance's by now.
-func TestSlotsEndWithAPause(t *testing.T) {
+// Guards against the use of an outdated slot: an instance is paused while it has a slot. After the pause a request
+// arrives before any tick or list read, and the slot may be assigned to another instance by then.
+func TestSlotsExpireDuringPause(t *testing.T) {
 	is := is.New(t)
 	e := engine("e1")
-	b := newBed("a", e)
-	b.settle("a")
-	b.OnLoad(e, cold(2), time.Now())
-	b.Tick(false)
-	is.True(b.HasCapacity(e))
-	b.pass(3 * time.Second)
-	is.True(!b.HasCapacity(e))
-	is.True(!b.Acquire(e))
-	b.OnInstanceList(1, []string{"a"}, time.Now())
-	b.Tick(false)
-	is.True(b.Acquire(e)) // the same version of the list: nothing changed meanwhile
+	l := newTestLimits("a", e)
+	l.settleSlots("a")
+	l.OnLoad(e, coldReport(2), time.Now())
+	l.Tick(false)
+	is.True(l.HasCapacity(e))
+	l.advance(3 * time.Second)
+	is.True(!l.HasCapacity(e))
+	is.True(!l.Acquire(e))
+	l.OnInstanceList(1, []string{"a"}, time.Now())
+	l.Tick(false)
+	is.True(l.Acquire(e)) // the list has the same version, so the slots haven't changed
 }
 
-// A warm engine resets connections because it turned cold. Its report of just before says "warm".
-func TestSuspectBearsNoMoreThanCold(t *testing.T) {
+// Guards against full load on an engine that has turned cold: it resets connections, but its latest report, from just
+// before, says that it is warm.
+func TestSuspectGetsNoMoreThanColdLimit(t *testing.T) {
 	is := is.New(t)
 	e := engine("e1")
-	b := newBed("a", e)
-	b.settle("a", "b", "c")
-	b.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now())
-	is.Equal(b.State(e), health.Warm)
-	is.Equal(b.take(e), 16) // the window of requests without a first byte
-	b.Release(e, route.Failed)
-	is.Equal(b.State(e), health.Suspect)
-	is.True(!b.HasCapacity(e))
-	b.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now().Add(-time.Second))
-	is.Equal(b.State(e), health.Suspect)
-	b.pass(time.Second)
-	b.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now())
-	is.Equal(b.State(e), health.Warming) // load grows anew
+	l := newTestLimits("a", e)
+	l.settleSlots("a", "b", "c")
+	l.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now())
+	is.Equal(l.State(e), health.Warm)
+	is.Equal(l.acquireAll(e), 16) // the window of requests without a first byte
+	l.Release(e, route.Failed)
+	is.Equal(l.State(e), health.Suspect)
+	is.True(!l.HasCapacity(e))
+	l.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now().Add(-time.Second))
+	is.Equal(l.State(e), health.Suspect)
+	l.advance(time.Second)
+	l.OnLoad(e, wire.LoadReport{BootID: "b1", ColdLimit: 2}, time.Now())
+	is.Equal(l.State(e), health.Warming) // load grows again from the start
 	for range 63 {
-		b.OnFirstByte(e, time.Millisecond, 0)
-		b.OnLastByte(e)
+		l.OnFirstByte(e, time.Millisecond, 0)
+		l.OnLastByte(e)
 	}
-	is.Equal(b.State(e), health.Warm)
-	b.OnLoad(e, wire.LoadReport{BootID: "b2", ColdLimit: 2}, time.Now())
-	is.Equal(b.State(e), health.Cold) // restarted: its "warm" of that moment is the old process's
+	is.Equal(l.State(e), health.Warm)
+	l.OnLoad(e, wire.LoadReport{BootID: "b2", ColdLimit: 2}, time.Now())
+	is.Equal(l.State(e), health.Cold) // restarted: the report of "warm" describes the former process
 }
 
-// What leaves or is no longer listed gets nothing. It comes back as cold, or as unknown if the list had lost it.
-func TestLeavingAndGone(t *testing.T) {
+// An upstream that is leaving or no longer listed gets no work. It returns as cold after it was leaving, and as unknown
+// after it was unlisted.
+func TestLeavingAndUnlistedGetNoWork(t *testing.T) {
 	is := is.New(t)
 	e, leaving := engine("e1"), engine("e1")
 	leaving.Leaving = true
-	b := newBed("a", e)
-	b.OnLoad(e, wire.LoadReport{BootID: "b1"}, time.Now())
-	b.Tick(false)
-	is.True(b.HasCapacity(e))
-	b.show(2, leaving)
-	b.Tick(false)
-	is.Equal(b.State(e), health.Leaving)
-	is.True(!b.Acquire(e))
-	b.show(3, e)
-	b.Tick(false)
-	is.Equal(b.State(e), health.Cold)
-	b.show(4)
-	b.Tick(false)
-	is.Equal(b.State(e), health.Gone)
-	is.True(!b.Acquire(e))
-	b.show(5, e)
-	b.Tick(false)
-	is.Equal(b.State(e), health.Unknown)
+	l := newTestLimits("a", e)
+	l.OnLoad(e, wire.LoadReport{BootID: "b1"}, time.Now())
+	l.Tick(false)
+	is.True(l.HasCapacity(e))
+	l.setView(2, leaving)
+	l.Tick(false)
+	is.Equal(l.State(e), health.Leaving)
+	is.True(!l.Acquire(e))
+	l.setView(3, e)
+	l.Tick(false)
+	is.Equal(l.State(e), health.Cold)
+	l.setView(4)
+	l.Tick(false)
+	is.Equal(l.State(e), health.Gone)
+	is.True(!l.Acquire(e))
+	l.setView(5, e)
+	l.Tick(false)
+	is.Equal(l.State(e), health.Unknown)
 }
 
-// The window counts requests without a first byte: those that stream don't use it up.
-func TestStreamsDoNotUseTheWindow(t *testing.T) {
+// The window counts only requests without a first byte, so streaming requests don't use it.
+func TestStreamingRequestsDoNotUseTheWindow(t *testing.T) {
 	is := is.New(t)
 	e := engine("e1")
-	b := newBed("a", e)
-	b.OnLoad(e, wire.LoadReport{BootID: "b1"}, time.Now())
+	l := newTestLimits("a", e)
+	l.OnLoad(e, wire.LoadReport{BootID: "b1"}, time.Now())
 	for range 50 {
-		is.True(b.Acquire(e))
-		b.OnFirstByte(e, time.Millisecond, 0)
+		is.True(l.Acquire(e))
+		l.OnFirstByte(e, time.Millisecond, 0)
 	}
 	for range 50 {
-		b.OnLastByte(e)
-		b.Release(e, route.OK)
+		l.OnLastByte(e)
+		l.Release(e, route.OK)
 	}
-	is.Equal(b.take(e), 16)
+	is.Equal(l.acquireAll(e), 16)
 }
 
-// Caps hold while many requests ask at once.
+// The caps are kept when many requests acquire concurrently.
 func TestCapsUnderConcurrency(t *testing.T) {
 	is := is.New(t)
 	e := engine("e1")
-	b := newBed("a", e)
-	b.settle("a")
-	b.OnLoad(e, cold(3), time.Now())
-	b.Tick(false)
-	var now, most atomic.Int64
+	l := newTestLimits("a", e)
+	l.settleSlots("a")
+	l.OnLoad(e, coldReport(3), time.Now())
+	l.Tick(false)
+	var inFlight, maxInFlight atomic.Int64
 	var wg sync.WaitGroup
 	for range 16 {
 		wg.Go(func() {
 			for range 300 {
-				if !b.Acquire(e) {
+				if !l.Acquire(e) {
 					continue
 				}
-				n := now.Add(1)
-				for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
+				n := inFlight.Add(1)
+				for m := maxInFlight.Load(); n > m && !maxInFlight.CompareAndSwap(m, n); m = maxInFlight.Load() {
 				}
-				now.Add(-1)
-				b.Release(e, route.Cancelled)
+				inFlight.Add(-1)
+				l.Release(e, route.Cancelled)
 			}
 		})
 	}
 	wg.Wait()
-	is.True(most.Load() <= 3)
-	is.Equal(b.take(e), 3) // every place came back
+	is.True(maxInFlight.Load() <= 3)
+	is.Equal(l.acquireAll(e), 3) // all acquired requests were released
 }
 
-// pings answers every probe.
-type pings struct{}
+// answeringPinger is a Pinger whose probes all succeed.
+type answeringPinger struct{}
 
-func (pings) Ping(context.Context, string, time.Duration) error { return nil }
+func (answeringPinger) Ping(context.Context, string, time.Duration) error { return nil }
 
-// A plain service makes no reports: probes tell, and its load grows by successes.
+// A plain service sends no load reports: probes provide the evidence, and its load grows with successful requests.
 func TestServicesAreProbed(t *testing.T) {
 	is := is.New(t)
-	desk := &fleet.Upstream{ID: "desk-0", Kind: fleet.Service, Service: "desk"}
-	b := newBed("a", desk)
-	is.Equal(b.take(desk), 4) // no slots are dealt, and nothing is refused for want of a settle time
+	service := &fleet.Upstream{ID: "desk-0", Kind: fleet.Service, Service: "desk"}
+	l := newTestLimits("a", service)
+	is.Equal(l.acquireAll(service), 4) // services have no slots, so no settle time is needed
 	for range 4 {
-		b.Release(desk, route.OK)
+		l.Release(service, route.OK)
 	}
 	probe := func(p warm.Pinger) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		b.RunProbes(ctx, p, time.Hour) // one round that is cut off at once counts for nothing
-		is.Equal(b.State(desk), health.Unknown)
+		l.RunProbes(ctx, p, time.Hour) // results of probes whose context is canceled are ignored
+		is.Equal(l.State(service), health.Unknown)
 		ctx, cancel = context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			b.RunProbes(ctx, p, time.Millisecond)
+			l.RunProbes(ctx, p, time.Millisecond)
 		}()
-		for b.State(desk) == health.Unknown {
+		for l.State(service) == health.Unknown {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
 		<-done
 	}
-	probe(pings{})
-	is.Equal(b.State(desk), health.Warming)
+	probe(answeringPinger{})
+	is.Equal(l.State(service), health.Warming)
 	for range 63 {
-		is.True(b.Acquire(desk))
-		b.Release(desk, route.OK)
+		is.True(l.Acquire(service))
+		l.Release(service, route.OK)
 	}
-	is.Equal(b.State(desk), health.Warm)
+	is.Equal(l.State(service), health.Warm)
 }
