--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -17,66 +17,69 @@
 )
 
 const (
-	// HeartbeatTimeout bounds one heartbeat with its dial. It is below decide/member's bound on how long
-	// an instance may go unheard, so that a silent connection costs one exchange and not the bound.
+	// HeartbeatTimeout is the timeout of one heartbeat including its dial. It is shorter than the time for which
+	// decide/member trusts an instance without contact. A silent connection therefore costs one exchange and not the
+	// trust.
 	HeartbeatTimeout = 400 * time.Millisecond
-	// PullTimeout bounds one pull of a configuration with its dial.
+	// PullTimeout is the timeout of one pull of a configuration including its dial.
 	PullTimeout = time.Second
-	// maxAge replaces a kept connection: what stands between the ends forgets old ones first.
-	maxAge = time.Minute
+	// maxConnAge is the age at which a kept connection is replaced. Network devices between the peers drop the state
+	// of old connections first.
+	maxConnAge = time.Minute
 )
 
-// ErrClosed answers calls on a closed client.
+// ErrClosed is the error of heartbeats on a closed client.
 var ErrClosed = errors.New("peer client is closed")
 
-// Client calls peers. It keeps one connection for the heartbeats of each address and opens another for
-// each pull: pulls are rare and large, and would hold heartbeats up.
+// Client calls peers. It keeps one connection to each address for heartbeats and opens another one for each pull,
+// because pulls are rare and large and would delay heartbeats. It is safe for concurrent use.
 type Client struct {
 	mu     sync.Mutex
-	kept   map[string]*lane // guarded by mu
-	closed bool             // guarded by mu
+	conns  map[string]*peerConn // guarded by mu
+	closed bool                 // guarded by mu
 }
 
-// lane is the kept connection to one address. One call at a time uses it.
-type lane struct {
-	turn chan struct{} // holds one token while the lane is free
-	conn *drpcconn.Conn
-	born time.Time
+// peerConn is the kept connection to one address. One call at a time uses it: the holder of the token.
+type peerConn struct {
+	token    chan struct{} // capacity 1; contains the token while no call uses the connection
+	conn     *drpcconn.Conn
+	openedAt time.Time
 }
 
-// NewClient gives a client without connections.
-func NewClient() *Client { return &Client{kept: map[string]*lane{}} }
+// NewClient returns a client without connections.
+func NewClient() *Client { return &Client{conns: map[string]*peerConn{}} }
 
-// Heartbeat exchanges digests with the peer at addr, within HeartbeatTimeout.
+// Heartbeat sends d to the peer at addr and returns the peer's digest. It fails after HeartbeatTimeout.
 func (c *Client) Heartbeat(ctx context.Context, addr string, d relay.Digest) (relay.Digest, error) {
 	ctx, cancel := context.WithTimeout(ctx, HeartbeatTimeout)
 	defer cancel()
-	l, err := c.lane(addr)
+	pc, err := c.peerConn(addr)
 	if err != nil {
 		return relay.Digest{}, err
 	}
 	select {
-	case <-l.turn:
+	case <-pc.token:
 	case <-ctx.Done():
 		return relay.Digest{}, ctx.Err()
 	}
-	defer func() { l.turn <- struct{}{} }()
-	conn, err := l.open(ctx, addr)
+	defer func() { pc.token <- struct{}{} }()
+	conn, err := pc.connect(ctx, addr)
 	if err != nil {
 		return relay.Digest{}, err
 	}
-	answer, err := peerpb.NewDRPCPeerClient(conn).Heartbeat(ctx, encodeDigest(d))
+	reply, err := peerpb.NewDRPCPeerClient(conn).Heartbeat(ctx, encodeDigest(d))
 	if err != nil {
-		// A connection can go silent for good while new ones work: what stands between the ends has lost
-		// track of it, and nothing ever comes back. The call's deadline shows it, and the next call dials
-		// anew, so one exchange is lost and not all of them.
-		l.drop()
+		// A connection can stay silent while new ones work, if a network device between the peers has dropped its
+		// state: no answer and no error arrives. The call then fails at its deadline. Closing the connection makes
+		// the next call dial a new one, so only one exchange is lost.
+		pc.close()
 		return relay.Digest{}, err
 	}
-	return decodeDigest(answer)
+	return decodeDigest(reply)
 }
 
-// Pull asks the peer at addr for its configuration if it is above version, within PullTimeout.
+// Pull returns the configuration of the peer at addr. If its version is not higher than above, Packed is empty. Pull
+// fails after PullTimeout.
 func (c *Client) Pull(ctx context.Context, addr string, above uint64) (relay.Config, error) {
 	ctx, cancel := context.WithTimeout(ctx, PullTimeout)
 	defer cancel()
@@ -85,28 +88,28 @@
 		return relay.Config{}, err
 	}
 	defer func() { _ = conn.Close() }()
-	answer, err := peerpb.NewDRPCPeerClient(conn).Pull(ctx, &peerpb.PullRequest{Above: above})
+	reply, err := peerpb.NewDRPCPeerClient(conn).Pull(ctx, &peerpb.PullRequest{Above: above})
 	if err != nil {
 		return relay.Config{}, err
 	}
-	return relay.Config{Version: answer.Version, Packed: answer.Packed}, nil
+	return relay.Config{Version: reply.Version, Packed: reply.Packed}, nil
 }
 
-// Keep closes the connections to all but these addresses.
+// CloseExcept closes the kept connections to all addresses but addrs. It waits for the calls that use them.
 func (c *Client) CloseExcept(addrs []string) {
 	c.mu.Lock()
-	var gone []*lane
-	for addr, l := range c.kept {
+	var unused []*peerConn
+	for addr, pc := range c.conns {
 		if !slices.Contains(addrs, addr) {
-			gone = append(gone, l)
-			delete(c.kept, addr)
+			unused = append(unused, pc)
+			delete(c.conns, addr)
 		}
 	}
 	c.mu.Unlock()
-	dropAll(gone)
+	closeAll(unused)
 }
 
-// Close closes every connection; calls that run end with their own.
+// Close closes every kept connection after the call that uses it, and makes new heartbeats fail with ErrClosed.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -114,50 +117,53 @@
 	c.CloseExcept(nil)
 }
 
-// dropAll closes the lanes' connections, each after the call that uses it.
-func dropAll(lanes []*lane) {
-	for _, l := range lanes {
-		<-l.turn
-		l.drop()
-		l.turn <- struct{}{}
+// closeAll closes the connections, each after the call that uses it.
+func closeAll(conns []*peerConn) {
+	for _, pc := range conns {
+		<-pc.token
+		pc.close()
+		pc.token <- struct{}{}
 	}
 }
 
-func (c *Client) lane(addr string) (*lane, error) {
+// peerConn returns the kept connection to addr, which is created without dialing if there is none.
+func (c *Client) peerConn(addr string) (*peerConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return nil, ErrClosed
 	}
-	l := c.kept[addr]
-	if l == nil {
-		l = &lane{turn: make(chan struct{}, 1)}
-		l.turn <- struct{}{}
-		c.kept[addr] = l
+	pc := c.conns[addr]
+	if pc == nil {
+		pc = &peerConn{token: make(chan struct{}, 1)}
+		pc.token <- struct{}{}
+		c.conns[addr] = pc
 	}
-	return l, nil
+	return pc, nil
 }
 
-// open gives the kept connection, or a new one when it is closed or old. The turn is held.
-func (l *lane) open(ctx context.Context, addr string) (*drpcconn.Conn, error) {
-	if l.conn != nil && (isClosed(l.conn) || time.Since(l.born) > maxAge) {
-		l.drop()
+// connect returns the open connection, or dials a new one if there is none or it is closed or older than maxConnAge.
+// The caller holds the token.
+func (pc *peerConn) connect(ctx context.Context, addr string) (*drpcconn.Conn, error) {
+	if pc.conn != nil && (isClosed(pc.conn) || time.Since(pc.openedAt) > maxConnAge) {
+		pc.close()
 	}
-	if l.conn != nil {
-		return l.conn, nil
+	if pc.conn != nil {
+		return pc.conn, nil
 	}
 	conn, err := Dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	l.conn, l.born = conn, time.Now()
+	pc.conn, pc.openedAt = conn, time.Now()
 	return conn, nil
 }
 
-func (l *lane) drop() {
-	if l.conn != nil {
-		_ = l.conn.Close()
-		l.conn = nil
+// close closes the connection, if there is one. The caller holds the token.
+func (pc *peerConn) close() {
+	if pc.conn != nil {
+		_ = pc.conn.Close()
+		pc.conn = nil
 	}
 }
 
@@ -170,19 +176,20 @@
 	}
 }
 
-// Dial connects to an instance at addr. Each write is bounded, and so is the size of a message.
+// Dial connects to the instance at addr. Each write has a timeout, and the size of a received message is limited.
 func Dial(ctx context.Context, addr string) (*drpcconn.Conn, error) {
 	return DialWithReadHook(ctx, addr, nil)
 }
 
-// DialHeard is Dial; heard is called whenever bytes come, also those of a message that isn't whole yet. nil: nobody asks.
-func DialWithReadHook(ctx context.Context, addr string, heard func()) (*drpcconn.Conn, error) {
+// DialWithReadHook is Dial, but calls onRead whenever bytes arrive, even if the message is not complete yet. onRead may
+// be nil.
+func DialWithReadHook(ctx context.Context, addr string, onRead func()) (*drpcconn.Conn, error) {
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return drpcconn.NewWithOptions(&timedConn{Conn: raw, heard: heard}, drpcconn.Options{Manager: drpcmanager.Options{
+	return drpcconn.NewWithOptions(&deadlineConn{Conn: raw, onRead: onRead}, drpcconn.Options{Manager: drpcmanager.Options{
 		Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes},
 	}}), nil
 }
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// boundedListener closes connections over its bound at once: waiting in the backlog they would look
-// like silent ones to their peer.
-type boundedListener struct {
+// limitListener closes connections over maxConns at once. In the backlog they would look like silent connections to
+// the peer that opened them.
+type limitListener struct {
 	net.Listener
-	open  atomic.Int64
-	bound int64
+	openConns atomic.Int64
+	maxConns  int64
 }
 
-// Bounded gives a listener of which no more than a fixed number of connections are open.
+// LimitListener returns a listener that accepts from l and has at most maxServerConns connections open.
 func LimitListener(l net.Listener) net.Listener {
-	return &boundedListener{Listener: l, bound: maxServed}
+	return &limitListener{Listener: l, maxConns: maxServerConns}
 }
 
-// Accept gives the next connection within the bound.
-func (l *boundedListener) Accept() (net.Conn, error) {
+// Accept returns the next connection and closes those over the limit.
+func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.bound {
-			return &timedConn{Conn: c, closed: func() { l.open.Add(-1) }}, nil
+		if l.openConns.Add(1) <= l.maxConns {
+			return &deadlineConn{Conn: c, onClose: func() { l.openConns.Add(-1) }}, nil
 		}
-		l.open.Add(-1)
+		l.openConns.Add(-1)
 		_ = c.Close()
 	}
 }
 
-// timedConn bounds each write. Without it a peer that stops reading holds the writer for good: the
-// send buffer fills, and no error ever comes from a connection whose other end has been lost.
-type timedConn struct {
+// deadlineConn sets a deadline for each write. Without it a write to a peer that has stopped reading blocks forever: the
+// send buffer fills, and a connection whose other end is lost returns no error.
+type deadlineConn struct {
 	net.Conn
-	once   sync.Once
-	closed func()
-	heard  func() // called when bytes came; nil: nobody asks
+	once    sync.Once
+	onClose func() // called once, at the first Close; may be nil
+	onRead  func() // called when bytes arrive; may be nil
 }
 
 // Read implements net.Conn.
-func (c *timedConn) Read(b []byte) (int, error) {
+func (c *deadlineConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n > 0 && c.heard != nil {
-		c.heard()
+	if n > 0 && c.onRead != nil {
+		c.onRead()
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *timedConn) Write(b []byte) (int, error) {
+func (c *deadlineConn) Write(b []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
@@ -62,10 +62,10 @@
 }
 
 // Close implements net.Conn.
-func (c *timedConn) Close() error {
+func (c *deadlineConn) Close() error {
 	c.once.Do(func() {
-		if c.closed != nil {
-			c.closed()
+		if c.onClose != nil {
+			c.onClose()
 		}
 	})
 	return c.Conn.Close()
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -1,5 +1,5 @@
-// Package peer carries heartbeats and configuration between instances over drpc. The messages' meaning
-// is decide/relay's; this package bounds what a peer can cost: connections, sizes and times.
+// Package peer exchanges heartbeats and the configuration between instances over drpc. Package decide/relay defines what
+// the messages mean. This package limits the connections, message sizes and times that a peer can use.
 package peer
 
 import (
@@ -13,13 +13,15 @@
 )
 
 const (
-	// MaxMessage bounds one message in bytes. A packed configuration is below the store's megabyte, and so is a
-	// packed list of ten thousand upstreams; messages that wait for a slow reader are sent as one.
-	MaxMessageBytes = 8 << 20
-	maxUnpacked     = 1 << 20 // bytes of one object of the store
-	maxDigest       = 256     // signs that a received digest may carry
+	// MaxMessageBytes is the maximum size of one message. A packed configuration is below the store's limit of a
+	// megabyte, and so is a packed list of ten thousand upstreams. Messages that wait for a slow reader are sent as
+	// one.
+	MaxMessageBytes  = 8 << 20
+	maxUnpackedBytes = 1 << 20 // maximum size of one object in the store
+	maxDigestSigns   = 256     // maximum number of leaving signs in a received digest
 )
 
+// encodeDigest converts a digest to its message.
 func encodeDigest(d relay.Digest) *peerpb.Digest {
 	out := &peerpb.Digest{
 		Instance: string(d.Instance), Incarnation: d.Incarnation,
@@ -33,9 +35,10 @@
 	return out
 }
 
+// decodeDigest converts a received message to a digest. It fails if the message carries more than maxDigestSigns signs.
 func decodeDigest(d *peerpb.Digest) (relay.Digest, error) {
-	if len(d.Leaving) > maxDigest {
-		return relay.Digest{}, fmt.Errorf("digest of %s carries %d signs; at most %d are taken", d.Instance, len(d.Leaving), maxDigest)
+	if len(d.Leaving) > maxDigestSigns {
+		return relay.Digest{}, fmt.Errorf("digest of %s carries %d signs; at most %d are taken", d.Instance, len(d.Leaving), maxDigestSigns)
 	}
 	out := relay.Digest{
 		Instance: fleet.InstanceID(d.Instance), Incarnation: d.Incarnation,
@@ -50,8 +53,9 @@
 	return out, nil
 }
 
-// Pack compresses a configuration once, where it enters the fleet; it is relayed as it is.
+// Pack compresses a configuration. The instance at which a version enters the fleet packs it once; the others relay the
+// packed bytes unchanged.
 func Pack(raw []byte) ([]byte, error) { return packed.Pack(raw, packed.Small) }
 
-// Unpack gives the configuration's bytes, at most a megabyte of them.
-func Unpack(in []byte) ([]byte, error) { return packed.Unpack(in, maxUnpacked) }
+// Unpack returns the bytes of a packed configuration. It fails if they are more than a megabyte.
+func Unpack(in []byte) ([]byte, error) { return packed.Unpack(in, maxUnpackedBytes) }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,24 +23,25 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type handler struct {
-	mu     sync.Mutex
-	got    relay.Digest
-	digest relay.Digest
-	config relay.Config
+// fakeHandler is a peer.Handler with fixed answers. It stores the latest digest that it received.
+type fakeHandler struct {
+	mu       sync.Mutex
+	received relay.Digest
+	digest   relay.Digest
+	config   relay.Config
 }
 
-func (h *handler) Heartbeat(d relay.Digest) relay.Digest {
+func (h *fakeHandler) Heartbeat(d relay.Digest) relay.Digest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.got = d
+	h.received = d
 	return h.digest
 }
 
-func (h *handler) Config() relay.Config { return h.config }
+func (h *fakeHandler) Config() relay.Config { return h.config }
 
-// serve answers with h on a loopback listener until the test ends.
-func serve(t *testing.T, h peer.Handler) string {
+// startServer serves h on a loopback listener until the test ends, and returns the address.
+func startServer(t *testing.T, h peer.Handler) string {
 	t.Helper()
 	is := is.New(t)
 	server, err := peer.NewServer(h)
@@ -59,13 +60,13 @@
 	return l.Addr().String()
 }
 
-func TestDigestsAndConfigurationPassWhole(t *testing.T) {
+func TestDigestAndConfigurationRoundTrip(t *testing.T) {
 	is := is.New(t)
-	h := &handler{
+	h := &fakeHandler{
 		digest: relay.Digest{Instance: "b", Incarnation: 2, ConfigVersion: 9, ListVersion: 4},
 		config: relay.Config{Version: 9, Packed: []byte("packed")},
 	}
-	addr := serve(t, h)
+	addr := startServer(t, h)
 	c := peer.NewClient()
 	defer c.Close()
 	sent := relay.Digest{
@@ -76,49 +77,50 @@
 	got, err := c.Heartbeat(context.Background(), addr, sent)
 	is.NoErr(err)
 	is.Equal(got, h.digest)
-	is.Equal(h.got, sent)
+	is.Equal(h.received, sent)
 	cfg, err := c.Pull(context.Background(), addr, 7)
 	is.NoErr(err)
 	is.Equal(cfg, h.config)
 	cfg, err = c.Pull(context.Background(), addr, 9)
 	is.NoErr(err)
-	is.Equal(len(cfg.Packed), 0) // nothing above the asked version
+	is.Equal(len(cfg.Packed), 0) // no version above the requested one
 }
 
-// An operator sees one instance fall out of the fleet for good although its network works again. Cause:
-// something between the two ends forgot the connection; writes vanish, no answer and no error comes.
-// The heartbeat's deadline must end the call and the next heartbeat must go over a new connection.
-func TestASilentConnectionIsReplaced(t *testing.T) {
+// Guards against an instance that stays isolated although its network works again. A network device between the two
+// ends has dropped the state of their connection: writes are lost, and no answer or error arrives. The heartbeat must
+// fail at its deadline, and the next one must use a new connection.
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
-	silent := &silentProxy{target: serve(t, &handler{digest: relay.Digest{Instance: "b"}})}
-	addr := silent.listen(t)
+	proxy := &mutingProxy{target: startServer(t, &fakeHandler{digest: relay.Digest{Instance: "b"}})}
+	addr := proxy.listen(t)
 	c := peer.NewClient()
 	defer c.Close()
 	_, err := c.Heartbeat(context.Background(), addr, relay.Digest{Instance: "a"})
 	is.NoErr(err)
-	silent.mute() // connections of now carry nothing from here on; new ones work
+	proxy.mute() // the open connections carry nothing from here on; new ones work
 	_, err = c.Heartbeat(context.Background(), addr, relay.Digest{Instance: "a"})
-	is.True(err != nil) // the silent connection ends in its deadline
+	is.True(err != nil) // the call on the silent connection fails at its deadline
 	d, err := c.Heartbeat(context.Background(), addr, relay.Digest{Instance: "a"})
-	is.NoErr(err) // a new connection carries the next one
+	is.NoErr(err) // the next heartbeat uses a new connection
 	is.Equal(d.Instance, fleet.InstanceID("b"))
 }
 
-// silentProxy passes bytes on, but for connections that were muted.
-type silentProxy struct {
+// mutingProxy forwards connections to target. mute makes it discard the bytes of all connections open at that time.
+type mutingProxy struct {
 	target string
-	epoch  atomic.Int64
+	epoch  atomic.Int64 // number of calls of mute; a connection opened in an earlier epoch is muted
 }
 
-func (p *silentProxy) mute() { p.epoch.Add(1) }
+func (p *mutingProxy) mute() { p.epoch.Add(1) }
 
-func (p *silentProxy) listen(t *testing.T) string {
+// listen starts the proxy on a loopback listener until the test ends, and returns the address.
+func (p *mutingProxy) listen(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
-	all.Go(func() {
+	var wg sync.WaitGroup
+	wg.Go(func() {
 		for {
 			in, err := l.Accept()
 			if err != nil {
@@ -130,18 +132,19 @@
 				continue
 			}
 			epoch := p.epoch.Load()
-			all.Go(func() { p.pass(out, in, epoch) })
-			all.Go(func() { p.pass(in, out, epoch) })
+			wg.Go(func() { p.copyBytes(out, in, epoch) })
+			wg.Go(func() { p.copyBytes(in, out, epoch) })
 		}
 	})
 	t.Cleanup(func() {
 		_ = l.Close()
-		all.Wait()
+		wg.Wait()
 	})
 	return l.Addr().String()
 }
 
-func (p *silentProxy) pass(to, from net.Conn, epoch int64) {
+// copyBytes copies one direction of a connection opened in that epoch.
+func (p *mutingProxy) copyBytes(to, from net.Conn, epoch int64) {
 	defer func() { _ = to.Close() }()
 	buf := make([]byte, 4096)
 	for {
@@ -158,7 +161,7 @@
 	}
 }
 
-// countingListener counts the bytes both ways on every connection that it accepts.
+// countingListener counts the bytes in both directions of all connections that it accepts.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -188,8 +191,8 @@
 	return c.Conn.Write(b)
 }
 
-// countedServe is serve with a count of the bytes on its connections.
-func countedServe(tb testing.TB, h peer.Handler) (addr string, l *countingListener) {
+// startCountedServer serves h like startServer, and returns a listener that counts the bytes of its connections.
+func startCountedServer(tb testing.TB, h peer.Handler) (addr string, l *countingListener) {
 	server, err := peer.NewServer(h)
 	if err != nil {
 		tb.Fatal(err)
@@ -209,7 +212,8 @@
 	return raw.Addr().String(), l
 }
 
-func digest(signs int) relay.Digest {
+// testDigest returns a digest with values of usual length and that many leaving signs.
+func testDigest(signs int) relay.Digest {
 	d := relay.Digest{
 		Instance: "entry-poa-a-123", Incarnation: 1764720000000000000, ConfigVersion: 4_000_000, ListVersion: 4_000_000, Trusted: true,
 	}
@@ -224,30 +228,31 @@
 	return d
 }
 
-// Regression bound: bytes of one heartbeat exchange, both ways, over the connection.
-func TestBytesOfAHeartbeat(t *testing.T) {
+// The bytes of one heartbeat exchange, in both directions, must not exceed a bound for each number of signs.
+func TestHeartbeatBytes(t *testing.T) {
 	for _, c := range []struct {
 		signs int
 		bound int64
 	}{{0, 150}, {8, 900}, {64, 6000}} {
 		is := is.New(t)
-		addr, l := countedServe(t, &handler{digest: digest(c.signs)})
+		addr, l := startCountedServer(t, &fakeHandler{digest: testDigest(c.signs)})
 		client := peer.NewClient()
-		// The server's last frame of a call may be counted after the call: a mean over many hides one.
+		// The server's last frame of a call may be counted after the call has returned. In the mean over many calls
+		// one missing frame doesn't matter.
 		const calls = 50
 		for range calls {
-			_, err := client.Heartbeat(context.Background(), addr, digest(c.signs))
+			_, err := client.Heartbeat(context.Background(), addr, testDigest(c.signs))
 			is.NoErr(err)
 		}
-		size := l.bytes.Load() / calls
-		t.Logf("heartbeat with %d signs: %d bytes both ways", c.signs, size)
-		is.True(size <= c.bound) // bytes of a heartbeat stay within their bound
+		exchangeBytes := l.bytes.Load() / calls
+		t.Logf("heartbeat with %d signs: %d bytes both ways", c.signs, exchangeBytes)
+		is.True(exchangeBytes <= c.bound) // bytes of a heartbeat are within the bound
 		client.Close()
 	}
 }
 
-// config gives a configuration of the letter's shape with that many workspaces.
-func config(tb testing.TB, workspaces int) []byte {
+// testConfig returns an encoded configuration with 15 models and that many workspaces.
+func testConfig(tb testing.TB, workspaces int) []byte {
 	var c api.Config
 	for i := range 15 {
 		c.Intent.Models = append(c.Intent.Models, api.Model{
@@ -267,32 +272,32 @@
 	return raw
 }
 
-// Regression bound: bytes of one configuration change for an instance that takes it.
-func TestBytesOfAConfigurationChange(t *testing.T) {
+// The bytes on the connection for one pull of a configuration must not exceed a bound for each number of workspaces.
+func TestConfigurationChangeBytes(t *testing.T) {
 	for _, c := range []struct {
 		workspaces int
 		bound      int64
 	}{{10, 600}, {480, 6_500}, {4800, 60_000}} {
 		is := is.New(t)
-		raw := config(t, c.workspaces)
+		raw := testConfig(t, c.workspaces)
 		packed, err := peer.Pack(raw)
 		is.NoErr(err)
-		addr, l := countedServe(t, &handler{config: relay.Config{Version: 9, Packed: packed}})
+		addr, l := startCountedServer(t, &fakeHandler{config: relay.Config{Version: 9, Packed: packed}})
 		client := peer.NewClient()
 		got, err := client.Pull(context.Background(), addr, 8)
 		is.NoErr(err)
-		back, err := peer.Unpack(got.Packed)
+		unpacked, err := peer.Unpack(got.Packed)
 		is.NoErr(err)
-		is.True(bytes.Equal(back, raw))
+		is.True(bytes.Equal(unpacked, raw))
 		t.Logf("configuration of %d workspaces: %d bytes raw, %d on the wire", c.workspaces, len(raw), l.bytes.Load())
-		is.True(l.bytes.Load() <= c.bound) // bytes of a change stay within their bound
+		is.True(l.bytes.Load() <= c.bound) // bytes of a change are within the bound
 		client.Close()
 	}
 }
 
-// A peer sends a small message that unpacks to gigabytes: the instance must refuse it and not run out of
-// memory.
-func TestUnpackIsBounded(t *testing.T) {
+// Guards against a small message from a peer that unpacks to gigabytes: the instance must reject it instead of running
+// out of memory.
+func TestUnpackLimitsSize(t *testing.T) {
 	is := is.New(t)
 	packed, err := peer.Pack(make([]byte, 8<<20))
 	is.NoErr(err)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	// maxServed bounds a server's connections. A peer keeps one and opens one more for a pull; the rings
-	// of decide/member give an instance about as many callers as it has peers.
-	maxServed = 256
-	// idleTimeout closes connections on which nothing came for so long; heartbeats come far more often.
+	// maxServerConns is the maximum number of open connections of a server. A peer keeps one and opens one more for a
+	// pull. The rings of decide/member give an instance about as many callers as it has peers.
+	maxServerConns = 256
+	// idleTimeout is how long a connection may receive nothing before it is closed. Heartbeats are far more frequent.
 	idleTimeout = 15 * time.Second
-	// writeTimeout closes connections whose other end takes nothing more.
+	// writeTimeout is the timeout of one write. It ends connections whose other end has stopped reading.
 	writeTimeout = 5 * time.Second
 )
 
-// Handler answers peers. It is called from many goroutines.
+// Handler handles the calls of peers. It must be safe for concurrent use.
 type Handler interface {
+	// Heartbeat handles a peer's digest and returns this instance's own.
 	Heartbeat(relay.Digest) relay.Digest
-	// Config gives the configuration in force.
+	// Config returns the configuration in force.
 	Config() relay.Config
 }
 
-// Server answers peers on a listener.
+// Server serves the calls of peers on a listener.
 type Server struct {
 	drpc *drpcserver.Server
 }
 
-// NewServer gives a server that answers with h.
+// NewServer returns a server whose calls are handled by h.
 func NewServer(h Handler) (*Server, error) {
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterPeer(mux, &service{handler: h}); err != nil {
@@ -49,11 +50,12 @@
 	return &Server{drpc: drpcserver.NewWithOptions(mux, options)}, nil
 }
 
-// Serve answers peers until ctx ends, then closes l and every connection.
+// Serve serves peers until ctx is done, then closes l and every connection.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	return s.drpc.Serve(ctx, LimitListener(l))
 }
 
+// service implements peerpb.DRPCPeerServer with a Handler.
 type service struct {
 	handler Handler
 }
