--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics names an instance's metrics and writes them out in the usual text form. Counting is
-// atomic and safe on the path of a request.
+// Package metrics registers the metrics of an instance and renders them in the usual text format. Updating a counter or
+// gauge is an atomic operation, and a histogram's update takes a short lock, so requests may update them.
 package metrics
 
 import (
@@ -14,38 +14,39 @@
 const (
 	prefix = "damaskshelf_"
 
-	// A histogram keeps an exponentially decaying sample of this size, weighted to the last minutes.
-	reservoir = 1028
-	decay     = 0.015
+	// A histogram keeps an exponentially decaying sample of sampleSize values, weighted to the last minutes.
+	sampleSize  = 1028
+	sampleDecay = 0.015
 )
 
 // Registry holds one instance's metrics.
 type Registry struct {
-	r gometrics.Registry
+	metrics gometrics.Registry
 }
 
-// New gives an empty registry; instances in one process don't share one.
-func New() *Registry { return &Registry{r: gometrics.NewRegistry()} }
+// New returns an empty registry. Each instance in a process has its own.
+func New() *Registry { return &Registry{metrics: gometrics.NewRegistry()} }
 
-// Counter gives the counter of that name. Labels are pairs of key and value.
+// Counter returns the counter with that name and labels, and registers it on the first call. labels are pairs of key and
+// value.
 func (r *Registry) Counter(name string, labels ...string) gometrics.Counter {
-	return r.r.GetOrRegister(key(name, labels), gometrics.NewCounter).(gometrics.Counter)
+	return r.metrics.GetOrRegister(metricKey(name, labels), gometrics.NewCounter).(gometrics.Counter)
 }
 
-// Gauge gives the gauge of that name.
+// Gauge returns the gauge with that name and labels, and registers it on the first call.
 func (r *Registry) Gauge(name string, labels ...string) gometrics.Gauge {
-	return r.r.GetOrRegister(key(name, labels), gometrics.NewGauge).(gometrics.Gauge)
+	return r.metrics.GetOrRegister(metricKey(name, labels), gometrics.NewGauge).(gometrics.Gauge)
 }
 
-// Histogram gives the histogram of that name.
+// Histogram returns the histogram with that name and labels, and registers it on the first call.
 func (r *Registry) Histogram(name string, labels ...string) gometrics.Histogram {
-	return r.r.GetOrRegister(key(name, labels), func() gometrics.Histogram {
-		return gometrics.NewHistogram(gometrics.NewExpDecaySample(reservoir, decay))
+	return r.metrics.GetOrRegister(metricKey(name, labels), func() gometrics.Histogram {
+		return gometrics.NewHistogram(gometrics.NewExpDecaySample(sampleSize, sampleDecay))
 	}).(gometrics.Histogram)
 }
 
-// key gives name{a="b",c="d"}; labels is of even length.
-func key(name string, labels []string) string {
+// metricKey returns the key of a metric, as name{a="b",c="d"}. The length of labels is even.
+func metricKey(name string, labels []string) string {
 	if len(labels) == 0 {
 		return name
 	}
@@ -56,19 +57,20 @@
 	return name + "{" + strings.Join(pairs, ",") + "}"
 }
 
+// quantiles are those that are rendered for each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// Text gives all metrics, sorted by name, one sample a line.
+// Text renders all metrics as one sample per line, with the lines sorted.
 func (r *Registry) Text() []byte {
 	var lines []string
-	r.r.Each(func(name string, m any) {
+	r.metrics.Each(func(name string, m any) {
 		switch m := m.(type) {
 		case gometrics.Counter:
-			lines = append(lines, sample(name, "_total", nil, float64(m.Count())))
+			lines = append(lines, sampleLine(name, "_total", nil, float64(m.Count())))
 		case gometrics.Gauge:
-			lines = append(lines, sample(name, "", nil, float64(m.Value())))
+			lines = append(lines, sampleLine(name, "", nil, float64(m.Value())))
 		case gometrics.Histogram:
-			lines = append(lines, histogram(name, m.Snapshot())...)
+			lines = append(lines, histogramLines(name, m.Snapshot())...)
 		}
 	})
 	slices.Sort(lines)
@@ -80,23 +82,25 @@
 	return b.Bytes()
 }
 
-func histogram(name string, h gometrics.Histogram) []string {
+// histogramLines renders a histogram's count, sum and quantiles.
+func histogramLines(name string, h gometrics.Histogram) []string {
 	lines := []string{
-		sample(name, "_count", nil, float64(h.Count())),
-		sample(name, "_sum", nil, float64(h.Sum())),
+		sampleLine(name, "_count", nil, float64(h.Count())),
+		sampleLine(name, "_sum", nil, float64(h.Sum())),
 	}
 	for i, v := range h.Percentiles(quantiles) {
-		lines = append(lines, sample(name, "", []string{"quantile", fmt.Sprint(quantiles[i])}, v))
+		lines = append(lines, sampleLine(name, "", []string{"quantile", fmt.Sprint(quantiles[i])}, v))
 	}
 	return lines
 }
 
-// sample gives one line; the suffix goes before the labels of the key.
-func sample(k, suffix string, extra []string, value float64) string {
-	name, labels, _ := strings.Cut(k, "{")
+// sampleLine renders one sample of the metric with that key. suffix is appended to the metric's name, and the label
+// extraLabel, a key and a value if not nil, to the key's labels.
+func sampleLine(key, suffix string, extraLabel []string, value float64) string {
+	name, labels, _ := strings.Cut(key, "{")
 	labels = strings.TrimSuffix(labels, "}")
-	if len(extra) == 2 {
-		pair := fmt.Sprintf("%s=%q", extra[0], extra[1])
+	if len(extraLabel) == 2 {
+		pair := fmt.Sprintf("%s=%q", extraLabel[0], extraLabel[1])
 		if labels != "" {
 			pair = labels + "," + pair
 		}
