--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink writes log lines without ever holding up who logs. A reader that stops reading blocks the
-// writer of a pipe; with a logger that writes in place, every request would stop with it.
+// Package logsink writes log lines without blocking the goroutine that logs. If the reader of a pipe stops reading,
+// writes to the pipe block. With a synchronous logger every request would then block as well.
 package logsink
 
 import (
@@ -10,54 +10,55 @@
 )
 
 const (
-	// maxBytes bounds the lines that wait to be written: some seconds of a busy instance's lines.
-	maxBytes = 1 << 20
-	// maxPerSecond bounds the lines of a second. A busy instance writes some hundreds; a failure that repeats
-	// itself in a loop would write without end.
-	maxPerSecond = 4000
-	// report is how often lines that were dropped are counted in a line of their own.
-	report = time.Second
+	// maxQueuedBytes is the maximum size of all queued lines: some seconds of a busy instance's lines.
+	maxQueuedBytes = 1 << 20
+	// maxLinesPerSecond is the maximum number of lines in one second. A busy instance writes some hundreds; a failure
+	// that repeats in a loop would write without limit.
+	maxLinesPerSecond = 4000
+	// reportInterval is the least time between two lines that report the number of dropped lines.
+	reportInterval = time.Second
 )
 
-// Sink is an io.Writer that takes whole lines and writes them in the background.
+// Sink is an io.Writer that queues whole lines and writes them in the background. It is safe for concurrent use.
 type Sink struct {
 	out io.Writer
 
-	mu      sync.Mutex
-	lines   [][]byte // guarded by mu
-	bytes   int      // guarded by mu
-	dropped int      // guarded by mu: since the last report
-	total   int      // guarded by mu: dropped since the start
-	second  int64    // guarded by mu: that count is of
-	count   int      // guarded by mu
-	closed  bool     // guarded by mu
-	wake    chan struct{}
-	done    chan struct{}
+	mu              sync.Mutex
+	queue           [][]byte // guarded by mu
+	queuedBytes     int      // guarded by mu
+	unreportedDrops int      // guarded by mu: lines dropped since the last report
+	totalDropped    int      // guarded by mu: lines dropped since the start
+	currentSecond   int64    // guarded by mu: Unix time that linesThisSecond is counted for
+	linesThisSecond int      // guarded by mu
+	closed          bool     // guarded by mu; Close was called
+	wake            chan struct{}
+	done            chan struct{}
 }
 
-// New gives a Sink that writes to out.
+// New returns a Sink that writes to out. Close stops its goroutine.
 func New(out io.Writer) *Sink {
 	s := &Sink{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write implements io.Writer: it takes the line or counts it as dropped, and never blocks or fails.
+// Write implements io.Writer. It queues the line or counts it as dropped. It returns no error and doesn't wait for the
+// underlying writer.
 func (s *Sink) Write(line []byte) (int, error) {
 	now := time.Now().Unix()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now != s.second {
-		s.second, s.count = now, 0
+	if now != s.currentSecond {
+		s.currentSecond, s.linesThisSecond = now, 0
 	}
-	s.count++
-	if s.closed || s.bytes+len(line) > maxBytes || s.count > maxPerSecond {
-		s.dropped++
-		s.total++
+	s.linesThisSecond++
+	if s.closed || s.queuedBytes+len(line) > maxQueuedBytes || s.linesThisSecond > maxLinesPerSecond {
+		s.unreportedDrops++
+		s.totalDropped++
 		return len(line), nil
 	}
-	s.lines = append(s.lines, append([]byte(nil), line...))
-	s.bytes += len(line)
+	s.queue = append(s.queue, append([]byte(nil), line...))
+	s.queuedBytes += len(line)
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -65,51 +66,53 @@
 	return len(line), nil
 }
 
-// Dropped gives the lines dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (s *Sink) Dropped() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.total
+	return s.totalDropped
 }
 
-// Close writes what waits, for at most wait, and takes no more.
-func (s *Sink) Close(wait time.Duration) {
+// Close makes further lines count as dropped, and waits at most timeout until the queued lines are written.
+func (s *Sink) Close(timeout time.Duration) {
 	s.mu.Lock()
-	closed := s.closed
+	alreadyClosed := s.closed
 	s.closed = true
 	s.mu.Unlock()
-	if !closed {
+	if !alreadyClosed {
 		close(s.wake)
 	}
 	select {
 	case <-s.done:
-	case <-time.After(wait):
+	case <-time.After(timeout):
 	}
 }
 
+// run writes the queued lines, and reports of dropped ones, until Close.
 func (s *Sink) run() {
 	defer close(s.done)
-	last := time.Now()
+	lastReport := time.Now()
 	for range s.wake {
-		lines, dropped := s.take(time.Since(last) >= report)
+		lines, dropped := s.dequeue(time.Since(lastReport) >= reportInterval)
 		for _, l := range lines {
-			// The log is where errors would be told; one of its own has no other place.
+			// Errors are reported in the log, so there is no place to report an error of the log itself.
 			_, _ = s.out.Write(l)
 		}
 		if dropped > 0 {
-			last = time.Now()
-			_, _ = fmt.Fprintf(s.out, "%s [WARN]  log: lines dropped: count=%d\n", last.UTC().Format(time.RFC3339), dropped)
+			lastReport = time.Now()
+			_, _ = fmt.Fprintf(s.out, "%s [WARN]  log: lines dropped: count=%d\n", lastReport.UTC().Format(time.RFC3339), dropped)
 		}
 	}
 }
 
-// take gives the lines that wait and, if asked, the count of those dropped since the last report.
-func (s *Sink) take(reporting bool) (lines [][]byte, dropped int) {
+// dequeue removes and returns the queued lines. If withDropped is set, it also returns the number of lines dropped since
+// the last report, and resets that number.
+func (s *Sink) dequeue(withDropped bool) (lines [][]byte, dropped int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lines, s.lines, s.bytes = s.lines, nil, 0
-	if reporting {
-		dropped, s.dropped = s.dropped, 0
+	lines, s.queue, s.queuedBytes = s.queue, nil, 0
+	if withDropped {
+		dropped, s.unreportedDrops = s.unreportedDrops, 0
 	}
 	return lines, dropped
 }
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -15,9 +15,9 @@
 	"github.com/damaskshelf/damaskshelf/internal/logsink"
 )
 
-// All requests of an instance stop. Whoever collects its log has stopped reading, the pipe is full, and the
-// line that a request writes about itself never returns.
-func TestAReaderThatStopsHoldsNobodyUp(t *testing.T) {
+// Guards against requests that block in logging: the reader of the log has stopped reading, the pipe is full, and the
+// write of a request's log line doesn't return.
+func TestStalledReaderDoesNotBlockLogging(t *testing.T) {
 	is := is.New(t)
 	r, w := io.Pipe() // a write blocks until it is read
 	sink := logsink.New(w)
@@ -39,40 +39,41 @@
 	sink.Close(time.Second)
 }
 
-type slowWriter struct {
+// lockedBuffer is a bytes.Buffer that is safe for concurrent use.
+type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (w *slowWriter) Write(p []byte) (int, error) {
+func (w *lockedBuffer) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.buf.Write(p)
 }
 
-func (w *slowWriter) String() string {
+func (w *lockedBuffer) String() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.buf.String()
 }
 
-// Lines come out whole and in order, and what was dropped is counted in a line.
+// Lines are written whole and in order, and the number of dropped lines is reported in a line.
 func TestDroppedLinesAreCounted(t *testing.T) {
 	is := is.New(t)
-	out := &slowWriter{}
-	sink := logsink.New(out)
-	for i := range 6000 { // over the bound of a second
+	buffer := &lockedBuffer{}
+	sink := logsink.New(buffer)
+	for i := range 6000 { // over the limit of one second
 		_, _ = fmt.Fprintf(sink, "line %d\n", i)
 	}
 	deadline := time.Now().Add(10 * time.Second)
-	for !strings.Contains(out.String(), "lines dropped: count=") {
+	for !strings.Contains(buffer.String(), "lines dropped: count=") {
 		if time.Now().After(deadline) {
-			t.Fatal("nothing tells of the dropped lines")
+			t.Fatal("no line reports the dropped lines")
 		}
 		time.Sleep(20 * time.Millisecond)
 		_, _ = fmt.Fprintf(sink, "another\n")
 	}
-	lines := strings.Split(out.String(), "\n")
+	lines := strings.Split(buffer.String(), "\n")
 	is.Equal(lines[0], "line 0")
 	is.Equal(lines[1000], "line 1000")
 	sink.Close(time.Second)
