--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -12,7 +12,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/explain"
 )
 
-// One decision is one line of key=value pairs, and can be asked for afterwards, oldest first.
+// Each decision is logged as one line of key=value pairs, and ForSubject returns it afterwards, oldest first.
 func TestDecisionsAreLoggedAndKept(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
@@ -22,15 +22,15 @@
 	r.Record("retry", "p1", "resume", "offset", 7)
 	is.Equal(bytes.Count(out.Bytes(), []byte("\n")), 3)
 	is.True(bytes.HasPrefix(out.Bytes(), []byte("[INFO]  e1.decision: route: subject=p1 reason=least_loaded upstream=engine-1 attempt=1\n")))
-	about := r.ForSubject("p1")
-	is.Equal(len(about), 2)
-	is.Equal(about[0].Kind, "route")
-	is.Equal(about[0].Fields(), "upstream=engine-1 attempt=1")
-	is.Equal(about[1].Fields(), "offset=7")
+	decisions := r.ForSubject("p1")
+	is.Equal(len(decisions), 2)
+	is.Equal(decisions[0].Kind, "route")
+	is.Equal(decisions[0].Fields(), "upstream=engine-1 attempt=1")
+	is.Equal(decisions[1].Fields(), "offset=7")
 	is.Equal(len(r.ForSubject("p3")), 0)
 }
 
-// Many requests record at once and push the oldest decisions out; the latest are still there, whole.
+// Concurrent requests record more decisions than are kept: the oldest are overwritten, and the latest are intact.
 func TestLatestDecisionsSurviveConcurrentRecording(t *testing.T) {
 	is := is.New(t)
 	r := explain.New(hclog.NewNullLogger())
--- a/internal/explain/logs.go
+++ b/internal/explain/logs.go
@@ -12,43 +12,45 @@
 )
 
 const (
-	// before a request's first line, and after its last, what an instance came to believe is shown too: news
-	// is acted on within seconds, and a cause that is noticed late is noticed soon after.
-	before = 5 * time.Second
-	after  = time.Second
-	// maxLine bounds one line of a log.
-	maxLine = 1 << 20
+	// RequestLines includes state changes that an instance logged from contextBefore ahead of the request's first line
+	// to contextAfter its last line. Instances react to a change within seconds, and a cause that is detected late is
+	// logged soon after the request.
+	contextBefore = 5 * time.Second
+	contextAfter  = time.Second
+	// maxLineBytes is the maximum size of one log line; longer lines are skipped.
+	maxLineBytes = 1 << 20
 )
 
-// Line is a line of an instance's log.
+// Line is one line of an instance's log.
 type Line struct {
 	At       time.Time
-	Instance string // and the part that wrote it, as in "entry-1.gateway"
-	Text     string // from the message on
-	Number   int    // of the line in what was read, from 1
+	Instance string // the instance and its component that wrote the line, as in "entry-1.gateway"
+	Text     string // the message and its fields
+	Number   int    // line number in the input, starting at 1
 }
 
-// String gives the line as it is shown.
+// String returns the line as it is displayed.
 func (l Line) String() string {
 	return fmt.Sprintf("%s %-28s %s", l.At.UTC().Format("15:04:05.000"), l.Instance, l.Text)
 }
 
-// logLine finds a line wherever it begins: what collects logs puts words of its own before it.
-var logLine = regexp.MustCompile(`(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}(?:Z|[+-]\d\d:?\d\d)) \[[A-Z]+\]\s+(?:damaskshelfd\.)?(\S+): (.*)$`)
+// logLineRE matches a log line that may start anywhere in the text, because log collectors add a prefix of their own.
+var logLineRE = regexp.MustCompile(`(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}(?:Z|[+-]\d\d:?\d\d)) \[[A-Z]+\]\s+(?:damaskshelfd\.)?(\S+): (.*)$`)
 
-var timeForms = []string{"2006-01-02T15:04:05.000Z", "2006-01-02T15:04:05.000-0700", "2006-01-02T15:04:05.000-07:00"}
+// timeLayouts are the layouts of a log line's time.
+var timeLayouts = []string{"2006-01-02T15:04:05.000Z", "2006-01-02T15:04:05.000-0700", "2006-01-02T15:04:05.000-07:00"}
 
-// ReadLines reads the lines of one or more instances' logs, and gives how many lines were passed over because they
-// are none of these: words of another program, a line that was cut, one that never ends.
-func ReadLines(in io.Reader) (all []Line, passedOver int, err error) {
-	r := bufio.NewReaderSize(in, maxLine)
+// ReadLines reads the logs of one or more instances and returns their lines sorted by time. skipped is the number of
+// lines that are not log lines of an instance: output of another program, truncated lines and lines over maxLineBytes.
+func ReadLines(in io.Reader) (lines []Line, skipped int, err error) {
+	r := bufio.NewReaderSize(in, maxLineBytes)
 	number := 0
 	for err == nil {
 		var raw []byte
 		raw, err = r.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
 			number++
-			passedOver++
+			skipped++
 			err = skipLine(r)
 			continue
 		}
@@ -56,21 +58,21 @@
 			continue
 		}
 		number++
-		if l, ok := readLine(strings.TrimRight(string(raw), "\r\n")); ok {
+		if l, ok := parseLine(strings.TrimRight(string(raw), "\r\n")); ok {
 			l.Number = number
-			all = append(all, l)
+			lines = append(lines, l)
 		} else {
-			passedOver++
+			skipped++
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Line) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	if errors.Is(err, io.EOF) {
 		err = nil
 	}
-	return all, passedOver, err
+	return lines, skipped, err
 }
 
-// skipLine reads on to the end of a line that is too long to be one.
+// skipLine reads up to the end of a line that is over maxLineBytes.
 func skipLine(r *bufio.Reader) error {
 	for {
 		_, err := r.ReadSlice('\n')
@@ -80,48 +82,51 @@
 	}
 }
 
-func readLine(text string) (Line, bool) {
-	m := logLine.FindStringSubmatch(text)
+// parseLine parses one log line, and reports whether the text is one.
+func parseLine(text string) (Line, bool) {
+	m := logLineRE.FindStringSubmatch(text)
 	if m == nil {
 		return Line{}, false
 	}
-	for _, form := range timeForms {
-		if at, err := time.Parse(form, m[1]); err == nil {
+	for _, layout := range timeLayouts {
+		if at, err := time.Parse(layout, m[1]); err == nil {
 			return Line{At: at, Instance: m[2], Text: m[3]}, true
 		}
 	}
 	return Line{}, false
 }
 
-// Story gives the lines that name the request, and beside them what the same instances came to believe
-// around it: of the upstreams that the request met, of the configuration, the store and the dispatcher.
+// RequestLines returns the lines that contain the request's id. It adds the state changes that the same instances
+// logged around that time: those of upstreams that the request's lines name, of the configuration, the store, the
+// dispatcher and the other kinds in stateChangePrefixes.
 func RequestLines(all []Line, id string) []Line {
-	var own []Line
+	var matching []Line
 	for _, l := range all {
-		if names(l.Text, id) {
-			own = append(own, l)
+		if containsID(l.Text, id) {
+			matching = append(matching, l)
 		}
 	}
-	if len(own) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	from, to := own[0].At.Add(-before), own[len(own)-1].At.Add(after)
-	upstreams, instances := met(own)
-	var story []Line
+	from, to := matching[0].At.Add(-contextBefore), matching[len(matching)-1].At.Add(contextAfter)
+	upstreams, instances := upstreamsAndInstances(matching)
+	var related []Line
 	for _, l := range all {
 		switch {
-		case names(l.Text, id):
-			story = append(story, l)
-		case l.At.Before(from) || l.At.After(to) || !instances[instanceOf(l)]:
-		case isNews(l.Text, upstreams):
-			story = append(story, l)
+		case containsID(l.Text, id):
+			related = append(related, l)
+		case l.At.Before(from) || l.At.After(to) || !instances[instanceName(l)]:
+		case isStateChange(l.Text, upstreams):
+			related = append(related, l)
 		}
 	}
-	return story
+	return related
 }
 
-// names tells whether the text holds id as a whole word.
-func names(text, id string) bool {
+// containsID reports whether the text contains id up to the end of a word. An id that is only the beginning of a longer
+// one doesn't match.
+func containsID(text, id string) bool {
 	for at := 0; ; {
 		i := strings.Index(text[at:], id)
 		if i < 0 {
@@ -135,38 +140,42 @@
 	}
 }
 
-var upstreamField = regexp.MustCompile(`\bupstream=("[^"]*"|\S+)`)
+// upstreamFieldRE matches the field that names an upstream.
+var upstreamFieldRE = regexp.MustCompile(`\bupstream=("[^"]*"|\S+)`)
 
-// met gives the upstreams and instances that lines name.
-func met(own []Line) (upstreams, instances map[string]bool) {
+// upstreamsAndInstances returns the upstreams that the lines name and the instances that wrote them.
+func upstreamsAndInstances(lines []Line) (upstreams, instances map[string]bool) {
 	upstreams, instances = map[string]bool{}, map[string]bool{}
-	for _, l := range own {
-		instances[instanceOf(l)] = true
-		if m := upstreamField.FindStringSubmatch(l.Text); m != nil {
+	for _, l := range lines {
+		instances[instanceName(l)] = true
+		if m := upstreamFieldRE.FindStringSubmatch(l.Text); m != nil {
 			upstreams[strings.Trim(m[1], `"`)] = true
 		}
 	}
 	return upstreams, instances
 }
 
-func instanceOf(l Line) string {
+// instanceName returns the name of the instance that wrote the line, without the component.
+func instanceName(l Line) string {
 	name, _, _ := strings.Cut(l.Instance, ".")
 	return name
 }
 
-// beliefs are the beginnings of lines that tell what an instance came to believe of the fleet.
-var beliefs = []string{
+// stateChangePrefixes are the beginnings of the lines that report a change of an instance's state or of its view of the
+// fleet.
+var stateChangePrefixes = []string{
 	"configuration", "store lost", "store regained", "store forgot", "dispatcher", "failure domain", "process was paused", "started",
 	"stopping", "settings",
 }
 
-// isNews tells whether a line is one of them, or about one of the upstreams.
-func isNews(text string, upstreams map[string]bool) bool {
-	for _, b := range beliefs {
-		if strings.HasPrefix(text, b) {
+// isStateChange reports whether a line begins with one of stateChangePrefixes, or with "upstream " and names one of the
+// upstreams.
+func isStateChange(text string, upstreams map[string]bool) bool {
+	for _, prefix := range stateChangePrefixes {
+		if strings.HasPrefix(text, prefix) {
 			return true
 		}
 	}
-	m := upstreamField.FindStringSubmatch(text)
+	m := upstreamFieldRE.FindStringSubmatch(text)
 	return strings.HasPrefix(text, "upstream ") && m != nil && upstreams[strings.Trim(m[1], `"`)]
 }
--- a/internal/explain/logs_test.go
+++ b/internal/explain/logs_test.go
@@ -10,9 +10,9 @@
 	"github.com/damaskshelf/damaskshelf/internal/explain"
 )
 
-// An on-call engineer has a request's id and the logs of several instances, in one heap. The lines that
-// explain it come out in order, with what its instance came to believe around it and nothing of others.
-func TestStoriesOfFailedRequests(t *testing.T) {
+// The input holds the mixed logs of several instances. RequestLines returns the lines of one request in order, with the
+// state changes that its instance logged around it, and no lines of other requests.
+func TestRequestLinesOfFailedRequests(t *testing.T) {
 	for name, id := range map[string]string{
 		"lost_with_its_upstream": "335dda003c6e423d",
 		"refused_under_load":     "e9066ddce3e388ea",
@@ -36,8 +36,9 @@
 	}
 }
 
-// An id that is the beginning of another one names nothing, and bytes that are no log line are passed over.
-func TestOnlyWholeIDsCount(t *testing.T) {
+// RequestLines doesn't return the lines of a longer id that begins with the given one, and ReadLines skips text that is
+// not a log line.
+func TestOnlyWholeIDsMatch(t *testing.T) {
 	is := is.New(t)
 	all, _, err := explain.ReadLines(strings.NewReader(
 		"junk\n2026-04-11T09:40:38.269Z [INFO]  damaskshelfd.e.decision: answer: subject=abc1 reason=served\n"))
