--- a/internal/losses/cause.go
+++ b/internal/losses/cause.go
@@ -1,6 +1,7 @@
-// Package losses sums up, from the logs of a fleet's instances alone, which requests were not answered whole and in
-// time, for which cause, of which kind and when. An attempt of a caller counts as a request: one that was refused and
-// came back is told twice, and a request that ended with its instance while it waited left no line to be counted by.
+// Package losses summarizes the logs of a fleet's instances: which requests were not answered completely and in time, by
+// cause, class and time. It reads nothing but the logs. Each attempt of a caller counts as a request, so a refused
+// request that the caller sends again counts twice. A request that was still queued when its instance ended left no log
+// line and is not counted.
 package losses
 
 import (
@@ -8,49 +9,50 @@
 	"time"
 )
 
-// Cause is why a request was not answered whole and in time.
+// Cause is the reason why a request was lost: not answered completely and in time.
 type Cause string
 
-// The closed list of causes, in the order in which a report shows them.
+// All causes, in the order in which a report shows them.
 const (
-	LateQueued        Cause = "late_place"          // it waited for a place; with one at once it would have been in time
-	LateFirstEvent    Cause = "late_first"          // its upstreams took too long to the first event, or to a plain answer
-	LateNextEvent     Cause = "paused"              // its engine paused between two events for too long
-	LateResume        Cause = "paused_resume"       // its engine broke off, and it went on elsewhere too late
-	RefusedTooLate    Cause = "refused_too_late"    // no place in its caller's time
-	RefusedNoSlack    Cause = "refused_no_slack"    // over one engine's memory, and the fleet was busy
-	RefusedTooLarge   Cause = "refused_too_large"   // over the memory of all engines that could hold it together
-	RefusedQueueFull  Cause = "refused_queue_full"  // more requests waited than are kept
-	RefusedLimit      Cause = "refused_limit"       // every upstream was under a limit of its own
-	RefusedNoUpstream Cause = "refused_no_upstream" // no upstream of its service could take work
-	RefusedStopping   Cause = "refused_stopping"    // its instance was stopping
-	RefusedStarting   Cause = "refused_starting"    // its instance had just started, or had been paused
-	UpstreamFailed    Cause = "upstream_failed"     // its upstream failed it, and it could not be sent again in time
-	StreamCut         Cause = "stream_cut"          // its stream broke off, and none could go on with it
-	DeadlineExceeded  Cause = "time_up"             // its caller's or its route's time ended first
-	CallerGone        Cause = "caller_gone"         // its caller left before the end of the answer
-	InstanceEnded     Cause = "instance_ended"      // its instance ended without answering it
-	Other             Cause = "other"               // a fault that should not come from the fleet
+	LateQueued        Cause = "late_place"          // queued for too long; without that time it would have been in time
+	LateFirstEvent    Cause = "late_first"          // the upstreams took too long until the first event or the plain answer
+	LateNextEvent     Cause = "paused"              // the time between two events was too long
+	LateResume        Cause = "paused_resume"       // the stream was interrupted and resumed elsewhere too late
+	RefusedTooLate    Cause = "refused_too_late"    // no upstream available within the caller's deadline
+	RefusedNoSlack    Cause = "refused_no_slack"    // needs more than one engine's memory, and the fleet was busy
+	RefusedTooLarge   Cause = "refused_too_large"   // needs more memory than all engines that could hold it together have
+	RefusedQueueFull  Cause = "refused_queue_full"  // the queue was full
+	RefusedLimit      Cause = "refused_limit"       // every upstream had reached a rate limit of its own
+	RefusedNoUpstream Cause = "refused_no_upstream" // no upstream of the service could take work
+	RefusedStopping   Cause = "refused_stopping"    // the instance was stopping
+	RefusedStarting   Cause = "refused_starting"    // the instance had just started, or had been paused
+	UpstreamFailed    Cause = "upstream_failed"     // the upstream failed, and a retry in time was not possible
+	StreamCut         Cause = "stream_cut"          // the stream was interrupted and could not be resumed
+	DeadlineExceeded  Cause = "time_up"             // the caller's or the route's deadline passed first
+	CallerGone        Cause = "caller_gone"         // the caller disconnected before the end of the answer
+	InstanceEnded     Cause = "instance_ended"      // the instance ended without answering
+	Other             Cause = "other"               // a fault that the fleet is not expected to return
 )
 
-// Causes lists every cause.
+// Causes lists all causes in the order of a report.
 var Causes = []Cause{
 	LateQueued, LateFirstEvent, LateNextEvent, LateResume, RefusedTooLate, RefusedNoSlack, RefusedTooLarge, RefusedQueueFull,
 	RefusedLimit, RefusedNoUpstream, RefusedStopping, RefusedStarting, UpstreamFailed, StreamCut, DeadlineExceeded, CallerGone, InstanceEnded, Other,
 }
 
-// Outcome is what a caller saw of a request, more roughly than its cause.
+// Outcome is the result of a request for its caller, which is coarser than its cause.
 type Outcome string
 
 // The outcomes.
 const (
 	InTime     Outcome = "in_time"
 	Late       Outcome = "late"
-	Refused    Outcome = "refused" // it did not run
+	Refused    Outcome = "refused" // the request did not run
 	Failed     Outcome = "failed"
-	CallerLeft Outcome = "left" // the caller went away
+	CallerLeft Outcome = "left" // the caller disconnected
 )
 
+// outcome returns the outcome of a request with that cause; the empty cause is a request in time.
 func (c Cause) outcome() Outcome {
 	switch {
 	case c == "":
@@ -66,56 +68,58 @@
 	}
 }
 
-// refusals are causes by the reason of a refusal.
-var refusals = map[string]Cause{
+// refusalCauses maps the reason of a refusal, the log field "detail", to its cause.
+var refusalCauses = map[string]Cause{
 	"too_late": RefusedTooLate, "no_slack": RefusedNoSlack, "too_large": RefusedTooLarge, "queue_full": RefusedQueueFull,
 	"rate_limited": RefusedLimit,
 }
 
-// faults are causes by the kind of a fault, where that alone tells.
-var faults = map[string]Cause{
+// faultCauses maps the kind of a fault to its cause, for the kinds that determine the cause by themselves.
+var faultCauses = map[string]Cause{
 	"no_upstream": RefusedNoUpstream, "stopping": RefusedStopping, "not_ready": RefusedStarting, "stale_instance": RefusedStarting,
 	"upstream_failed": UpstreamFailed, "upstream_busy": UpstreamFailed, "incomplete_answer": StreamCut,
 	"deadline_exceeded": DeadlineExceeded, "caller_gone": CallerGone,
 }
 
-// notOwed are faults of callers: what they asked for is not allowed or makes no sense.
-var notOwed = map[string]bool{
+// callerFaults are the kinds of faults that callers are responsible for, such as a request that is invalid or not
+// permitted.
+var callerFaults = map[string]bool{
 	"bad_request": true, "unauthorized": true, "not_found": true, "body_too_large": true, "slow_caller": true,
 }
 
-// serverError is the first status of a plain answer by which an upstream says that it failed.
-const serverError = 500
+// minServerErrorStatus is the lowest HTTP status of a plain answer that counts as a failure of the upstream.
+const minServerErrorStatus = 500
 
-// causeOf tells why a request with that last line was lost; empty: it was answered whole and in time. owed is false
-// where the caller had no right to an answer.
-func causeOf(end fields, waited time.Duration) (c Cause, owed bool) {
-	switch end["reason"] {
+// causeOf returns the cause of a request's loss from its answer line, or "" if it was answered completely and in time.
+// counted is false if the caller is at fault, so that the request doesn't count.
+func causeOf(answer fields, queueTime time.Duration) (c Cause, counted bool) {
+	switch answer["reason"] {
 	case "served":
-		return lateStream(end, waited), true
+		return lateStreamCause(answer, queueTime), true
 	case "passed_on":
-		if end.number("status") >= serverError {
+		if answer.number("status") >= minServerErrorStatus {
 			return UpstreamFailed, true
 		}
-		return late(end.ms("took_ms"), end.ms("aim_ms"), waited), true
+		return lateCause(answer.ms("took_ms"), answer.ms("aim_ms"), queueTime), true
 	case "stream_cut":
 		return StreamCut, true
 	case "caller_gone":
 		return CallerGone, true
 	default:
-		return refused(end)
+		return refusalCause(answer)
 	}
 }
 
-func refused(end fields) (c Cause, owed bool) {
-	kind := end["fault"]
-	if notOwed[kind] {
+// refusalCause is causeOf for an answer line that reports a refusal or another fault.
+func refusalCause(answer fields) (c Cause, counted bool) {
+	kind := answer["fault"]
+	if callerFaults[kind] {
 		return "", false
 	}
-	if c, ok := refusals[end["detail"]]; ok {
+	if c, ok := refusalCauses[answer["detail"]]; ok {
 		return c, true
 	}
-	if c, ok := faults[kind]; ok {
+	if c, ok := faultCauses[kind]; ok {
 		return c, true
 	}
 	if kind == "infeasible" {
@@ -124,27 +128,30 @@
 	return Other, true
 }
 
-func lateStream(end fields, waited time.Duration) Cause {
-	if c := late(end.ms("first_ms"), end.ms("aim_ms"), waited); c != "" {
+// lateStreamCause returns the cause if a complete stream was late, or "". A stream is late if its first event was, or if
+// its longest pause between two events exceeded the gap that its route permits.
+func lateStreamCause(answer fields, queueTime time.Duration) Cause {
+	if c := lateCause(answer.ms("first_ms"), answer.ms("aim_ms"), queueTime); c != "" {
 		return c
 	}
-	gap := end.ms("gap_ms")
+	gap := answer.ms("gap_ms")
 	switch {
-	case gap == 0 || end.ms("pause_ms") <= gap:
+	case gap == 0 || answer.ms("pause_ms") <= gap:
 		return ""
-	case end.number("attempts") > 1:
+	case answer.number("attempts") > 1:
 		return LateResume
 	default:
 		return LateNextEvent
 	}
 }
 
-// late blames the wait for a place only where the rest would have been in time.
-func late(took, aim, waited time.Duration) Cause {
+// lateCause returns the cause if elapsed exceeds target, or "". A target of 0 means that there is none. The cause is the
+// time in the queue only if the remaining time alone would not have exceeded the target.
+func lateCause(elapsed, target, queueTime time.Duration) Cause {
 	switch {
-	case aim == 0 || took <= aim:
+	case target == 0 || elapsed <= target:
 		return ""
-	case took-waited <= aim:
+	case elapsed-queueTime <= target:
 		return LateQueued
 	default:
 		return LateFirstEvent
--- a/internal/losses/draw.go
+++ b/internal/losses/draw.go
@@ -10,14 +10,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a drawing.
+// Size of a chart.
 const (
 	drawWidth  = 18 * vg.Centimeter
 	drawHeight = 9 * vg.Centimeter
 )
 
-// Draw draws the requests that were lost over time, a line for each cause, into a file whose name ends with the
-// format, as .svg.
+// Draw writes a chart of the lost requests over time to a file, with one line per cause. The extension of the file's
+// name, such as .svg, selects the format.
 func (r *Report) Draw(file string) error {
 	if len(r.Windows) == 0 {
 		return errors.New("logs hold no answered request")
@@ -29,7 +29,7 @@
 	chart.Legend.Top = true
 	var lines []any
 	for _, c := range Causes {
-		if points := r.over(c); points != nil {
+		if points := r.causePoints(c); points != nil {
 			lines = append(lines, string(c), points)
 		}
 	}
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// over gives the losses to a cause in each window; nil: none at all.
-func (r *Report) over(c Cause) plotter.XYs {
+// causePoints returns the number of requests lost to a cause in each window, or nil if there are none.
+func (r *Report) causePoints(c Cause) plotter.XYs {
 	var points plotter.XYs
 	found := false
 	for i := range r.Windows {
--- a/internal/losses/fields.go
+++ b/internal/losses/fields.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// fields are the key=value pairs of a line.
+// fields holds the key=value pairs of a log line.
 type fields map[string]string
 
-// parse reads pairs; a value with spaces stands in quotes. What is no pair is passed over, as where a line was cut.
-func parse(text string) fields {
+// parseFields parses the pairs of a log line; a value with spaces is quoted. It skips text that is not a pair, such as
+// the end of a truncated line.
+func parseFields(text string) fields {
 	f := fields{}
 	for text != "" {
 		key, rest, ok := strings.Cut(text, "=")
@@ -21,15 +22,15 @@
 		if i := strings.LastIndexByte(key, ' '); i >= 0 {
 			key = key[i+1:]
 		}
-		value, after := value(rest)
+		value, remaining := cutValue(rest)
 		f[key] = value
-		text = strings.TrimLeft(after, " ")
+		text = strings.TrimLeft(remaining, " ")
 	}
 	return f
 }
 
-// value cuts the first value off.
-func value(text string) (value, rest string) {
+// cutValue splits text after the value that it begins with, and returns the unquoted value and the rest.
+func cutValue(text string) (value, rest string) {
 	if quoted, err := strconv.QuotedPrefix(text); err == nil {
 		if v, err := strconv.Unquote(quoted); err == nil {
 			return v, text[len(quoted):]
@@ -39,7 +40,7 @@
 	return value, rest
 }
 
-// problem tells which field of an answer's line keeps it from being judged; empty: none does.
+// problem describes the missing or invalid field that makes an answer line unusable. It returns "" for a usable line.
 func (f fields) problem() string {
 	if f["reason"] == "" {
 		return "answer without reason"
@@ -49,16 +50,16 @@
 		needed = append(needed, "first_ms")
 	}
 	for _, key := range needed {
-		if text, there := f[key]; !there {
+		if text, present := f[key]; !present {
 			return "answer without " + key
 		} else if n, err := strconv.Atoi(text); err != nil || n < 0 {
-			return fmt.Sprintf("%s=%q is no number of ms", key, text)
+			return fmt.Sprintf("%s=%q is not a number of ms", key, text)
 		}
 	}
 	return ""
 }
 
-// number gives a value, and 0 where there is none: lines say nothing of what doesn't apply to them.
+// number returns a field as a number, or 0 if it is missing or not a number. Log lines omit fields that don't apply.
 func (f fields) number(key string) int {
 	n, err := strconv.Atoi(f[key])
 	if err != nil {
@@ -67,6 +68,7 @@
 	return n
 }
 
+// ms returns a field in milliseconds as a duration, or 0 as number does.
 func (f fields) ms(key string) time.Duration {
 	return time.Duration(f.number(key)) * time.Millisecond
 }
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -10,14 +10,14 @@
 	"github.com/damaskshelf/damaskshelf/internal/explain"
 )
 
-// Window is a span of time, by the arrival of its requests.
+// Window counts the requests that arrived in one span of time.
 type Window struct {
 	From     time.Time       `json:"from"`
 	Outcomes map[Outcome]int `json:"outcomes"`
 	Causes   map[Cause]int   `json:"causes"`
 }
 
-// Asked is the number of its requests.
+// RequestCount returns the number of requests in the window.
 func (w *Window) RequestCount() int {
 	n := 0
 	for _, k := range w.Outcomes {
@@ -26,18 +26,18 @@
 	return n
 }
 
-// Class is what is told of requests of one kind, or of streams by the size of their prompts.
+// Class holds the counts of the requests of one class: of one kind, or of streams with prompts of similar size.
 type Class struct {
 	Name             string          `json:"name"`
 	Requests         int             `json:"asked"`
 	InTime           int             `json:"in_time"`
 	PromptTokens     int             `json:"prompt_tokens"`
 	Lost             map[Cause]int   `json:"lost"`
-	LostPromptTokens map[Cause]int   `json:"lost_prompt_tokens"` // prompt tokens of the lost ones
+	LostPromptTokens map[Cause]int   `json:"lost_prompt_tokens"` // prompt tokens of the lost requests
 	Outcomes         map[Outcome]int `json:"outcomes"`
 }
 
-// TokensInTime is the prompt tokens of what was answered whole and in time.
+// PromptTokensInTime returns the prompt tokens of the requests that were answered completely and in time.
 func (c *Class) PromptTokensInTime() int {
 	n := c.PromptTokens
 	for _, lost := range c.LostPromptTokens {
@@ -46,108 +46,112 @@
 	return n
 }
 
-// Report is the account of some logs.
+// Report is the summary of some logs.
 type Report struct {
 	WindowLength    time.Duration `json:"-"`
 	Classes         []Class       `json:"classes"`
 	Windows         []Window      `json:"windows"`
 	Stages          []StageTimes  `json:"stages"`
-	CallerFaults    int           `json:"not_owed"` // callers had no right to an answer
-	Unfinished      int           `json:"unended"`  // still under way where the logs end
+	CallerFaults    int           `json:"not_owed"` // requests whose caller was at fault; they aren't counted elsewhere
+	Unfinished      int           `json:"unended"`  // requests still in flight at the end of the logs
 	Lines           int           `json:"lines"`
-	UnusableAnswers int           `json:"unusable_answers"` // answer lines that lack what they are judged by
-	Problems        []string      `json:"problems"`         // of the first of these, with line and field
+	UnusableAnswers int           `json:"unusable_answers"` // answer lines with a missing or invalid field
+	Problems        []string      `json:"problems"`         // descriptions of the first of these, with line and field
 }
 
-// attempt is a request on an instance.
-type attempt struct{ instance, id string }
+// requestKey identifies a request on one instance.
+type requestKey struct{ instance, id string }
 
-// sent is a request that was sent to an upstream.
-type sent struct {
-	at     time.Time
-	waited time.Duration // until it was sent first
-	fields fields
+// firstDispatch is the first dispatch of a request to an upstream.
+type firstDispatch struct {
+	at        time.Time
+	queueTime time.Duration // from the request's arrival to this dispatch
+	fields    fields
 }
 
-// reader goes through lines in their order of time.
-type reader struct {
-	report  *Report
-	open    map[attempt]sent
-	classes map[string]*Class
-	windows map[time.Time]*Window
-	stages  stageTimes
+// summarizer builds a report from log lines, which it processes in order of time.
+type summarizer struct {
+	report     *Report
+	dispatched map[requestKey]firstDispatch // requests that are dispatched but not answered yet
+	classes    map[string]*Class
+	windows    map[time.Time]*Window
+	stages     stageTimes
 }
 
-// mostProblems is how many unusable lines are described one by one.
-const mostProblems = 5
+// maxProblems is the maximum number of unusable lines that a report describes.
+const maxProblems = 5
 
-// unusable notes a line that can't be judged.
-func (r *reader) unusable(l explain.Line, problem string) {
+// recordUnusable counts an unusable answer line.
+func (r *summarizer) recordUnusable(l explain.Line, problem string) {
 	r.report.UnusableAnswers++
-	if len(r.report.Problems) < mostProblems {
+	if len(r.report.Problems) < maxProblems {
 		r.report.Problems = append(r.report.Problems, fmt.Sprintf("line %d: %s", l.Number, problem))
 	}
 }
 
-// Read sums up lines, ordered by time, in windows of a length.
-func Summarize(lines []explain.Line, every time.Duration) *Report {
-	r := reader{
-		report: &Report{WindowLength: every, Lines: len(lines)}, open: map[attempt]sent{},
+// Summarize returns the report of log lines, which must be sorted by time. Its windows have the given length.
+func Summarize(lines []explain.Line, windowLength time.Duration) *Report {
+	r := summarizer{
+		report: &Report{WindowLength: windowLength, Lines: len(lines)}, dispatched: map[requestKey]firstDispatch{},
 		classes: map[string]*Class{}, windows: map[time.Time]*Window{}, stages: stageTimes{},
 	}
 	for _, l := range lines {
-		r.take(l)
+		r.processLine(l)
 	}
-	r.report.Unfinished = len(r.open)
+	r.report.Unfinished = len(r.dispatched)
 	return r.finish()
 }
 
-func (r *reader) take(l explain.Line) {
-	instance, part, _ := strings.Cut(l.Instance, ".")
-	what, rest, _ := strings.Cut(l.Text, ": ")
+// processLine applies one log line: a start of an instance, a dispatch or an answer. It ignores all others.
+func (r *summarizer) processLine(l explain.Line) {
+	instance, component, _ := strings.Cut(l.Instance, ".")
+	event, rest, _ := strings.Cut(l.Text, ": ")
 	switch {
-	case part == "" && what == "started":
-		r.ended(instance)
-	case part != "decision":
-	case what == "dispatch":
-		f := parse(rest)
-		key := attempt{instance, f["subject"]}
-		if _, again := r.open[key]; !again {
-			r.open[key] = sent{at: l.At, waited: f.ms("waited_ms"), fields: f}
+	case component == "" && event == "started":
+		r.recordInstanceEnd(instance)
+	case component != "decision":
+	case event == "dispatch":
+		f := parseFields(rest)
+		key := requestKey{instance, f["subject"]}
+		if _, known := r.dispatched[key]; !known {
+			r.dispatched[key] = firstDispatch{at: l.At, queueTime: f.ms("waited_ms"), fields: f}
 		}
-	case what == "answer":
-		r.answered(l, instance, parse(rest))
+	case event == "answer":
+		r.recordAnswer(l, instance, parseFields(rest))
 	}
 }
 
-// ended counts what an instance had under way when it ended: it has started anew.
-func (r *reader) ended(instance string) {
-	for key, s := range r.open {
+// recordInstanceEnd counts the requests that an instance had dispatched but not answered when it ended. The caller calls
+// it when the instance starts again.
+func (r *summarizer) recordInstanceEnd(instance string) {
+	for key, first := range r.dispatched {
 		if key.instance == instance {
-			delete(r.open, key)
-			r.count(s.at.Add(-s.waited), s.fields, InstanceEnded)
+			delete(r.dispatched, key)
+			r.countRequest(first.at.Add(-first.queueTime), first.fields, InstanceEnded)
 		}
 	}
 }
 
-func (r *reader) answered(l explain.Line, instance string, f fields) {
-	key := attempt{instance, f["subject"]}
-	waited := r.open[key].waited
-	delete(r.open, key)
+// recordAnswer counts a request by its answer line, unless the line is unusable or the caller is at fault.
+func (r *summarizer) recordAnswer(l explain.Line, instance string, f fields) {
+	key := requestKey{instance, f["subject"]}
+	queueTime := r.dispatched[key].queueTime
+	delete(r.dispatched, key)
 	if problem := f.problem(); problem != "" {
-		r.unusable(l, problem)
+		r.recordUnusable(l, problem)
 		return
 	}
-	c, owed := causeOf(f, waited)
-	if !owed {
+	c, counted := causeOf(f, queueTime)
+	if !counted {
 		r.report.CallerFaults++
 		return
 	}
-	r.stages.take(f, waited)
-	r.count(l.At.Add(-f.ms("took_ms")), f, c)
+	r.stages.recordAnswer(f, queueTime)
+	r.countRequest(l.At.Add(-f.ms("took_ms")), f, c)
 }
 
-func (r *reader) count(arrived time.Time, f fields, c Cause) {
+// countRequest adds a request to its class and window. c is the cause of its loss, or "" if it was in time.
+func (r *summarizer) countRequest(arrived time.Time, f fields, c Cause) {
 	name := cmp.Or(f["class"], "unknown")
 	class := r.classes[name]
 	if class == nil {
@@ -174,7 +178,8 @@
 	window.Causes[c]++
 }
 
-func (r *reader) finish() *Report {
+// finish adds the classes, windows and stages to the report, sorted, and returns it.
+func (r *summarizer) finish() *Report {
 	for _, c := range r.classes {
 		r.report.Classes = append(r.report.Classes, *c)
 	}
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -13,18 +13,18 @@
 	"github.com/damaskshelf/damaskshelf/internal/losses"
 )
 
-const every = 2 * time.Second
+const windowLength = 2 * time.Second
 
-func read(t *testing.T, raw []byte) (*losses.Report, int) {
+func summarize(t *testing.T, raw []byte) (*losses.Report, int) {
 	t.Helper()
-	all, passedOver, err := explain.ReadLines(bytes.NewReader(raw))
+	lines, skipped, err := explain.ReadLines(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return losses.Summarize(all, every), passedOver
+	return losses.Summarize(lines, windowLength), skipped
 }
 
-func logs(t *testing.T) []byte {
+func readTestLog(t *testing.T) []byte {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/instances.log")
 	if err != nil {
@@ -33,19 +33,19 @@
 	return raw
 }
 
-// An operator asks where service was lost between ten and five past. Each request counts once, under one cause, in
-// the window in which it came; what callers had no right to, and what still runs, count for nothing.
+// Each request counts once, under one cause, in the window in which it arrived. Requests whose caller is at fault and
+// requests still in flight don't count.
 func TestEachRequestCountsOnceUnderItsCause(t *testing.T) {
 	is := is.New(t)
-	r, passedOver := read(t, logs(t))
-	is.Equal(passedOver, 1)
+	r, skipped := summarize(t, readTestLog(t))
+	is.Equal(skipped, 1)
 	is.Equal(r.CallerFaults, 1)
 	is.Equal(r.Unfinished, 1)
-	is.Equal(r.UnusableAnswers, 1) // the line that was cut
+	is.Equal(r.UnusableAnswers, 1) // the truncated line
 	lost := map[losses.Cause]int{}
-	asked, inTime := 0, 0
+	requests, inTime := 0, 0
 	for _, c := range r.Classes {
-		asked += c.Requests
+		requests += c.Requests
 		inTime += c.InTime
 		for cause, n := range c.Lost {
 			lost[cause] += n
@@ -57,20 +57,20 @@
 		losses.RefusedTooLate: 1, losses.RefusedNoUpstream: 1, losses.RefusedStopping: 1, losses.DeadlineExceeded: 1,
 		losses.UpstreamFailed: 2, losses.StreamCut: 1, losses.CallerGone: 1, losses.InstanceEnded: 1,
 	})
-	is.Equal(asked, inTime+14)
+	is.Equal(requests, inTime+14)
 	windows := 0
 	for _, w := range r.Windows {
 		windows += w.RequestCount()
 	}
-	is.Equal(windows, asked)
+	is.Equal(windows, requests)
 }
 
-// Logs are cut anywhere, and words of other programs stand in them: nothing of that ends the account or counts
-// more than the whole logs do.
-func TestLogsCutAnywhere(t *testing.T) {
+// Logs may be truncated anywhere and contain corrupted bytes. The summary must still complete, and must not count more
+// lines than in the whole logs.
+func TestTruncatedAndCorruptedLogs(t *testing.T) {
 	is := is.New(t)
-	raw := logs(t)
-	whole, _ := read(t, raw)
+	raw := readTestLog(t)
+	whole, _ := summarize(t, raw)
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 300 {
 		from := r.IntN(len(raw))
@@ -80,7 +80,7 @@
 				part[r.IntN(len(part))] = byte(r.IntN(256))
 			}
 		}
-		got, _ := read(t, part)
+		got, _ := summarize(t, part)
 		is.True(got.Lines <= whole.Lines)
 		for _, c := range got.Classes {
 			is.True(c.InTime <= c.Requests)
@@ -88,7 +88,7 @@
 	}
 }
 
-// An operator asks where the time of answered requests went: each stage of each kind, whatever was refused or lost aside.
+// The stage times contain the answered requests of each class, and no refused request and no unusable line.
 func TestStagesOfAnsweredRequests(t *testing.T) {
 	is := is.New(t)
 	raw := []byte(`2026-08-14T09:19:30.010Z [INFO]  damaskshelfd.i1.decision: dispatch: subject=a waited_ms=10 class=short
@@ -100,12 +100,12 @@
 2026-08-14T09:19:31.200Z [INFO]  damaskshelfd.i1.decision: answer: subject=d reason=served class=short took_ms=12x first_ms=1
 2026-08-14T09:19:31.200Z [INFO]  damaskshelfd.i1.decision: answer: subject=e reason=served class=short took_ms=12
 `)
-	r, _ := read(t, raw)
+	r, _ := summarize(t, raw)
 	got := map[string]int64{}
 	for _, s := range r.Stages {
 		is.Equal(s.Count, int64(1))
 		got[s.Class+" "+string(s.Stage)] = s.P50
 	}
 	is.Equal(got, map[string]int64{"short place": 10, "short first": 400, "short rest": 590, "idempotent place": 3, "idempotent first": 70})
-	is.Equal(r.Problems, []string{`line 7: took_ms="12x" is no number of ms`, "line 8: answer without first_ms"})
+	is.Equal(r.Problems, []string{`line 7: took_ms="12x" is not a number of ms`, "line 8: answer without first_ms"})
 }
--- a/internal/losses/stages.go
+++ b/internal/losses/stages.go
@@ -14,26 +14,27 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Stage is a part of an answered request's time.
+// Stage is a part of the time that an answered request took.
 type Stage string
 
 // The stages, in the order in which a request goes through them.
 const (
 	StageQueued     Stage = "place" // from its arrival until it is first sent to an upstream
-	StageFirstEvent Stage = "first" // from there to its first event, or to the whole of a plain answer; second tries included
+	StageFirstEvent Stage = "first" // from then to its first event, or to the end of a plain answer; includes retries
 	StageStreaming  Stage = "rest"  // from its first event to its last
 )
 
-// Stages lists every stage.
+// Stages lists all stages in that order.
 var Stages = []Stage{StageQueued, StageFirstEvent, StageStreaming}
 
-// longestStage bounds a recorded time: no caller waits that long.
-const longestStage = 10 * time.Minute
+// maxStageTime is the longest time that is recorded; no caller waits that long. Longer times count as maxStageTime.
+const maxStageTime = 10 * time.Minute
 
-// pointsPerHalf is how many points of a distribution are drawn in each halving of the distance to all requests.
-const pointsPerHalf = 10
+// ticksPerHalfDistance is the number of points in a drawn distribution each time that the distance to 100% of the
+// requests halves.
+const ticksPerHalfDistance = 10
 
-// StageTimes is how long a stage took the requests of one kind that were answered whole.
+// StageTimes is the distribution of the time in one stage, in ms, over the completely answered requests of one class.
 type StageTimes struct {
 	Class string `json:"class"`
 	Stage Stage  `json:"stage"`
@@ -46,44 +47,46 @@
 	points []stagePoint
 }
 
-// stagePoint is the time in ms that a share of the requests didn't exceed.
+// stagePoint is a point of a distribution: the time in ms that a share of the requests didn't exceed.
 type stagePoint struct{ share, ms float64 }
 
-// stageKey names a histogram.
+// stageKey identifies the histogram of one class and stage.
 type stageKey struct {
 	class string
 	stage Stage
 }
 
-// stageTimes records how long stages took.
+// stageTimes holds a histogram of stage times, in ms, for each class and stage.
 type stageTimes map[stageKey]*hdrhistogram.Histogram
 
-// take records an answered request, which waited so long until it was first sent.
-func (t stageTimes) take(end fields, waited time.Duration) {
-	class := end["class"]
-	switch end["reason"] {
+// recordAnswer records the stages of a completely answered request, which was queued for queueTime. It ignores other
+// answers.
+func (t stageTimes) recordAnswer(answer fields, queueTime time.Duration) {
+	class := answer["class"]
+	switch answer["reason"] {
 	case "served":
-		t.record(class, StageQueued, waited)
-		t.record(class, StageFirstEvent, end.ms("first_ms")-waited)
-		t.record(class, StageStreaming, end.ms("took_ms")-end.ms("first_ms"))
+		t.record(class, StageQueued, queueTime)
+		t.record(class, StageFirstEvent, answer.ms("first_ms")-queueTime)
+		t.record(class, StageStreaming, answer.ms("took_ms")-answer.ms("first_ms"))
 	case "passed_on":
-		t.record(class, StageQueued, waited)
-		t.record(class, StageFirstEvent, end.ms("took_ms")-waited)
+		t.record(class, StageQueued, queueTime)
+		t.record(class, StageFirstEvent, answer.ms("took_ms")-queueTime)
 	}
 }
 
-func (t stageTimes) record(class string, stage Stage, took time.Duration) {
+// record adds one time to the histogram of a class and stage.
+func (t stageTimes) record(class string, stage Stage, elapsed time.Duration) {
 	h := t[stageKey{class, stage}]
 	if h == nil {
-		h = hdrhistogram.New(1, longestStage.Milliseconds(), 3)
+		h = hdrhistogram.New(1, maxStageTime.Milliseconds(), 3)
 		t[stageKey{class, stage}] = h
 	}
-	// A line's times are rounded one by one, so that a difference may be a ms below zero. Within its bounds a histogram
-	// refuses nothing.
-	_ = h.RecordValue(min(longestStage, max(0, took)).Milliseconds())
+	// Each time in a log line is rounded by itself, so a difference may be a ms below zero. RecordValue returns an error
+	// only for a value outside the histogram's bounds.
+	_ = h.RecordValue(min(maxStageTime, max(0, elapsed)).Milliseconds())
 }
 
-// report gives the times by class and stage.
+// report returns the distributions, sorted by class and stage.
 func (t stageTimes) report() []StageTimes {
 	var all []StageTimes
 	for key, h := range t {
@@ -91,7 +94,7 @@
 			Class: key.class, Stage: key.stage, Count: h.TotalCount(),
 			P50: h.ValueAtQuantile(50), P95: h.ValueAtQuantile(95), P99: h.ValueAtQuantile(99), Max: h.Max(),
 		}
-		for _, b := range h.CumulativeDistributionWithTicks(pointsPerHalf) {
+		for _, b := range h.CumulativeDistributionWithTicks(ticksPerHalfDistance) {
 			times.points = append(times.points, stagePoint{b.Quantile / 100, float64(b.ValueAt)})
 		}
 		all = append(all, times)
@@ -102,8 +105,8 @@
 	return all
 }
 
-// DrawStages draws, for each stage of each kind of request, the time that a share of the requests didn't exceed, into a
-// file whose name ends with the format, as .svg.
+// DrawStages writes a chart of the stage times to a file: for each class and stage, the time that a share of the
+// requests didn't exceed. The extension of the file's name, such as .svg, selects the format.
 func (r *Report) DrawStages(file string) error {
 	if len(r.Stages) == 0 {
 		return errors.New("logs hold no answered request")
@@ -138,7 +141,7 @@
 	return nil
 }
 
-// stageDashes tell the stages apart.
+// stageDashes are the dash patterns of the stages' lines.
 var stageDashes = map[Stage][]vg.Length{
 	StageQueued: {vg.Points(1), vg.Points(2)}, StageFirstEvent: nil, StageStreaming: {vg.Points(5), vg.Points(2)},
 }
