--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -1,5 +1,5 @@
-// Package local runs the stand-ins and several entry instances in one process on loopback, through the
-// same assembly as the daemon.
+// Package local runs the stand-ins and several instances in one process on loopback. It assembles the instances with the
+// same code as the daemon.
 package local
 
 import (
@@ -20,21 +20,21 @@
 )
 
 const (
-	host     = "127.0.0.1"
-	anyPort  = host + ":0"
-	callTime = 10 * time.Second
-	poll     = 10 * time.Millisecond
+	host         = "127.0.0.1"
+	anyPort      = host + ":0"
+	callTimeout  = 10 * time.Second      // of an operator call, and of each wait of Start
+	pollInterval = 10 * time.Millisecond // between two checks of an instance's state
 )
 
-// Config is the shape of a local fleet.
+// Config configures a local fleet.
 type Config struct {
 	Cluster      cluster.Config
 	Instances    int
 	Intent       api.Intent
-	Log          hclog.Logger // nil: none
-	NewID        func() string
-	EditSettings func(*api.Settings) // changes each instance's settings; may be nil
-	Execute      execute.Config      // times of the executors; zero values: the defaults
+	Log          hclog.Logger        // nil: the instances log nothing
+	NewID        func() string       // returns request and write ids; nil: random UUIDs
+	EditSettings func(*api.Settings) // edits each instance's settings before its start; may be nil
+	Execute      execute.Config      // configures the executors; zero values select the defaults
 }
 
 // Fleet is a running local fleet.
@@ -44,59 +44,60 @@
 	cfg     Config
 }
 
-// Start starts the stand-ins and instances, and confirms the intent; it returns once every instance has it
-// in force.
+// Start starts the stand-ins and instances, and confirms the intent. It returns once every instance has the
+// configuration in force.
 func Start(cfg Config) (*Fleet, error) {
 	c, err := cluster.Start(cfg.Cluster)
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{Cluster: c, cfg: cfg}
-	if err := f.start(); err != nil {
+	if err := f.startInstances(); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *Fleet) start() error {
+// startInstances starts the instances, applies the intent and waits until it is in force on all of them.
+func (f *Fleet) startInstances() error {
 	for i := range f.cfg.Instances {
 		if _, err := f.AddInstance(fmt.Sprintf("entry-%d", i), f.cfg.Cluster.Domains[i%len(f.cfg.Cluster.Domains)]); err != nil {
 			return err
 		}
 	}
-	// A fresh instance sees no engine until it has read the instance list; a plan made before would be empty.
-	if err := f.waitServing(callTime); err != nil {
+	// A new instance has no engines until it has read the instance list. A plan made before that would be empty.
+	if err := f.waitServing(callTimeout); err != nil {
 		return err
 	}
 	version, err := f.Apply(api.Change{Intent: &f.cfg.Intent})
 	if err != nil {
 		return fmt.Errorf("confirm the intent: %w", err)
 	}
-	return f.WaitInForce(version, callTime)
+	return f.WaitInForce(version, callTimeout)
 }
 
-// waitServing waits until a prompt to every model can be routed on every instance.
-func (f *Fleet) waitServing(limit time.Duration) error {
-	deadline := time.Now().Add(limit)
+// waitServing waits until every instance can route a prompt to every model of the intent. It fails after timeout.
+func (f *Fleet) waitServing(timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for _, n := range f.Nodes {
 		for !n.Serves(f.cfg.Intent) {
 			if time.Now().After(deadline) {
-				return fmt.Errorf("instance at %s doesn't see every model after %s", n.CallersAddr(), limit)
+				return fmt.Errorf("instance at %s doesn't see every model after %s", n.CallersAddr(), timeout)
 			}
-			time.Sleep(poll)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-// Settings gives the settings of an instance of this fleet.
+// Settings returns the settings of an instance of this fleet, with shorter intervals than the defaults.
 func (f *Fleet) Settings(name, domain string) api.Settings {
-	a := f.Cluster.Addrs()
+	addrs := f.Cluster.Addrs()
 	s := api.Settings{
 		Instance: name, Region: f.cfg.Cluster.Region, FailureDomain: domain,
 		Listen:   api.Listen{Callers: anyPort, Operators: anyPort, Peers: anyPort},
-		Platform: api.Platform{Objects: a.Objects, Instances: a.Instances, Weights: a.Weights},
+		Platform: api.Platform{Objects: addrs.Objects, Instances: addrs.Instances, Weights: addrs.Weights},
 	}
 	s.ApplyDefaults()
 	s.Intervals.InstanceList = api.Duration(50 * time.Millisecond)
@@ -109,7 +110,7 @@
 	return s
 }
 
-// Add starts one more instance and lists it.
+// AddInstance starts one more instance and registers it in the instance list.
 func (f *Fleet) AddInstance(name, domain string) (*node.Node, error) {
 	s := f.Settings(name, domain)
 	if err := s.Validate(); err != nil {
@@ -130,35 +131,35 @@
 	return n, nil
 }
 
-// Apply proposes and confirms a change through the first instance, and gives the configuration's version.
+// Apply proposes and confirms a change through the first instance, and returns the new configuration's version.
 func (f *Fleet) Apply(change api.Change) (uint64, error) {
-	base := "http://" + f.Nodes[0].OperatorsAddr() + "/v1/plans"
+	plansURL := "http://" + f.Nodes[0].OperatorsAddr() + "/v1/plans"
 	var plan api.Plan
-	if err := post(base, change, &plan); err != nil {
+	if err := postJSON(plansURL, change, &plan); err != nil {
 		return 0, fmt.Errorf("propose: %w", err)
 	}
-	var done api.Confirmation
-	if err := post(base+"/"+plan.ID+"/confirm", nil, &done); err != nil {
+	var confirmation api.Confirmation
+	if err := postJSON(plansURL+"/"+plan.ID+"/confirm", nil, &confirmation); err != nil {
 		return 0, fmt.Errorf("confirm plan %s: %w", plan.ID, err)
 	}
-	return done.ConfigVersion, nil
+	return confirmation.ConfigVersion, nil
 }
 
-// WaitInForce waits until every instance has that configuration version in force.
-func (f *Fleet) WaitInForce(version uint64, limit time.Duration) error {
-	deadline := time.Now().Add(limit)
+// WaitInForce waits until every instance has that configuration version or a later one in force. It fails after timeout.
+func (f *Fleet) WaitInForce(version uint64, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for _, n := range f.Nodes {
 		for n.ConfigVersion() < version {
 			if time.Now().After(deadline) {
 				return fmt.Errorf("instance at %s is at configuration version %d, not %d", n.CallersAddr(), n.ConfigVersion(), version)
 			}
-			time.Sleep(poll)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-// Close stops the instances at once and then the stand-ins.
+// Close kills all instances concurrently and then closes the stand-ins.
 func (f *Fleet) Close() {
 	var wg sync.WaitGroup
 	for _, n := range f.Nodes {
@@ -172,7 +173,8 @@
 	f.Cluster.Close()
 }
 
-func post(url string, in, out any) error {
+// postJSON sends in as JSON, or an empty body if in is nil, and decodes the answer into out.
+func postJSON(url string, in, out any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -185,7 +187,7 @@
 		}
 		req.SetBodyRaw(body.Bytes())
 	}
-	if err := fasthttp.DoTimeout(req, resp, callTime); err != nil {
+	if err := fasthttp.DoTimeout(req, resp, callTimeout); err != nil {
 		return err
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
