--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -18,35 +18,38 @@
 	upstream "github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// shape is a fleet: today's, a tenth of the letter's, the letter's.
-type shape struct{ entries, upstreams, workspaces, domains, models int }
+// fleetSize is the size of a fleet: the numbers of its instances, upstreams, workspaces, failure domains and models.
+type fleetSize struct{ instanceCount, upstreams, workspaces, domains, models int }
 
-var shapes = []shape{{9, 23, 10, 3, 3}, {93, 690, 480, 16, 15}, {930, 6900, 4800, 16, 15}}
+// fleetSizes are those of the present deployment, of a tenth of the design size and of the design size.
+var fleetSizes = []fleetSize{{9, 23, 10, 3, 3}, {93, 690, 480, 16, 15}, {930, 6900, 4800, 16, 15}}
 
-func (s shape) String() string { return fmt.Sprintf("%d-%d-%d", s.entries, s.upstreams, s.workspaces) }
+func (s fleetSize) String() string {
+	return fmt.Sprintf("%d-%d-%d", s.instanceCount, s.upstreams, s.workspaces)
+}
 
-func domain(i, n int) string { return fmt.Sprintf("domain-%02d", i%n) }
+func domainName(i, n int) string { return fmt.Sprintf("domain-%02d", i%n) }
 
-func (s shape) list(version uint64) platform.InstanceList {
+func (s fleetSize) instanceList(version uint64) platform.InstanceList {
 	l := platform.InstanceList{Version: version}
-	for i := range s.entries {
+	for i := range s.instanceCount {
 		l.Instances = append(l.Instances, platform.Instance{
 			ID: fmt.Sprintf("entry-%04d", i), Kind: platform.KindEntry, State: platform.StateLive,
 			Addr: fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250), PeerAddr: fmt.Sprintf("10.0.%d.%d:8082", i/250, i%250),
-			Domain: domain(i, s.domains), Region: "region-1",
+			Domain: domainName(i, s.domains), Region: "region-1",
 		})
 	}
 	for i := range s.upstreams {
 		l.Instances = append(l.Instances, platform.Instance{
 			ID: fmt.Sprintf("engine-%05d", i), Kind: platform.KindEngine, State: platform.StateLive,
 			Addr:   fmt.Sprintf("10.%d.%d.%d:8000", 1+i/62500, i/250%250, i%250),
-			Domain: domain(i, s.domains), Region: "region-1", Fencing: true, KVCacheTokens: 400_000,
+			Domain: domainName(i, s.domains), Region: "region-1", Fencing: true, KVCacheTokens: 400_000,
 		})
 	}
 	return l
 }
 
-func (s shape) config() api.Config {
+func (s fleetSize) config() api.Config {
 	var c api.Config
 	for i := range s.models {
 		c.Intent.Models = append(c.Intent.Models, api.Model{
@@ -62,24 +65,24 @@
 	return c
 }
 
-func (s shape) instances() []fleet.Instance {
-	all := make([]fleet.Instance, s.entries)
+func (s fleetSize) fleetInstances() []fleet.Instance {
+	all := make([]fleet.Instance, s.instanceCount)
 	for i := range all {
 		all[i] = fleet.Instance{
 			ID: fleet.InstanceID(fmt.Sprintf("entry-%04d", i)), PeerAddr: fmt.Sprint("addr-", i),
-			Domain: fleet.DomainID(domain(i, s.domains)),
+			Domain: fleet.DomainID(domainName(i, s.domains)),
 		}
 	}
 	return all
 }
 
-// keeper gives a keeper with the list. Its upstreams stand as services under their models' names: the
-// view indexes both kinds alike, and engines' models would be published one engine at a time.
-func (s shape) keeper() *keeper.Keeper {
+// newKeeper returns a keeper with the instance list. Its upstreams are listed as services named after their models: the
+// view indexes services and engines in the same way, but the models of engines would be published one engine at a time.
+func (s fleetSize) newKeeper() *keeper.Keeper {
 	k := keeper.New(nil)
-	l := s.list(1)
-	for i := range l.Instances[s.entries:] {
-		u := &l.Instances[s.entries+i]
+	l := s.instanceList(1)
+	for i := range l.Instances[s.instanceCount:] {
+		u := &l.Instances[s.instanceCount+i]
 		u.Kind, u.Service = platform.KindService, fmt.Sprint("model-", i%s.models)
 	}
 	k.SetInstances(l)
@@ -94,18 +97,19 @@
 	return raw
 }
 
-// BenchmarkConfigChange is what one change costs an instance: unpack, decode, build and publish the view.
+// BenchmarkConfigChange measures what one configuration change costs an instance: unpack it, decode it, and build and
+// publish the view.
 func BenchmarkConfigChange(b *testing.B) {
-	for _, s := range shapes {
+	for _, s := range fleetSizes {
 		b.Run(s.String(), func(b *testing.B) {
 			raw := marshal(b, s.config())
 			packed, err := peer.Pack(raw)
 			if err != nil {
 				b.Fatal(err)
 			}
-			k, version := s.keeper(), uint64(0)
+			k, version := s.newKeeper(), uint64(0)
 			b.ReportAllocs()
-			defer processorTime(b)()
+			defer measureCPUTime(b)()
 			for b.Loop() {
 				raw, err := peer.Unpack(packed)
 				if err != nil {
@@ -122,12 +126,12 @@
 	}
 }
 
-// BenchmarkConfigPack is what a watcher adds to a change that it read from the store.
+// BenchmarkConfigPack measures the additional cost of a change for the watcher that read it from the store.
 func BenchmarkConfigPack(b *testing.B) {
-	for _, s := range shapes {
+	for _, s := range fleetSizes {
 		b.Run(s.String(), func(b *testing.B) {
 			raw := marshal(b, s.config())
-			defer processorTime(b)()
+			defer measureCPUTime(b)()
 			for b.Loop() {
 				if _, err := peer.Pack(raw); err != nil {
 					b.Fatal(err)
@@ -137,17 +141,17 @@
 	}
 }
 
-// BenchmarkListRead is what one read of the instance list costs: decode, publish, choose peers.
+// BenchmarkListRead measures what one read of the instance list costs: decode it, publish it and choose peers.
 func BenchmarkListRead(b *testing.B) {
-	for _, s := range shapes {
+	for _, s := range fleetSizes {
 		b.Run(s.String(), func(b *testing.B) {
-			raw := marshal(b, s.list(1))
-			k := s.keeper()
-			all := s.instances()
+			raw := marshal(b, s.instanceList(1))
+			k := s.newKeeper()
+			all := s.fleetInstances()
 			n := relay.NewNode(0, relay.NewParams(all[0], 1, 500*time.Millisecond, rand.New(rand.NewPCG(1, 1))))
 			version := uint64(2)
 			b.ReportAllocs()
-			defer processorTime(b)()
+			defer measureCPUTime(b)()
 			for b.Loop() {
 				var l platform.InstanceList
 				if err := json.Unmarshal(raw, &l); err != nil {
@@ -162,19 +166,19 @@
 	}
 }
 
-// second gives a node in a fleet of that shape and a function that lets a second without news pass: ten
-// ticks, twelve heartbeats sent and answered, twelve received.
-func (s shape) second() func() {
-	all := s.instances()
+// newMembershipSecond starts a node in a fleet of that size. The returned function advances it by one second without
+// changes: ten ticks, twelve heartbeats sent and answered, twelve received.
+func (s fleetSize) newMembershipSecond() func() {
+	all := s.fleetInstances()
 	n := relay.NewNode(0, relay.NewParams(all[0], 1, 500*time.Millisecond, rand.New(rand.NewPCG(1, 1))))
 	now := decide.Instant(0)
-	answer(n, now, n.UpdateInstances(now, 1, all))
-	answer(n, now, n.ConfigAccepted(now, relay.Config{Version: 1, Packed: []byte{1}}))
+	executeEffects(n, now, n.UpdateInstances(now, 1, all))
+	executeEffects(n, now, n.ConfigAccepted(now, relay.Config{Version: 1, Packed: []byte{1}}))
 	peers := n.Members().Peers()
 	return func() {
 		for range 10 {
 			now = now.Add(relay.TickInterval)
-			answer(n, now, n.Tick(now))
+			executeEffects(n, now, n.Tick(now))
 		}
 		for i := range 12 {
 			p := peers[i%len(peers)]
@@ -183,25 +187,25 @@
 	}
 }
 
-// BenchmarkSecondOfMembership is the decisions of one second without news.
+// BenchmarkSecondOfMembership measures the membership decisions of one second without changes.
 func BenchmarkSecondOfMembership(b *testing.B) {
-	for _, s := range shapes {
+	for _, s := range fleetSizes {
 		b.Run(s.String(), func(b *testing.B) {
-			second := s.second()
+			runSecond := s.newMembershipSecond()
 			b.ReportAllocs()
-			defer processorTime(b)()
+			defer measureCPUTime(b)()
 			for b.Loop() {
-				second()
+				runSecond()
 			}
 		})
 	}
 }
 
-// Regression bound: the allocations of a second of membership do not grow with the fleet.
-func TestAllocationsOfMembership(t *testing.T) {
+// The allocations of one second of membership decisions must not exceed one bound for all fleet sizes.
+func TestMembershipAllocations(t *testing.T) {
 	const bound = 45
-	for _, s := range shapes {
-		n := testing.AllocsPerRun(100, s.second())
+	for _, s := range fleetSizes {
+		n := testing.AllocsPerRun(100, s.newMembershipSecond())
 		t.Logf("%s: %.0f allocations a second", s, n)
 		if n > bound {
 			t.Errorf("%s: over the bound of %d", s, bound)
@@ -209,29 +213,32 @@
 	}
 }
 
-func answer(n *relay.Node, now decide.Instant, effects []relay.Effect) {
+// executeEffects completes a node's effects as successful peers and a store with version 1 would. The watch finds no
+// object.
+func executeEffects(n *relay.Node, now decide.Instant, effects []relay.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case relay.SendHeartbeat:
 			d := relay.Digest{Instance: e.To.ID, Incarnation: 1, ConfigVersion: 1, ListVersion: 1}
-			answer(n, now, n.HeartbeatDone(now, e, d, true))
+			executeEffects(n, now, n.HeartbeatDone(now, e, d, true))
 		case relay.ReadStore:
-			answer(n, now, n.ReadDone(now, e, relay.Config{Version: 1}, relay.StoreFound))
+			executeEffects(n, now, n.ReadDone(now, e, relay.Config{Version: 1}, relay.StoreFound))
 		case relay.WatchStore:
 			n.WatchDone(now, e, relay.Config{}, relay.StoreAbsent)
 		}
 	}
 }
 
-// report is an engine's load report with figures of usual length.
-func report() upstream.LoadReport {
+// loadReport returns an engine's load report with figures of usual length.
+func loadReport() upstream.LoadReport {
 	return upstream.LoadReport{
 		BootID: "0123456789abcdef", Seq: 123_456, AgeMs: 180, ColdLimit: 4, Running: 23, Queued: 11,
 		QueuedTokens: 123_456, MemoryUsed: 321_000, MemoryTotal: 400_000, PrefillRate: 24_000,
 	}
 }
 
-func events(n int) upstream.CacheEvents {
+// cacheEvents returns n cache events with figures of usual length.
+func cacheEvents(n int) upstream.CacheEvents {
 	e := upstream.CacheEvents{BootID: "0123456789abcdef", First: 1, Next: uint64(n + 1)}
 	for i := range n {
 		e.Events = append(e.Events, upstream.CacheEvent{Seq: uint64(1_000_000 + i), Hash: 0xfedcba9876543210 + uint64(i), Drop: i%2 == 0})
@@ -239,13 +246,13 @@
 	return e
 }
 
-// BenchmarkPublishServed is what one engine's change of models costs: the whole view is built anew.
+// BenchmarkPublishServed measures what a change of one engine's serving state costs: the whole view is rebuilt.
 func BenchmarkPublishServed(b *testing.B) {
-	for _, s := range shapes {
+	for _, s := range fleetSizes {
 		b.Run(s.String(), func(b *testing.B) {
-			k := s.keeper()
+			k := s.newKeeper()
 			b.ReportAllocs()
-			defer processorTime(b)()
+			defer measureCPUTime(b)()
 			for i := 0; b.Loop(); i++ {
 				k.SetServingState("engine-00000", keeper.ServingState{LongLane: i%2 == 0})
 			}
@@ -253,11 +260,12 @@
 	}
 }
 
-// BenchmarkLoadReport decodes one load report, as the home of an upstream and every other reader does.
+// BenchmarkLoadReport measures the decoding of one load report, which the owner of an upstream and every other reader
+// do.
 func BenchmarkLoadReport(b *testing.B) {
-	raw := marshal(b, report())
+	raw := marshal(b, loadReport())
 	b.ReportAllocs()
-	defer processorTime(b)()
+	defer measureCPUTime(b)()
 	for b.Loop() {
 		var l upstream.LoadReport
 		if err := json.Unmarshal(raw, &l); err != nil {
@@ -266,12 +274,12 @@
 	}
 }
 
-// BenchmarkCacheEvents decodes cache events.
+// BenchmarkCacheEvents measures the decoding of cache events.
 func BenchmarkCacheEvents(b *testing.B) {
 	for _, n := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			raw := marshal(b, events(n))
-			defer processorTime(b)()
+			raw := marshal(b, cacheEvents(n))
+			defer measureCPUTime(b)()
 			for b.Loop() {
 				var e upstream.CacheEvents
 				if err := json.Unmarshal(raw, &e); err != nil {
@@ -282,45 +290,46 @@
 	}
 }
 
-// TestBytesOfMessages prints the sizes of what instances read, and holds them to bounds.
-func TestBytesOfMessages(t *testing.T) {
-	check := func(what string, size, bound int) {
-		t.Logf("%s: %d bytes", what, size)
+// The sizes of the messages that instances read must not exceed their bounds. The test also prints the sizes.
+func TestMessageBytes(t *testing.T) {
+	check := func(message string, size, bound int) {
+		t.Logf("%s: %d bytes", message, size)
 		if size > bound {
-			t.Errorf("%s is over its bound of %d bytes", what, bound)
+			t.Errorf("%s is over its bound of %d bytes", message, bound)
 		}
 	}
-	check("load report", len(marshal(t, report())), 260)
-	check("a cache event of 1000", len(marshal(t, events(1000)))/1000, 60)
-	for _, s := range shapes {
-		l := marshal(t, s.list(1))
-		rows := s.entries + s.upstreams
+	check("load report", len(marshal(t, loadReport())), 260)
+	check("a cache event of 1000", len(marshal(t, cacheEvents(1000)))/1000, 60)
+	for _, s := range fleetSizes {
+		l := marshal(t, s.instanceList(1))
+		rows := s.instanceCount + s.upstreams
 		check("instance list of "+s.String(), len(l), 190*rows+60)
 	}
 }
 
-// TestMemoryOfKnowledge prints the heap that the view and the node's own state take.
-func TestMemoryOfKnowledge(t *testing.T) {
-	for _, s := range shapes {
-		before := heap()
-		k := s.keeper()
+// The heap memory of the view and of the node's own state must not exceed their bounds. The test also prints it.
+func TestFleetStateMemory(t *testing.T) {
+	for _, s := range fleetSizes {
+		before := heapBytes()
+		k := s.newKeeper()
 		k.SetConfig(1, s.config())
-		view := heap() - before
-		before = heap()
-		all := s.instances()
+		view := heapBytes() - before
+		before = heapBytes()
+		all := s.fleetInstances()
 		n := relay.NewNode(0, relay.NewParams(all[0], 1, 500*time.Millisecond, rand.New(rand.NewPCG(1, 1))))
 		n.UpdateInstances(0, 1, all)
-		node := heap() - before
+		node := heapBytes() - before
 		t.Logf("%s: view %d KB, node %d KB", s, view>>10, node>>10)
 		if view > 16<<20 || node > 1<<20 {
-			t.Errorf("%s: the knowledge of the fleet takes more than its bound", s)
+			t.Errorf("%s: the state of the fleet takes more memory than its bound", s)
 		}
 		runtime.KeepAlive(k)
 		runtime.KeepAlive(n)
 	}
 }
 
-func heap() int64 {
+// heapBytes returns the bytes of live heap objects, after garbage collection.
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,5 +1,5 @@
-// Package capacity measures the slopes that docs/CAPACITY.md is worked out from: what one instance spends
-// on each thing it does for control, at two or more sizes. Run it with
+// Package capacity measures what one instance spends on each of its control tasks, at two or more fleet sizes. The
+// capacity figures in docs/CAPACITY.md are derived from the results. Run it with
 //
 //	go test -run - -bench . -benchmem ./internal/capacity
 //	go test -run . -v ./internal/capacity
--- a/internal/capacity/peer_test.go
+++ b/internal/capacity/peer_test.go
@@ -10,14 +10,15 @@
 	"github.com/damaskshelf/damaskshelf/internal/peer"
 )
 
-// processorTime begins to count this process's processor time, of all threads; the function that it gives
-// reports it for each operation. Unlike the time that passes, it does not grow much on a busy machine.
-func processorTime(b *testing.B) func() {
-	before := used(b)
-	return func() { b.ReportMetric(float64(used(b)-before)/float64(b.N), "cpu-ns/op") }
+// measureCPUTime starts to measure the CPU time of all threads of this process. The returned function reports it per
+// operation. Unlike elapsed time, CPU time does not grow much on a busy machine.
+func measureCPUTime(b *testing.B) func() {
+	start := cpuTimeNs(b)
+	return func() { b.ReportMetric(float64(cpuTimeNs(b)-start)/float64(b.N), "cpu-ns/op") }
 }
 
-func used(b *testing.B) int64 {
+// cpuTimeNs returns the user and system CPU time of this process in ns.
+func cpuTimeNs(b *testing.B) int64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
@@ -25,17 +26,18 @@
 	return u.Utime.Nano() + u.Stime.Nano()
 }
 
-// serves answers heartbeats and pulls.
-type serves struct {
+// fixedHandler is a peer.Handler with fixed answers.
+type fixedHandler struct {
 	digest relay.Digest
 	config relay.Config
 }
 
-func (s serves) Heartbeat(relay.Digest) relay.Digest { return s.digest }
+func (s fixedHandler) Heartbeat(relay.Digest) relay.Digest { return s.digest }
 
-func (s serves) Config() relay.Config { return s.config }
+func (s fixedHandler) Config() relay.Config { return s.config }
 
-func servePeers(b *testing.B, s serves) string {
+// startPeerServer serves peers on a loopback listener until the benchmark ends, and returns the address.
+func startPeerServer(b *testing.B, s fixedHandler) string {
 	server, err := peer.NewServer(s)
 	if err != nil {
 		b.Fatal(err)
@@ -54,14 +56,14 @@
 	return l.Addr().String()
 }
 
-// BenchmarkHeartbeat is one exchange over loopback, both ends together.
+// BenchmarkHeartbeat measures one heartbeat exchange over loopback, with the cost of both ends.
 func BenchmarkHeartbeat(b *testing.B) {
 	d := relay.Digest{Instance: "entry-0001", Incarnation: 1, ConfigVersion: 4_000_000, ListVersion: 4_000_000, Trusted: true}
-	addr := servePeers(b, serves{digest: d})
+	addr := startPeerServer(b, fixedHandler{digest: d})
 	c := peer.NewClient()
 	b.Cleanup(c.Close)
 	b.ReportAllocs()
-	defer processorTime(b)()
+	defer measureCPUTime(b)()
 	for b.Loop() {
 		if _, err := c.Heartbeat(context.Background(), addr, d); err != nil {
 			b.Fatal(err)
@@ -69,19 +71,19 @@
 	}
 }
 
-// BenchmarkPull is one pull of a configuration over loopback, both ends together, without taking it.
+// BenchmarkPull measures one pull of a configuration over loopback, with the cost of both ends but without applying it.
 func BenchmarkPull(b *testing.B) {
-	for _, s := range shapes {
+	for _, s := range fleetSizes {
 		b.Run(s.String(), func(b *testing.B) {
 			packed, err := peer.Pack(marshal(b, s.config()))
 			if err != nil {
 				b.Fatal(err)
 			}
-			addr := servePeers(b, serves{config: relay.Config{Version: 9, Packed: packed}})
+			addr := startPeerServer(b, fixedHandler{config: relay.Config{Version: 9, Packed: packed}})
 			c := peer.NewClient()
 			b.Cleanup(c.Close)
 			b.ReportAllocs()
-			defer processorTime(b)()
+			defer measureCPUTime(b)()
 			for b.Loop() {
 				if _, err := c.Pull(context.Background(), addr, 8); err != nil {
 					b.Fatal(err)
--- a/internal/capacity/poll_test.go
+++ b/internal/capacity/poll_test.go
@@ -12,29 +12,30 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream"
 )
 
-// counting passes bytes on to target and counts them.
-type counting struct {
+// countingProxy forwards connections to target and counts the bytes in both directions.
+type countingProxy struct {
 	net.Listener
 	target string
 	bytes  atomic.Int64
-	all    sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
-func newCounting(tb testing.TB, target string) *counting {
+// newCountingProxy starts a proxy on a loopback listener until the test ends.
+func newCountingProxy(tb testing.TB, target string) *countingProxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	c := &counting{Listener: l, target: target}
-	c.all.Go(c.serve)
+	c := &countingProxy{Listener: l, target: target}
+	c.wg.Go(c.serve)
 	tb.Cleanup(func() {
 		_ = l.Close()
-		c.all.Wait()
+		c.wg.Wait()
 	})
 	return c
 }
 
-func (c *counting) serve() {
+func (c *countingProxy) serve() {
 	for {
 		in, err := c.Accept()
 		if err != nil {
@@ -45,18 +46,18 @@
 			_ = in.Close()
 			continue
 		}
-		c.all.Go(func() { c.pass(out, in) })
-		c.all.Go(func() { c.pass(in, out) })
+		c.wg.Go(func() { c.copyBytes(out, in) })
+		c.wg.Go(func() { c.copyBytes(in, out) })
 	}
 }
 
-func (c *counting) pass(to, from net.Conn) {
+func (c *countingProxy) copyBytes(to, from net.Conn) {
 	defer func() { _ = to.Close() }()
 	_, _ = io.Copy(to, io.TeeReader(from, c))
 }
 
-// Write counts.
-func (c *counting) Write(p []byte) (int, error) {
+// Write counts the bytes that copyBytes forwards.
+func (c *countingProxy) Write(p []byte) (int, error) {
 	c.bytes.Add(int64(len(p)))
 	return len(p), nil
 }
@@ -70,11 +71,11 @@
 	return e
 }
 
-// The calls of a reader of an engine: the load report at each renewal, the cache events when the report tells
-// of new ones, the state at every tenth report.
-var calls = []struct {
+// pollCalls are the calls of an instance that polls an engine: the load report at each renewal, the cache events when
+// the report shows new ones, and the state at every tenth report.
+var pollCalls = []struct {
 	name  string
-	bound int64 // bytes both ways
+	bound int64 // bytes in both directions
 	call  func(c *upstream.Client, addr string) error
 }{
 	{"load report", 520, func(c *upstream.Client, addr string) error {
@@ -91,42 +92,42 @@
 	}},
 }
 
-// poll is what a reader of an idle engine does after each renewal of its report.
-func poll(tb testing.TB, c *upstream.Client, addr string) {
-	if err := calls[0].call(c, addr); err != nil {
+// pollLoad makes the one call that an instance makes to an idle engine at each renewal of its load report.
+func pollLoad(tb testing.TB, c *upstream.Client, addr string) {
+	if err := pollCalls[0].call(c, addr); err != nil {
 		tb.Fatal(err)
 	}
 }
 
-// TestBytesOfALoadPoll prints the bytes of each call to an idle engine, headers included.
-func TestBytesOfALoadPoll(t *testing.T) {
+// The bytes of each call to an idle engine, headers included, must not exceed its bound. The test also prints them.
+func TestLoadPollBytes(t *testing.T) {
 	e := startEngine(t)
-	for _, q := range calls {
-		l := newCounting(t, e.Addr())
+	for _, call := range pollCalls {
+		proxy := newCountingProxy(t, e.Addr())
 		c := upstream.New()
 		const polls = 20
 		for range polls {
-			if err := q.call(c, l.Addr().String()); err != nil {
+			if err := call.call(c, proxy.Addr().String()); err != nil {
 				t.Fatal(err)
 			}
 		}
 		c.Close()
-		size := l.bytes.Load() / polls
-		t.Logf("%s of an idle engine: %d bytes both ways", q.name, size)
-		if size > q.bound {
-			t.Errorf("%s is over its bound of %d", q.name, q.bound)
+		size := proxy.bytes.Load() / polls
+		t.Logf("%s of an idle engine: %d bytes both ways", call.name, size)
+		if size > call.bound {
+			t.Errorf("%s is over its bound of %d", call.name, call.bound)
 		}
 	}
 }
 
-// BenchmarkLoadPoll takes the client's and the stand-in's processor time together.
+// BenchmarkLoadPoll measures one poll of a load report, with the CPU time of both the client and the stand-in engine.
 func BenchmarkLoadPoll(b *testing.B) {
 	e := startEngine(b)
 	c := upstream.New()
 	defer c.Close()
 	b.ReportAllocs()
-	defer processorTime(b)()
+	defer measureCPUTime(b)()
 	for b.Loop() {
-		poll(b, c, e.Addr())
+		pollLoad(b, c, e.Addr())
 	}
 }
