--- a/cmd/damaskstandin/main.go
+++ b/cmd/damaskstandin/main.go
@@ -46,7 +46,7 @@
 	flag.StringVar(&o.cluster.Region, "region", "local", "region")
 	flag.IntVar(&o.cluster.EnginesPerDomain, "engines", 1, "engines per failure domain")
 	flag.StringVar(&o.cluster.Service, "service", "bookdesk", "name of the plain service; empty: none")
-	flag.IntVar(&o.cluster.Services, "services", cluster.DefaultServices, "instances of the plain service")
+	flag.IntVar(&o.cluster.Services, "services", cluster.DefaultServiceInstances, "instances of the plain service")
 	flag.Float64Var(&o.cluster.TimeScale, "timescale", 1, "engine seconds in one second")
 	flag.Uint64Var(&o.cluster.Seed, "seed", 1, "seed")
 	flag.IntVar(&o.cluster.BasePort, "port", 0, "first port; 0: any free ports")
@@ -69,7 +69,7 @@
 		return fmt.Errorf("start cluster: %w", err)
 	}
 	defer c.Close()
-	control, err := c.ServeControl(o.controlAddr)
+	control, err := c.StartControl(o.controlAddr)
 	if err != nil {
 		return err
 	}
--- a/cmd/damaskstandin/main_test.go
+++ b/cmd/damaskstandin/main_test.go
@@ -48,7 +48,7 @@
 	stdin, stdinWriter := io.Pipe()
 	addrs, result := startCommand(t, context.Background(), testOptions(), stdin)
 	is.Equal(len(addrs.Engines), 2)
-	is.Equal(len(addrs.Services), cluster.DefaultServices)
+	is.Equal(len(addrs.Services), cluster.DefaultServiceInstances)
 	counters := rawhttp.Call{Method: fasthttp.MethodGet, Path: cluster.PathCounters}
 	is.Equal(counters.Do(addrs.Control).Status, fasthttp.StatusOK)
 	is.NoErr(stdinWriter.Close())
--- a/internal/objects/conformance/conformance_test.go
+++ b/internal/objects/conformance/conformance_test.go
@@ -17,7 +17,7 @@
 
 // startClient starts a stand-in and returns a client of it.
 func startClient(t *testing.T) *client.Client {
-	server, err := standin.Start("127.0.0.1:0", standin.NewStore(standin.DefaultHistory))
+	server, err := standin.Start("127.0.0.1:0", standin.NewStore(standin.DefaultHistorySize))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -23,9 +23,9 @@
 
 // Defaults of Config, and the host that stand-ins listen on.
 const (
-	DefaultServices    = 3
-	DefaultWeightRate  = 10
-	DefaultWeightBurst = 100
+	DefaultServiceInstances = 3
+	DefaultWeightRate       = 10
+	DefaultWeightBurst      = 100
 
 	host = "127.0.0.1"
 )
@@ -83,7 +83,7 @@
 
 func withDefaults(cfg Config) Config {
 	if cfg.Services == 0 {
-		cfg.Services = DefaultServices
+		cfg.Services = DefaultServiceInstances
 	}
 	if cfg.WeightRate == 0 {
 		cfg.WeightRate = DefaultWeightRate
@@ -92,7 +92,7 @@
 		cfg.WeightBurst = DefaultWeightBurst
 	}
 	if cfg.WatchHistory == 0 {
-		cfg.WatchHistory = objects.DefaultHistory
+		cfg.WatchHistory = objects.DefaultHistorySize
 	}
 	return cfg
 }
--- a/internal/standin/cluster/cluster_test.go
+++ b/internal/standin/cluster/cluster_test.go
@@ -53,7 +53,7 @@
 func TestControlListener(t *testing.T) {
 	is := is.New(t)
 	c := start(t)
-	control, err := c.ServeControl("127.0.0.1:0")
+	control, err := c.StartControl("127.0.0.1:0")
 	is.NoErr(err)
 	defer control.Close()
 	post := func(path string, body any) int {
@@ -62,12 +62,12 @@
 		return rawhttp.Call{Path: path, Body: data}.Do(control.Addr()).Status
 	}
 	const target = "engine-north-ice-0"
-	is.Equal(post(cluster.PathFault, cluster.FaultCall{Target: target, Fault: faults.Leaving, On: true}), 204)
+	is.Equal(post(cluster.PathFault, cluster.FaultRequest{Target: target, Fault: faults.Leaving, On: true}), 204)
 	is.Equal(rawhttp.Completion("r", upstream.CompletionRequest{Model: "guide"}).Do(c.Engine(target).Addr()).Status, 503)
-	is.Equal(post(cluster.PathFault, cluster.FaultCall{Target: target, Fault: faults.Leaving}), 204)
+	is.Equal(post(cluster.PathFault, cluster.FaultRequest{Target: target, Fault: faults.Leaving}), 204)
 	is.Equal(rawhttp.Completion("r", upstream.CompletionRequest{Model: "guide"}).Do(c.Engine(target).Addr()).Status, 200)
-	is.Equal(post(cluster.PathFault, cluster.FaultCall{Target: "nobody", Fault: faults.Leaving, On: true}), 400)
-	is.Equal(post(cluster.PathFault, cluster.FaultCall{Target: target, Fault: "earthquake", On: true}), 400)
+	is.Equal(post(cluster.PathFault, cluster.FaultRequest{Target: "nobody", Fault: faults.Leaving, On: true}), 400)
+	is.Equal(post(cluster.PathFault, cluster.FaultRequest{Target: target, Fault: "earthquake", On: true}), 400)
 
 	entry := wire.Instance{ID: "entry-1", Kind: wire.KindEntry, Addr: "127.0.0.1:1", State: wire.StateLeaving}
 	is.Equal(post(cluster.PathInstances, entry), 204)
--- a/internal/standin/cluster/control.go
+++ b/internal/standin/cluster/control.go
@@ -26,7 +26,7 @@
 )
 
 // FaultCall is the body of PathFault.
-type FaultCall struct {
+type FaultRequest struct {
 	Target  string       `json:"target"` // id of an engine or service instance, or one of the Target constants
 	Fault   faults.Fault `json:"fault"`
 	On      bool         `json:"on"`
@@ -72,7 +72,7 @@
 // Counters gives what the stand-ins saw so far.
 func (c *Cluster) Counters() Counters {
 	counters := Counters{
-		Objects: c.Objects.Counts(), InstanceReads: c.Instances.Reads(), Weights: c.Weights.Counts(),
+		Objects: c.Objects.Counts(), InstanceReads: c.Instances.ReadCount(), Weights: c.Weights.Counts(),
 		Engines:       map[string]engine.Counters{},
 		RunsByRequest: c.Ledger.RunsByRequest(), RunsByKey: c.Ledger.RunsByKey(), Executions: c.Ledger.Executions(),
 	}
@@ -83,7 +83,7 @@
 }
 
 // ServeControl serves the control listener on addr.
-func (c *Cluster) ServeControl(addr string) (*serve.Server, error) {
+func (c *Cluster) StartControl(addr string) (*serve.Server, error) {
 	r := router.New()
 	r.POST(PathFault, c.postFault)
 	r.GET(PathCounters, func(ctx *fasthttp.RequestCtx) { serve.JSON(ctx, fasthttp.StatusOK, c.Counters()) })
@@ -98,7 +98,7 @@
 }
 
 func (c *Cluster) postFault(ctx *fasthttp.RequestCtx) {
-	var call FaultCall
+	var call FaultRequest
 	if err := json.Unmarshal(ctx.PostBody(), &call); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
@@ -121,6 +121,6 @@
 }
 
 func (c *Cluster) deleteInstance(ctx *fasthttp.RequestCtx) {
-	c.Instances.Remove(serve.Param(ctx, "id"))
+	c.Instances.Remove(serve.PathParam(ctx, "id"))
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
--- a/internal/standin/engine/completions_test.go
+++ b/internal/standin/engine/completions_test.go
@@ -36,7 +36,7 @@
 	call := rawhttp.Completion("r1", wire.CompletionRequest{Model: model, Prompt: "x", MaxTokens: 7})
 	complete := fetch[wire.CompletionAnswer](t, e, call)
 	is.Equal(complete, wire.CompletionAnswer{ID: "r1", Model: model, Text: answer.Text("r1", 7), Tokens: 7, FinishReason: "length"})
-	rest := fetch[wire.CompletionAnswer](t, e, call.With(wire.HeaderResumeOffset, "5"))
+	rest := fetch[wire.CompletionAnswer](t, e, call.WithHeader(wire.HeaderResumeOffset, "5"))
 	is.Equal(rest.Text, answer.Range("r1", 5, 7))
 }
 
@@ -53,13 +53,13 @@
 		{"model not loaded", with(wire.CompletionRequest{Model: "other"}), 404},
 		{"malformed", rawhttp.Call{Path: wire.PathCompletions, Body: []byte("{")}, 400},
 		{"no request id", rawhttp.Completion("", wire.CompletionRequest{Model: model}), 400},
-		{"bad priority", with(wire.CompletionRequest{Model: model}).With(wire.HeaderPriority, "high"), 400},
+		{"bad priority", with(wire.CompletionRequest{Model: model}).WithHeader(wire.HeaderPriority, "high"), 400},
 		{"negative length", with(wire.CompletionRequest{Model: model, MaxTokens: -1}), 400},
-		{"offset after the end", with(wire.CompletionRequest{Model: model, MaxTokens: 4}).With(wire.HeaderResumeOffset, "5"), 400},
-		{"unknown reservation", with(wire.CompletionRequest{Model: model}).With(wire.HeaderReservation, "x"), 409},
+		{"offset after the end", with(wire.CompletionRequest{Model: model, MaxTokens: 4}).WithHeader(wire.HeaderResumeOffset, "5"), 400},
+		{"unknown reservation", with(wire.CompletionRequest{Model: model}).WithHeader(wire.HeaderReservation, "x"), 409},
 		{"just fits", with(wire.CompletionRequest{Model: model, Prompt: prompt(4990), MaxTokens: 10}), 200},
 		{"larger than the memory", with(wire.CompletionRequest{Model: model, Prompt: prompt(4991), MaxTokens: 10}), 413},
-		{"malformed group", with(wire.CompletionRequest{Model: model}).With(wire.HeaderGroup, "x"), 503},
+		{"malformed group", with(wire.CompletionRequest{Model: model}).WithHeader(wire.HeaderGroup, "x"), 503},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -88,7 +88,7 @@
 	is.Equal(r.Header[wire.HeaderNotStarted], "true")
 	is.Equal(e.Counters().Refused, 1)
 	is.Equal(rawhttp.Call{Path: "/v1/cancel/r1"}.Do(e.Addr()).Status, 204)
-	is.Equal((<-running).Finish(), "error")
+	is.Equal((<-running).FinishReason(), "error")
 }
 
 func TestResumeContinuesTheSameAnswer(t *testing.T) {
@@ -100,14 +100,14 @@
 	is.NoErr(first.CheckPrefix("r1"))
 	last := first.Parts[len(first.Parts)-1]
 	next := last.Offset + last.Tokens
-	rest := streamCall("r1", 2000, 100).With(wire.HeaderResumeOffset, jsonInt(next)).Do(other.Addr())
+	rest := streamCall("r1", 2000, 100).WithHeader(wire.HeaderResumeOffset, jsonInt(next)).Do(other.Addr())
 	is.Equal(first.Text()+rest.Text(), answer.Text("r1", 100))
 	is.Equal(rest.Parts[0].Offset, next)
 	is.Equal(other.Counters().Resumes, 1)
 
-	end := streamCall("r1", 2000, 100).With(wire.HeaderResumeOffset, "100").Do(other.Addr()) // only the end mark is missing
+	end := streamCall("r1", 2000, 100).WithHeader(wire.HeaderResumeOffset, "100").Do(other.Addr()) // only the end mark is missing
 	is.True(end.Done)
-	is.Equal(end.Finish(), "length")
+	is.Equal(end.FinishReason(), "length")
 	is.Equal(end.Text(), "")
 }
 
@@ -131,14 +131,14 @@
 func TestCancelEndsNamedAttempts(t *testing.T) {
 	is := is.New(t)
 	e := startEngine(t, engine.Config{DecodeInterval: time.Hour})
-	one := startCall(t, e, streamCall("r/1", 10, 1000).With(wire.HeaderAttempt, "1"))
-	two := startCall(t, e, streamCall("r/1", 10, 1000).With(wire.HeaderAttempt, "2"))
+	one := startCall(t, e, streamCall("r/1", 10, 1000).WithHeader(wire.HeaderAttempt, "1"))
+	two := startCall(t, e, streamCall("r/1", 10, 1000).WithHeader(wire.HeaderAttempt, "2"))
 	cancel := rawhttp.Call{Path: "/v1/cancel/r%2F1"}
-	is.Equal(cancel.With(wire.HeaderAttempt, "1").Do(e.Addr()).Status, 204)
-	is.Equal((<-one).Finish(), "error")
+	is.Equal(cancel.WithHeader(wire.HeaderAttempt, "1").Do(e.Addr()).Status, 204)
+	is.Equal((<-one).FinishReason(), "error")
 	is.Equal(e.Counters().InFlight, 1)
 	is.Equal(cancel.Do(e.Addr()).Status, 204)
-	is.Equal((<-two).Finish(), "error")
+	is.Equal((<-two).FinishReason(), "error")
 	is.Equal(cancel.Do(e.Addr()).Status, 204) // idempotent
 	is.Equal(e.Counters().Cancelled, 2)
 	is.True(isIdle(e)())
@@ -149,12 +149,12 @@
 func TestHigherPriorityRunsFirst(t *testing.T) {
 	is := is.New(t)
 	e := startEngine(t, engine.Config{TimeScale: 10})
-	long := streamCall("long", 200_000, 10).With(wire.HeaderPriority, "-5")
+	long := streamCall("long", 200_000, 10).WithHeader(wire.HeaderPriority, "-5")
 	order := make(chan string, 2)
 	long.OnPart = func(wire.Part) bool { order <- "long"; return false }
 	go func() { _ = long.Do(e.Addr()) }()
 	waitFor(t, "the long request runs", func() bool { return e.Counters().HeldTokens > 0 })
-	is.NoErr(streamCall("short", 100, 5).With(wire.HeaderPriority, "5").Do(e.Addr()).CheckStream("short", 5))
+	is.NoErr(streamCall("short", 100, 5).WithHeader(wire.HeaderPriority, "5").Do(e.Addr()).CheckStream("short", 5))
 	order <- "short"
 	is.Equal(<-order, "short")
 	is.Equal(<-order, "long")
@@ -165,8 +165,8 @@
 func TestEngineEndsOverdueJobs(t *testing.T) {
 	is := is.New(t)
 	e := startEngine(t, engine.Config{DecodeInterval: time.Hour})
-	r := streamCall("r1", 10, 1000).With(wire.HeaderRemaining, "100").Do(e.Addr())
-	is.Equal(r.Finish(), "error")
+	r := streamCall("r1", 10, 1000).WithHeader(wire.HeaderRemaining, "100").Do(e.Addr())
+	is.Equal(r.FinishReason(), "error")
 	is.True(isIdle(e)())
 }
 
--- a/internal/standin/engine/control_test.go
+++ b/internal/standin/engine/control_test.go
@@ -77,10 +77,10 @@
 	is := is.New(t)
 	e := startEngine(t, engine.Config{DecodeInterval: time.Hour})
 	is.Equal(reserve("a", 1010, 60_000).Do(e.Addr()).Status, 201)
-	running := startCall(t, e, streamCall("r1", 10, 1000).With(wire.HeaderReservation, "a"))
+	running := startCall(t, e, streamCall("r1", 10, 1000).WithHeader(wire.HeaderReservation, "a"))
 	is.Equal(e.Counters().HeldTokens, int64(1010)) // the reserved memory counts once
 	is.Equal(release("a").Do(e.Addr()).Status, 204)
-	is.Equal((<-running).Finish(), "error")
+	is.Equal((<-running).FinishReason(), "error")
 	is.True(isIdle(e)())
 }
 
@@ -93,11 +93,11 @@
 	is.Equal(reserve("a", 9000, 60_000).Do(first.Addr()).Status, 201)
 	is.Equal(reserve("b", 9000, 60_000).Do(second.Addr()).Status, 201)
 	is.Equal(reserve("c", 9000, 60_000).Do(third.Addr()).Status, 201)
-	call := streamCall("r1", 25_000, 20).With(wire.HeaderReservation, "a")
+	call := streamCall("r1", 25_000, 20).WithHeader(wire.HeaderReservation, "a")
 	alone := call.Do(first.Addr())
 	is.Equal(alone.Status, 413)
 	is.Equal(alone.Header[wire.HeaderNotStarted], "true")
-	group := call.With(wire.HeaderGroup, "b@"+second.Addr()+",c@"+third.Addr())
+	group := call.WithHeader(wire.HeaderGroup, "b@"+second.Addr()+",c@"+third.Addr())
 	is.NoErr(group.Do(first.Addr()).CheckStream("r1", 20))
 
 	is.Equal(release("c").Do(third.Addr()).Status, 204)
--- a/internal/standin/engine/faults_test.go
+++ b/internal/standin/engine/faults_test.go
@@ -49,7 +49,7 @@
 	r := streamCall("r1", 10, 40).Do(e.Addr())
 	is.NoErr(r.Err)
 	is.True(!r.Done)
-	is.Equal(r.Finish(), "")
+	is.Equal(r.FinishReason(), "")
 	is.NoErr(r.CheckPrefix("r1"))
 	is.True(r.Text() != answer.Text("r1", 40))
 	is.True(isIdle(e)())
@@ -79,8 +79,8 @@
 	conn, err := net.Dial("tcp", e.Addr())
 	is.NoErr(err)
 	defer conn.Close()
-	c := streamCall("r1", 10, 400).With(wire.HeaderAttempt, "1")
-	c.Guard = 500 * time.Millisecond
+	c := streamCall("r1", 10, 400).WithHeader(wire.HeaderAttempt, "1")
+	c.Timeout = 500 * time.Millisecond
 	first := true
 	c.OnPart = func(wire.Part) bool {
 		if first {
@@ -89,7 +89,7 @@
 		}
 		return true
 	}
-	r := c.DoOver(conn)
+	r := c.DoConn(conn)
 	is.True(!r.Done)
 	is.NoErr(r.CheckPrefix("r1"))
 	is.Equal(get(wire.PathPing).Do(e.Addr()).Status, 204)
@@ -97,7 +97,7 @@
 
 	last := r.Parts[len(r.Parts)-1]
 	next := last.Offset + last.Tokens
-	resumed := streamCall("r1", 10, next+10).With(wire.HeaderResumeOffset, jsonInt(next)).With(wire.HeaderAttempt, "2").Do(e.Addr())
+	resumed := streamCall("r1", 10, next+10).WithHeader(wire.HeaderResumeOffset, jsonInt(next)).WithHeader(wire.HeaderAttempt, "2").Do(e.Addr())
 	is.Equal(r.Text()+resumed.Text(), answer.Text("r1", next+10))
 	is.Equal(rawhttp.Call{Path: "/v1/cancel/r1"}.Do(e.Addr()).Status, 204)
 	is.True(isIdle(e)())
@@ -149,7 +149,7 @@
 			e := startEngine(t, engine.Config{})
 			is.NoErr(e.Switch(c.fault, true, 0))
 			call := streamCall("r1", 10, 5)
-			call.Guard = 200 * time.Millisecond
+			call.Timeout = 200 * time.Millisecond
 			r := call.Do(e.Addr())
 			is.Equal(r.Status, c.status)
 			is.Equal(r.Header[wire.HeaderNotStarted] == "true", c.notStarted)
@@ -167,7 +167,7 @@
 	is.NoErr(e.Switch(faults.SlowFirstByte, true, delay))
 	r := streamCall("r1", 10, 5).Do(e.Addr())
 	is.NoErr(r.CheckStream("r1", 5))
-	is.True(r.FirstPart >= delay)
+	is.True(r.TimeToFirstPart >= delay)
 	is.Equal(r.Status, fasthttp.StatusOK)
 }
 
@@ -184,8 +184,8 @@
 	r := streamCall("r3", 10, 1).Do(e.Addr())
 	is.Equal(r.Status, 503)
 	is.Equal(r.Header[wire.HeaderNotStarted], "") // not stated
-	is.Equal((<-one).Finish(), "error")
-	is.Equal((<-two).Finish(), "error")
+	is.Equal((<-one).FinishReason(), "error")
+	is.Equal((<-two).FinishReason(), "error")
 	is.Equal(streamCall("r4", 10, 1).Do(e.Addr()).Status, 503)
 	c := e.Counters()
 	is.Equal(c.Collapses, 1)
@@ -212,6 +212,6 @@
 	is.Equal(e.Counters().Collapses, 0)
 	is.Equal(streamCall("r2", 10, 1).Do(e.Addr()).Status, 503)
 	is.Equal(e.Counters().Collapses, 1)
-	is.Equal((<-first).Finish(), "error")
-	is.Equal((<-old).Finish(), "error")
+	is.Equal((<-first).FinishReason(), "error")
+	is.Equal((<-old).FinishReason(), "error")
 }
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -36,8 +36,8 @@
 // with the boot id.
 func (e *Engine) withFaults(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		if e.faults.WaitUntilOff(faults.Hang, serve.Gone(ctx)) {
-			serve.Drop(ctx)
+		if e.faults.WaitUntilOff(faults.Hang, serve.ConnDone(ctx)) {
+			serve.CloseConn(ctx)
 			return
 		}
 		ctx.Response.Header.Set(wire.HeaderBootID, e.BootID())
@@ -104,7 +104,7 @@
 
 // pathID returns the path parameter id, unescaped. It returns the raw text if that can't be unescaped.
 func pathID(ctx *fasthttp.RequestCtx) string {
-	raw := serve.Param(ctx, "id")
+	raw := serve.PathParam(ctx, "id")
 	if id, err := url.PathUnescape(raw); err == nil {
 		return id
 	}
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -205,7 +205,7 @@
 		return
 	}
 	if e.faults.On(faults.LoseAnswer) {
-		serve.Drop(ctx)
+		serve.CloseConn(ctx)
 		return
 	}
 	serve.JSON(ctx, fasthttp.StatusAccepted, status)
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -54,7 +54,7 @@
 
 // sendAnswer waits until the job is finished and sends its answer in one piece.
 func (e *Engine) sendAnswer(ctx *fasthttp.RequestCtx, j *job, model string) {
-	connClosed := serve.Gone(ctx)
+	connClosed := serve.ConnDone(ctx)
 	p, ok := progress{to: j.offset}, true
 	for p.finishReason == "" && ok {
 		p, ok = e.awaitTokens(j, p.to, connClosed, func() bool { return true })
@@ -62,7 +62,7 @@
 	e.faults.WaitDelay(faults.SlowFirstByte, connClosed)
 	switch {
 	case !ok || e.faults.On(faults.LoseAnswer):
-		serve.Drop(ctx)
+		serve.CloseConn(ctx)
 	case p.finishReason == finishError:
 		serve.JSON(ctx, fasthttp.StatusBadGateway, wire.Refusal{Error: p.err})
 	default:
@@ -76,7 +76,7 @@
 // end mark.
 func (e *Engine) sendStream(ctx *fasthttp.RequestCtx, j *job) {
 	ctx.SetContentType("text/event-stream")
-	connClosed, conn := serve.Gone(ctx), ctx.Conn()
+	connClosed, conn := serve.ConnDone(ctx), ctx.Conn()
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		if !e.writeParts(w, j, connClosed, conn) {
 			e.locked(func(time.Duration) { e.cancel(j) })
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -59,7 +59,7 @@
 }
 
 // Reads is the number of calls so far.
-func (s *Server) Reads() uint64 { return s.reads.Load() }
+func (s *Server) ReadCount() uint64 { return s.reads.Load() }
 
 // SetLag changes the time after which readers see a change.
 func (s *Server) SetLag(lag time.Duration) {
@@ -153,15 +153,15 @@
 
 func (s *Server) get(ctx *fasthttp.RequestCtx) {
 	s.reads.Add(1)
-	if s.faults.WaitUntilOff(faults.Hang, serve.Gone(ctx)) {
-		serve.Drop(ctx)
+	if s.faults.WaitUntilOff(faults.Hang, serve.ConnDone(ctx)) {
+		serve.CloseConn(ctx)
 		return
 	}
 	if s.faults.On(faults.RefuseEverything) {
 		ctx.Error("out of service", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	s.faults.WaitDelay(faults.Slow, serve.Gone(ctx))
+	s.faults.WaitDelay(faults.Slow, serve.ConnDone(ctx))
 	list := s.answer()
 	tag := wire.InstancesETag(list.Version)
 	ctx.Response.Header.Set(fasthttp.HeaderETag, tag)
--- a/internal/standin/instances/instances_test.go
+++ b/internal/standin/instances/instances_test.go
@@ -62,7 +62,7 @@
 	after := read(t, s)
 	is.Equal(states(after), []string{"b live"})
 	is.Equal(after.Version, before.Version+3)
-	is.Equal(s.Reads(), uint64(4))
+	is.Equal(s.ReadCount(), uint64(4))
 }
 
 // An instance is gone, and readers are still shown it until the lag is over.
--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -20,9 +20,9 @@
 
 const (
 	// MaxValue is the largest value in bytes.
-	MaxValue = 1 << 20
+	MaxValueBytes = 1 << 20
 	// MaxWatch bounds a watch's timeout.
-	MaxWatch = time.Minute
+	MaxWatchTimeout = time.Minute
 )
 
 // Counts tells how many calls the server got, refused ones included.
@@ -109,15 +109,15 @@
 
 func (s *Server) gate(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		if s.faults.WaitUntilOff(faults.Hang, serve.Gone(ctx)) {
-			serve.Drop(ctx)
+		if s.faults.WaitUntilOff(faults.Hang, serve.ConnDone(ctx)) {
+			serve.CloseConn(ctx)
 			return
 		}
 		if s.faults.On(faults.RefuseEverything) {
 			ctx.Error("out of service", fasthttp.StatusServiceUnavailable)
 			return
 		}
-		s.faults.WaitDelay(faults.Slow, serve.Gone(ctx))
+		s.faults.WaitDelay(faults.Slow, serve.ConnDone(ctx))
 		next(ctx)
 	}
 }
@@ -139,7 +139,7 @@
 	switch {
 	case err != nil:
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
-	case len(body) > MaxValue:
+	case len(body) > MaxValueBytes:
 		ctx.Error("value too large", fasthttp.StatusRequestEntityTooLarge)
 	case !json.Valid(body):
 		ctx.Error("value is not JSON", fasthttp.StatusBadRequest)
@@ -162,7 +162,7 @@
 
 func (s *Server) answerWrite(ctx *fasthttp.RequestCtx, written wire.WriteResult, conflict *wire.Conflict) {
 	if s.faults.On(faults.LoseAnswer) {
-		serve.Drop(ctx)
+		serve.CloseConn(ctx)
 		return
 	}
 	if conflict != nil {
@@ -185,14 +185,14 @@
 		return
 	}
 	timeout := time.Duration(ctx.QueryArgs().GetUintOrZero("timeout_ms")) * time.Millisecond
-	serve.JSON(ctx, fasthttp.StatusOK, s.watch(param(ctx, "kind"), from, min(timeout, MaxWatch), serve.Gone(ctx)))
+	serve.JSON(ctx, fasthttp.StatusOK, s.watch(param(ctx, "kind"), from, min(timeout, MaxWatchTimeout), serve.ConnDone(ctx)))
 }
 
 func (s *Server) watch(kind string, from uint64, timeout time.Duration, gone <-chan struct{}) wire.List {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
-		list, changed := s.readable().Changes(kind, from)
+		list, changed := s.readable().ChangesSince(kind, from)
 		if list.TooOld || len(list.Objects)+len(list.Deleted) > 0 {
 			return list
 		}
@@ -221,7 +221,7 @@
 
 // param is a path parameter; the router leaves escapes in place where the path has an escaped slash.
 func param(ctx *fasthttp.RequestCtx, name string) string {
-	raw := serve.Param(ctx, name)
+	raw := serve.PathParam(ctx, name)
 	if plain, err := url.PathUnescape(raw); err == nil {
 		return plain
 	}
--- a/internal/standin/objects/objects_test.go
+++ b/internal/standin/objects/objects_test.go
@@ -26,16 +26,16 @@
 
 func start(t *testing.T) *objects.Server {
 	t.Helper()
-	s, err := objects.Start("127.0.0.1:0", objects.NewStore(objects.DefaultHistory))
+	s, err := objects.Start("127.0.0.1:0", objects.NewStore(objects.DefaultHistorySize))
 	is.New(t).NoErr(err)
 	t.Cleanup(s.Close)
 	return s
 }
 
 func put(path, value, ifVersion, writeID string) rawhttp.Call {
-	c := rawhttp.Call{Method: fasthttp.MethodPut, Path: path, Body: []byte(value)}.With(wire.HeaderWriteID, writeID)
+	c := rawhttp.Call{Method: fasthttp.MethodPut, Path: path, Body: []byte(value)}.WithHeader(wire.HeaderWriteID, writeID)
 	if ifVersion != "" {
-		c = c.With(wire.HeaderIfVersion, ifVersion)
+		c = c.WithHeader(wire.HeaderIfVersion, ifVersion)
 	}
 	return c
 }
@@ -52,8 +52,8 @@
 }
 
 func TestHTTP(t *testing.T) {
-	large := `"` + strings.Repeat("x", objects.MaxValue) + `"`
-	largest := `"` + strings.Repeat("x", objects.MaxValue-2) + `"`
+	large := `"` + strings.Repeat("x", objects.MaxValueBytes) + `"`
+	largest := `"` + strings.Repeat("x", objects.MaxValueBytes-2) + `"`
 	cases := []struct {
 		name   string
 		call   rawhttp.Call
@@ -76,9 +76,9 @@
 		{"watch without change", get("/objects/config?watch=4&timeout_ms=1"), 200, `{"version":4,"objects":[]}`},
 		{"bad watch", get("/objects/config?watch=x"), 400, ""},
 		{"watch of another store", get("/objects/config?watch=9"), 200, `{"version":4,"objects":[],"too_old":true}`},
-		{"delete", rawhttp.Call{Method: "DELETE", Path: path}.With(wire.HeaderWriteID, "d1"), 200, `{"version":5}`},
+		{"delete", rawhttp.Call{Method: "DELETE", Path: path}.WithHeader(wire.HeaderWriteID, "d1"), 200, `{"version":5}`},
 		{"delete again", rawhttp.Call{Method: "DELETE", Path: path}, 200, `{"version":5}`},
-		{"conditional delete of an absent one", rawhttp.Call{Method: "DELETE", Path: path}.With(wire.HeaderIfVersion, "2"), 409, `{"current":0,"write_id":"d1"}`},
+		{"conditional delete of an absent one", rawhttp.Call{Method: "DELETE", Path: path}.WithHeader(wire.HeaderIfVersion, "2"), 409, `{"current":0,"write_id":"d1"}`},
 		{"deleted", get(path), 404, `{"current":0,"write_id":"d1"}`},
 		{"watch of the delete", get("/objects/config?watch=4"), 200, `{"version":5,"objects":[],"deleted":["main"]}`},
 	}
@@ -184,7 +184,7 @@
 
 	is.NoErr(s.Switch(faults.Hang, true, 0))
 	hung := get(path)
-	hung.Guard = 100 * time.Millisecond
+	hung.Timeout = 100 * time.Millisecond
 	is.Equal(hung.Do(s.Addr()).Status, 0)
 	is.NoErr(s.Switch(faults.Hang, false, 0))
 	is.Equal(get(path).Do(s.Addr()).Status, 404)
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -11,7 +11,7 @@
 )
 
 // DefaultHistory is the number of changes kept for watches.
-const DefaultHistory = 4096
+const DefaultHistorySize = 4096
 
 type key struct{ kind, name string }
 
@@ -135,7 +135,7 @@
 
 // Changes gives the latest state of the objects of a kind that changed after version from. Until there is
 // a change it gives an empty list and a channel that is closed at the store's next change.
-func (s *Store) Changes(kind string, from uint64) (wire.List, <-chan struct{}) {
+func (s *Store) ChangesSince(kind string, from uint64) (wire.List, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := wire.List{Version: s.version, Objects: []wire.Object{}}
--- a/internal/standin/objects/store_test.go
+++ b/internal/standin/objects/store_test.go
@@ -14,7 +14,7 @@
 
 func TestConditionalWrites(t *testing.T) {
 	is := is.New(t)
-	s := objects.NewStore(objects.DefaultHistory)
+	s := objects.NewStore(objects.DefaultHistorySize)
 	first, conflict := s.Put("config", "a", version(0), "w1", []byte(`1`))
 	is.True(conflict == nil)
 
@@ -35,7 +35,7 @@
 
 func TestDeleteLeavesATombstone(t *testing.T) {
 	is := is.New(t)
-	s := objects.NewStore(objects.DefaultHistory)
+	s := objects.NewStore(objects.DefaultHistorySize)
 	put, _ := s.Put("config", "a", nil, "w1", []byte(`1`))
 	_, conflict := s.Delete("config", "a", version(put.Version+1), "d1")
 	is.Equal(conflict, &wire.Conflict{Current: put.Version, WriteID: "w1"})
@@ -47,7 +47,7 @@
 	is.Equal(o.WriteID, "d1") // the deleter finds its own write
 	_, conflict = s.Put("config", "a", version(put.Version), "w2", []byte(`2`))
 	is.Equal(conflict, &wire.Conflict{Current: 0, WriteID: "d1"})
-	list, _ := s.Changes("config", put.Version)
+	list, _ := s.ChangesSince("config", put.Version)
 	is.Equal(list.Deleted, []string{"a"})
 	again, conflict := s.Put("config", "a", version(0), "w2", []byte(`2`))
 	is.True(conflict == nil)
@@ -56,18 +56,18 @@
 
 func TestChangesShowTheLatestStateOnceAndOneKindOnly(t *testing.T) {
 	is := is.New(t)
-	s := objects.NewStore(objects.DefaultHistory)
+	s := objects.NewStore(objects.DefaultHistorySize)
 	start := s.Version()
 	_, _ = s.Put("config", "b", nil, "", []byte(`1`))
 	_, _ = s.Put("lease", "x", nil, "", []byte(`1`))
 	_, _ = s.Put("config", "a", nil, "", []byte(`1`))
 	_, _ = s.Put("config", "b", nil, "", []byte(`2`))
-	list, _ := s.Changes("config", start)
+	list, _ := s.ChangesSince("config", start)
 	is.Equal(list.Version, s.Version())
 	is.Equal(len(list.Objects), 2)
 	is.Equal(list.Objects[0].Name, "a")
 	is.Equal(string(list.Objects[1].Value), `2`)
-	list, changed := s.Changes("config", s.Version())
+	list, changed := s.ChangesSince("config", s.Version())
 	is.Equal(len(list.Objects), 0)
 	_, _ = s.Put("config", "c", nil, "", []byte(`1`))
 	<-changed
@@ -81,11 +81,11 @@
 		_, _ = s.Put("config", fmt.Sprint(n), nil, "", []byte(`1`))
 	}
 	last := s.Version()
-	list, _ := s.Changes("config", last-kept)
+	list, _ := s.ChangesSince("config", last-kept)
 	is.True(!list.TooOld)
 	is.Equal(len(list.Objects), kept)
-	list, _ = s.Changes("config", last-kept-1)
+	list, _ = s.ChangesSince("config", last-kept-1)
 	is.True(list.TooOld)
-	list, _ = s.Changes("config", last+1) // of another store
+	list, _ = s.ChangesSince("config", last+1) // of another store
 	is.True(list.TooOld)
 }
--- a/internal/standin/rawhttp/rawhttp.go
+++ b/internal/standin/rawhttp/rawhttp.go
@@ -19,7 +19,7 @@
 )
 
 // DefaultGuard ends a call that hangs.
-const DefaultGuard = 30 * time.Second
+const DefaultTimeout = 30 * time.Second
 
 const readBuffer = 1 << 20
 
@@ -29,7 +29,7 @@
 	Path    string
 	Headers map[string]string
 	Body    []byte
-	Guard   time.Duration // bound of the whole call; DefaultGuard when zero
+	Timeout time.Duration // bound of the whole call; DefaultGuard when zero
 	// Decode reads one event of a stream; nil: an engine's part.
 	Decode func(data []byte) (wire.Part, error)
 	// OnPart is called for each part of a stream as it arrives; false closes the connection.
@@ -38,14 +38,14 @@
 
 // Result is what arrived.
 type Result struct {
-	Status    int // 0: no answer
-	Header    map[string]string
-	Body      []byte // of an answer that is no stream
-	Parts     []wire.Part
-	Done      bool          // the end mark's follower, [DONE], arrived
-	FirstPart time.Duration // from the start of the call
-	Connected bool          // the connection was opened
-	Err       error         // of the connection
+	Status          int // 0: no answer
+	Header          map[string]string
+	Body            []byte // of an answer that is no stream
+	Parts           []wire.Part
+	Done            bool          // the end mark's follower, [DONE], arrived
+	TimeToFirstPart time.Duration // from the start of the call
+	Connected       bool          // the connection was opened
+	Err             error         // of the connection
 }
 
 // Text is the text of all parts in the order they arrived.
@@ -58,7 +58,7 @@
 }
 
 // Finish is the finish reason of the last part, or empty.
-func (r *Result) Finish() string {
+func (r *Result) FinishReason() string {
 	if len(r.Parts) == 0 {
 		return ""
 	}
@@ -83,11 +83,11 @@
 	}
 	switch {
 	case next != tokens:
-		return fmt.Errorf("%d tokens of %d, finish reason %q", next, tokens, r.Finish())
+		return fmt.Errorf("%d tokens of %d, finish reason %q", next, tokens, r.FinishReason())
 	case r.Text() != answer.Text(requestID, tokens):
 		return fmt.Errorf("text is not the answer to %s", requestID)
-	case r.Finish() != "length":
-		return fmt.Errorf("finish reason %q", r.Finish())
+	case r.FinishReason() != "length":
+		return fmt.Errorf("finish reason %q", r.FinishReason())
 	case !r.Done:
 		return fmt.Errorf("no %s", wire.DoneMark)
 	}
@@ -117,7 +117,7 @@
 }
 
 // With adds a header to the call.
-func (c Call) With(name, value string) Call {
+func (c Call) WithHeader(name, value string) Call {
 	headers := map[string]string{name: value}
 	for k, v := range c.Headers {
 		if k != name {
@@ -135,18 +135,18 @@
 		return &Result{Err: fmt.Errorf("dial: %w", err)}
 	}
 	defer conn.Close()
-	return c.DoOver(conn)
+	return c.DoConn(conn)
 }
 
 func (c Call) guard() time.Duration {
-	if c.Guard == 0 {
-		return DefaultGuard
+	if c.Timeout == 0 {
+		return DefaultTimeout
 	}
-	return c.Guard
+	return c.Timeout
 }
 
 // DoOver makes the call over an open connection, which it leaves open unless OnPart closes it.
-func (c Call) DoOver(conn net.Conn) *Result {
+func (c Call) DoConn(conn net.Conn) *Result {
 	started := time.Now()
 	_ = conn.SetDeadline(started.Add(c.guard()))
 	r := &Result{Header: map[string]string{}, Connected: true}
@@ -222,7 +222,7 @@
 			return
 		}
 		if len(r.Parts) == 0 {
-			r.FirstPart = time.Since(started)
+			r.TimeToFirstPart = time.Since(started)
 		}
 		r.Parts = append(r.Parts, p)
 		if c.OnPart != nil && !c.OnPart(p) {
--- a/internal/standin/serve/conn.go
+++ b/internal/standin/serve/conn.go
@@ -32,7 +32,7 @@
 }
 
 // Gone is closed when the other end, or this one, has closed the connection.
-func (c *Conn) Gone() <-chan struct{} { return c.gone }
+func (c *Conn) Done() <-chan struct{} { return c.gone }
 
 // Read gives bytes read ahead.
 func (c *Conn) Read(p []byte) (int, error) {
--- a/internal/standin/serve/serve.go
+++ b/internal/standin/serve/serve.go
@@ -102,18 +102,18 @@
 	}
 	s.mu.Unlock()
 	s.running.Wait()
-	s.Cut()
+	s.CloseConns()
 }
 
 // Cut closes the connections that are open now.
-func (s *Server) Cut() {
+func (s *Server) CloseConns() {
 	for _, c := range s.open() {
 		_ = c.Close()
 	}
 }
 
 // Silence makes the connections that are open now silent for good.
-func (s *Server) Silence() {
+func (s *Server) SilenceConns() {
 	for _, c := range s.open() {
 		c.silence()
 	}
@@ -163,15 +163,15 @@
 }
 
 // Gone is closed when the request's connection has ended.
-func Gone(ctx *fasthttp.RequestCtx) <-chan struct{} {
+func ConnDone(ctx *fasthttp.RequestCtx) <-chan struct{} {
 	if c, ok := ctx.Conn().(*Conn); ok {
-		return c.Gone()
+		return c.Done()
 	}
 	return nil
 }
 
 // Drop closes the request's connection, so that no answer arrives.
-func Drop(ctx *fasthttp.RequestCtx) { _ = ctx.Conn().Close() }
+func CloseConn(ctx *fasthttp.RequestCtx) { _ = ctx.Conn().Close() }
 
 // JSON answers with status and body.
 func JSON(ctx *fasthttp.RequestCtx, status int, body any) {
@@ -186,7 +186,7 @@
 }
 
 // Param is a path parameter, unescaped.
-func Param(ctx *fasthttp.RequestCtx, name string) string {
+func PathParam(ctx *fasthttp.RequestCtx, name string) string {
 	v, _ := ctx.UserValue(name).(string)
 	return v
 }
@@ -204,9 +204,9 @@
 	case f == faults.Kill:
 		return s.Restart()
 	case f == faults.SilentConnections && on:
-		s.Silence()
+		s.SilenceConns()
 	case f == faults.CloseConnections && on:
-		s.Cut()
+		s.CloseConns()
 	}
 	return nil
 }
--- a/internal/standin/serve/serve_test.go
+++ b/internal/standin/serve/serve_test.go
@@ -56,9 +56,9 @@
 	is := is.New(t)
 	s := start(t, hello)
 	old := dial(t, s)
-	is.Equal(string(get.DoOver(old).Body), "hello")
+	is.Equal(string(get.DoConn(old).Body), "hello")
 
-	s.Silence()
+	s.SilenceConns()
 	is.Equal(string(get.Do(s.Addr()).Body), "hello")
 	_, err := old.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	is.NoErr(err)
@@ -80,7 +80,7 @@
 	_, err := conn.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	is.NoErr(err)
 	time.Sleep(50 * time.Millisecond) // lets the request reach its handler before the silence
-	s.Silence()
+	s.SilenceConns()
 	close(proceed)
 	is.NoErr(<-wrote)
 	is.True(timesOut(conn))
@@ -92,7 +92,7 @@
 	handling, gone := make(chan struct{}), make(chan struct{})
 	s := start(t, func(ctx *fasthttp.RequestCtx) {
 		close(handling)
-		<-serve.Gone(ctx)
+		<-serve.ConnDone(ctx)
 		close(gone)
 	})
 	conn := dial(t, s)
@@ -113,7 +113,7 @@
 	s := start(t, hello)
 	addr := s.Addr()
 	old := dial(t, s)
-	is.Equal(get.DoOver(old).Status, fasthttp.StatusOK)
+	is.Equal(get.DoConn(old).Status, fasthttp.StatusOK)
 
 	s.Kill()
 	_ = old.SetReadDeadline(time.Now().Add(guard))
@@ -131,9 +131,9 @@
 	is := is.New(t)
 	s := start(t, hello)
 	old := dial(t, s)
-	is.Equal(get.DoOver(old).Status, fasthttp.StatusOK)
-	s.Cut()
-	is.Equal(get.DoOver(old).Status, 0)
+	is.Equal(get.DoConn(old).Status, fasthttp.StatusOK)
+	s.CloseConns()
+	is.Equal(get.DoConn(old).Status, 0)
 	is.Equal(get.Do(s.Addr()).Status, fasthttp.StatusOK)
 }
 
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -27,12 +27,12 @@
 
 // Execution is one run of a request.
 type Execution struct {
-	RequestID string `json:"request_id"`
-	Key       string `json:"key,omitempty"` // idempotency key
-	Workspace string `json:"workspace,omitempty"`
-	Method    string `json:"method"`
-	Path      string `json:"path"`
-	Service   string `json:"service"` // id of the service instance that ran it
+	RequestID      string `json:"request_id"`
+	IdempotencyKey string `json:"key,omitempty"` // idempotency key
+	Workspace      string `json:"workspace,omitempty"`
+	Method         string `json:"method"`
+	Path           string `json:"path"`
+	InstanceID     string `json:"service"` // id of the service instance that ran it
 }
 
 // Ledger records executions in the order they ran. The instances of one service share one.
@@ -65,7 +65,7 @@
 // RunsByKey counts the runs of calls that change something, by idempotency key; calls without one are
 // left out.
 func (l *Ledger) RunsByKey() map[string]int {
-	return l.runs(func(e Execution) string { return e.Key })
+	return l.runs(func(e Execution) string { return e.IdempotencyKey })
 }
 
 func (l *Ledger) runs(by func(Execution) string) map[string]int {
@@ -178,8 +178,8 @@
 func (s *Server) gate(run fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.Response.Header.Set(wire.HeaderBootID, s.bootID())
-		if s.faults.WaitUntilOff(faults.Hang, serve.Gone(ctx)) || s.faults.On(faults.CrashBeforeRun) {
-			serve.Drop(ctx)
+		if s.faults.WaitUntilOff(faults.Hang, serve.ConnDone(ctx)) || s.faults.On(faults.CrashBeforeRun) {
+			serve.CloseConn(ctx)
 			return
 		}
 		if s.faults.On(faults.RefuseStart) || s.faults.On(faults.Leaving) {
@@ -191,11 +191,11 @@
 			serve.JSON(ctx, fasthttp.StatusServiceUnavailable, wire.Refusal{Error: "out of service"})
 			return
 		}
-		s.faults.WaitDelay(faults.Slow, serve.Gone(ctx))
+		s.faults.WaitDelay(faults.Slow, serve.ConnDone(ctx))
 		s.ledger.run(execution(s.id, ctx))
 		run(ctx)
 		if s.faults.On(faults.LoseAnswer) || s.faults.On(faults.CrashAfterRun) {
-			serve.Drop(ctx)
+			serve.CloseConn(ctx)
 		}
 	}
 }
@@ -203,8 +203,8 @@
 func execution(id string, ctx *fasthttp.RequestCtx) Execution {
 	header := func(name string) string { return string(ctx.Request.Header.Peek(name)) }
 	return Execution{
-		RequestID: header(wire.HeaderRequestID), Key: header(wire.HeaderIdempotencyKey), Workspace: header(wire.HeaderWorkspace),
-		Method: string(ctx.Method()), Path: string(ctx.Path()), Service: id,
+		RequestID: header(wire.HeaderRequestID), IdempotencyKey: header(wire.HeaderIdempotencyKey), Workspace: header(wire.HeaderWorkspace),
+		Method: string(ctx.Method()), Path: string(ctx.Path()), InstanceID: id,
 	}
 }
 
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -29,7 +29,7 @@
 
 func booking(id, key string) rawhttp.Call {
 	c := rawhttp.Call{Path: service.PathBookings, Body: []byte(`{"hut":"north","day":"monday"}`)}
-	return c.With(wire.HeaderRequestID, id).With(wire.HeaderIdempotencyKey, key)
+	return c.WithHeader(wire.HeaderRequestID, id).WithHeader(wire.HeaderIdempotencyKey, key)
 }
 
 func TestBookings(t *testing.T) {
@@ -82,7 +82,7 @@
 			is.NoErr(s.Switch(c.fault, true, 0))
 			call := booking("r1", "")
 			if c.fault == faults.Hang {
-				call.Guard = 100 * time.Millisecond
+				call.Timeout = 100 * time.Millisecond
 			}
 			r := call.Do(s.Addr())
 			is.Equal(r.Status, c.status)
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -95,11 +95,11 @@
 }
 
 func (s *Server) take(ctx *fasthttp.RequestCtx) {
-	if s.faults.WaitUntilOff(faults.Hang, serve.Gone(ctx)) {
-		serve.Drop(ctx)
+	if s.faults.WaitUntilOff(faults.Hang, serve.ConnDone(ctx)) {
+		serve.CloseConn(ctx)
 		return
 	}
-	s.faults.WaitDelay(faults.Slow, serve.Gone(ctx))
+	s.faults.WaitDelay(faults.Slow, serve.ConnDone(ctx))
 	gb, err := strconv.ParseFloat(string(ctx.QueryArgs().Peek("gb")), 64)
 	if err != nil || gb <= 0 || math.IsInf(gb, 0) || math.IsNaN(gb) {
 		ctx.Error("gb: not a positive number", fasthttp.StatusBadRequest)
--- a/test/e2e/crowd_test.go
+++ b/test/e2e/crowd_test.go
@@ -72,23 +72,23 @@
 func booking(id string) rawhttp.Call {
 	body := fmt.Sprintf(`{"hut":"hut","day":%q}`, id)
 	return timed(rawhttp.Call{Path: "/services/" + bookdesk + service.PathBookings, Body: []byte(body)}).
-		With(wire.HeaderRequestID, id).With(wire.HeaderIdempotent, "false")
+		WithHeader(wire.HeaderRequestID, id).WithHeader(wire.HeaderIdempotent, "false")
 }
 
 func read() rawhttp.Call {
 	path := "/services/" + bookdesk + service.PathAvailability + "?hut=hut&day=monday"
-	return timed(rawhttp.Call{Method: fasthttp.MethodGet, Path: path}).With(wire.HeaderRequestID, newID("read"))
+	return timed(rawhttp.Call{Method: fasthttp.MethodGet, Path: path}).WithHeader(wire.HeaderRequestID, newID("read"))
 }
 
 func timed(c rawhttp.Call) rawhttp.Call {
-	c.Guard = requestTimeout + grace
-	return c.With(wire.HeaderTimeout, requestTimeout.String())
+	c.Timeout = requestTimeout + grace
+	return c.WithHeader(wire.HeaderTimeout, requestTimeout.String())
 }
 
 // patient gives a call much more time than others have.
 func patient(c rawhttp.Call) rawhttp.Call {
-	c.Guard = guard + grace
-	return c.With(wire.HeaderTimeout, guard.String())
+	c.Timeout = guard + grace
+	return c.WithHeader(wire.HeaderTimeout, guard.String())
 }
 
 // outcome is one request and what came of it.
@@ -207,7 +207,7 @@
 
 func (c *crowd) read(_ *rand.Rand, e *entry) {
 	o := &outcome{kind: "read", id: newID("read")}
-	c.record(o, e, read().With(wire.HeaderRequestID, o.id))
+	c.record(o, e, read().WithHeader(wire.HeaderRequestID, o.id))
 }
 
 func (c *crowd) record(o *outcome, e *entry, call rawhttp.Call) {
--- a/test/e2e/domains_test.go
+++ b/test/e2e/domains_test.go
@@ -55,7 +55,7 @@
 
 // version is the configuration's version in force on an entry instance, or 0.
 func (e *entry) version() uint64 {
-	r := rawhttp.Call{Method: fasthttp.MethodGet, Path: operate.PathStatus, Guard: 2 * time.Second}.Do(e.operators)
+	r := rawhttp.Call{Method: fasthttp.MethodGet, Path: operate.PathStatus, Timeout: 2 * time.Second}.Do(e.operators)
 	var s api.Status
 	if r.Status != fasthttp.StatusOK || json.Unmarshal(r.Body, &s) != nil {
 		return 0
@@ -90,7 +90,7 @@
 			n += runs
 		}
 		for _, e := range saw.Executions {
-			if e.Service == row.ID {
+			if e.InstanceID == row.ID {
 				n++
 			}
 		}
--- a/test/e2e/engines_test.go
+++ b/test/e2e/engines_test.go
@@ -70,7 +70,7 @@
 
 // keyed is a booking with an idempotency key, under a request id of its own.
 func keyed(key string) rawhttp.Call {
-	return booking(key).With(wire.HeaderRequestID, newID("keyed")).With(wire.HeaderIdempotencyKey, key)
+	return booking(key).WithHeader(wire.HeaderRequestID, newID("keyed")).WithHeader(wire.HeaderIdempotencyKey, key)
 }
 
 // Guides confirm rentals with a key, and ask again through another entry instance until they are certain,
--- a/test/e2e/entries_test.go
+++ b/test/e2e/entries_test.go
@@ -135,7 +135,7 @@
 		call.OnPart = func(wire.Part) bool { parts++; return parts < 5 }
 		if n%2 == 0 {
 			call = patient(prompt(ids[n], 300_000, endless, true))
-			call.Guard = 300 * time.Millisecond // goes away before the first token
+			call.Timeout = 300 * time.Millisecond // goes away before the first token
 		}
 		results[n] = background(call, f.started()[n%len(domains)])
 	}
@@ -201,7 +201,7 @@
 func useUp(conn net.Conn) error {
 	defer conn.Close()
 	for n := 0; ; n++ {
-		r := read().DoOver(conn)
+		r := read().DoConn(conn)
 		if r.Err != nil || r.Status == 0 {
 			return fmt.Errorf("request %d on a kept connection was cut off: %w", n, r.Err)
 		}
--- a/test/e2e/harness_test.go
+++ b/test/e2e/harness_test.go
@@ -249,7 +249,7 @@
 			return
 		case <-time.After(poll):
 		}
-		check := rawhttp.Call{Method: fasthttp.MethodGet, Path: "/readyz", Guard: 2 * time.Second}
+		check := rawhttp.Call{Method: fasthttp.MethodGet, Path: "/readyz", Timeout: 2 * time.Second}
 		e.ready.Store(check.Do(e.row.Addr).Status == fasthttp.StatusOK)
 	}
 }
@@ -319,7 +319,7 @@
 // fault turns a stand-in's fault on or off.
 func (f *fleet) fault(target string, fault faults.Fault, on bool) {
 	f.t.Helper()
-	f.post(cluster.PathFault, cluster.FaultCall{Target: target, Fault: fault, On: on})
+	f.post(cluster.PathFault, cluster.FaultRequest{Target: target, Fault: fault, On: on})
 }
 
 // counters gives what the stand-ins saw.
