--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster starts the stand-ins of a whole platform and its upstreams on loopback: object API,
-// instance list, weight store, engines over failure domains and a booking service.
+// Package cluster starts stand-ins of the platform and its upstreams on loopback: the object API, the instance list,
+// the weight store, engines in several failure domains, and the instances of a booking service.
 package cluster
 
 import (
@@ -18,42 +18,42 @@
 	upstream "github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// ModelVersion is the version in which Config.Models are loaded.
+// ModelVersion is the version of every model in Config.Models.
 const ModelVersion = "v1"
 
 // Defaults of Config, and the host that stand-ins listen on.
 const (
 	DefaultServiceInstances = 3
-	DefaultWeightRate       = 10
-	DefaultWeightBurst      = 100
+	DefaultWeightRate       = 10  // GB per second
+	DefaultWeightBurst      = 100 // GB
 
 	host = "127.0.0.1"
 )
 
-// Targets of Switch beside the ids of engines and service instances.
+// Targets of Switch other than the ids of engines and service instances.
 const (
 	TargetObjects   = "objects"
 	TargetInstances = "instances"
 	TargetWeights   = "weights"
 )
 
-// Config is the shape of a cluster.
+// Config sets the size of a cluster and the behavior of its stand-ins.
 type Config struct {
 	Domains          []string `json:"domains"`
 	Region           string   `json:"region"`
 	EnginesPerDomain int      `json:"engines_per_domain"`
-	Models           []string `json:"models"`   // loaded on every engine
-	Service          string   `json:"service"`  // name of the plain service; none when empty
-	Services         int      `json:"services"` // instances of it
-	TimeScale        float64  `json:"time_scale"`
+	Models           []string `json:"models"`     // loaded on every engine
+	Service          string   `json:"service"`    // name of the plain service; if empty, no service runs
+	Services         int      `json:"services"`   // number of instances of Service
+	TimeScale        float64  `json:"time_scale"` // engine seconds per second of wall-clock time; 0 means 1
 	Seed             uint64   `json:"seed"`
-	BasePort         int      `json:"base_port"` // ports are given out from here on; 0: any free ones
+	BasePort         int      `json:"base_port"` // first port, the others follow in order; 0 selects any free ports
 
-	Engine       engine.Config `json:"engine"` // of every engine; ID, Models, TimeScale and Seed are set from the above
-	InstanceLag  time.Duration `json:"instance_lag"`
-	WeightRate   float64       `json:"weight_rate"` // gigabytes a second
-	WeightBurst  float64       `json:"weight_burst"`
-	WatchHistory int           `json:"watch_history"`
+	Engine       engine.Config `json:"engine"`        // of every engine; Start sets its ID, Models, TimeScale and Seed
+	InstanceLag  time.Duration `json:"instance_lag"`  // delay before the instance list shows a change
+	WeightRate   float64       `json:"weight_rate"`   // GB per second
+	WeightBurst  float64       `json:"weight_burst"`  // GB
+	WatchHistory int           `json:"watch_history"` // number of changes that the object API keeps for watches
 }
 
 // Cluster is a running set of stand-ins.
@@ -63,13 +63,14 @@
 	Weights   *weights.Server
 	Engines   []*engine.Engine
 	Services  []*service.Server
-	Ledger    *service.Ledger // of the booking service
+	Ledger    *service.Ledger // executions of the booking service
 
 	cfg      Config
 	nextPort int
 }
 
-// Start starts a cluster and lists its upstreams as live.
+// Start starts a cluster and registers its engines and service instances in the instance list. If a stand-in fails to
+// start, Start stops those already running.
 func Start(cfg Config) (*Cluster, error) {
 	c := &Cluster{cfg: withDefaults(cfg), nextPort: cfg.BasePort, Ledger: &service.Ledger{}}
 	for _, start := range []func() error{c.startPlatform, c.startEngines, c.startServices} {
@@ -81,6 +82,7 @@
 	return c, nil
 }
 
+// withDefaults returns cfg with the defaults in place of zero values.
 func withDefaults(cfg Config) Config {
 	if cfg.Services == 0 {
 		cfg.Services = DefaultServiceInstances
@@ -97,8 +99,8 @@
 	return cfg
 }
 
-// addr gives the next address to listen on.
-func (c *Cluster) addr() string {
+// nextAddr returns the address for the next stand-in to listen on.
+func (c *Cluster) nextAddr() string {
 	port := c.nextPort
 	if port != 0 {
 		c.nextPort++
@@ -106,15 +108,16 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
+// startPlatform starts the object API, the instance list and the weight store.
 func (c *Cluster) startPlatform() error {
 	var err error
-	if c.Objects, err = objects.Start(c.addr(), objects.NewStore(c.cfg.WatchHistory)); err != nil {
+	if c.Objects, err = objects.Start(c.nextAddr(), objects.NewStore(c.cfg.WatchHistory)); err != nil {
 		return fmt.Errorf("start object API: %w", err)
 	}
-	if c.Instances, err = instances.Start(c.addr(), c.cfg.InstanceLag); err != nil {
+	if c.Instances, err = instances.Start(c.nextAddr(), c.cfg.InstanceLag); err != nil {
 		return fmt.Errorf("start instance list: %w", err)
 	}
-	if c.Weights, err = weights.Start(c.addr(), c.cfg.WeightRate, c.cfg.WeightBurst); err != nil {
+	if c.Weights, err = weights.Start(c.nextAddr(), c.cfg.WeightRate, c.cfg.WeightBurst); err != nil {
 		return fmt.Errorf("start weight store: %w", err)
 	}
 	return nil
@@ -131,6 +134,8 @@
 	return nil
 }
 
+// startEngine starts the nth engine of a failure domain and registers it. Its seed differs from that of every other
+// engine.
 func (c *Cluster) startEngine(domain string, n int) error {
 	cfg := c.cfg.Engine
 	cfg.ID = fmt.Sprintf("engine-%s-%d", domain, n)
@@ -139,7 +144,7 @@
 	for _, model := range c.cfg.Models {
 		cfg.Models = append(cfg.Models[:len(cfg.Models):len(cfg.Models)], upstream.LoadedModel{Model: model, Version: ModelVersion})
 	}
-	e, err := engine.Start(c.addr(), cfg)
+	e, err := engine.Start(c.nextAddr(), cfg)
 	if err != nil {
 		return fmt.Errorf("start %s: %w", cfg.ID, err)
 	}
@@ -151,13 +156,14 @@
 	return nil
 }
 
+// startServices starts the service instances, distributed over the failure domains in turn, and registers them.
 func (c *Cluster) startServices() error {
 	if c.cfg.Service == "" || len(c.cfg.Domains) == 0 {
 		return nil
 	}
 	for n := range c.cfg.Services {
 		id := fmt.Sprintf("%s-%d", c.cfg.Service, n)
-		s, err := service.Start(c.addr(), id, c.Ledger)
+		s, err := service.Start(c.nextAddr(), id, c.Ledger)
 		if err != nil {
 			return fmt.Errorf("start %s: %w", id, err)
 		}
@@ -170,7 +176,7 @@
 	return nil
 }
 
-// Engine gives the engine with that id, or nil.
+// Engine returns the engine with the id, or nil if there is none.
 func (c *Cluster) Engine(id string) *engine.Engine {
 	for _, e := range c.Engines {
 		if e.ID() == id {
@@ -180,7 +186,7 @@
 	return nil
 }
 
-// ServiceInstance gives the service instance with that id, or nil.
+// ServiceInstance returns the service instance with the id, or nil if there is none.
 func (c *Cluster) ServiceInstance(id string) *service.Server {
 	for _, s := range c.Services {
 		if s.ID() == id {
@@ -190,7 +196,8 @@
 	return nil
 }
 
-// Switch turns a fault of one stand-in on or off.
+// Switch turns a fault of one stand-in on or off. The target is one of the Target constants, or the id of an engine or
+// service instance.
 func (c *Cluster) Switch(target string, f faults.Fault, on bool, delay time.Duration) error {
 	switch target {
 	case TargetObjects:
@@ -206,7 +213,7 @@
 	if s := c.ServiceInstance(target); s != nil {
 		return s.Switch(f, on, delay)
 	}
-	return fmt.Errorf("no stand-in is called %q", target)
+	return fmt.Errorf("unknown target %q", target)
 }
 
 // Close stops all stand-ins.
--- a/internal/standin/cluster/control.go
+++ b/internal/standin/cluster/control.go
@@ -19,21 +19,21 @@
 
 // Paths of the control listener.
 const (
-	PathFault     = "/fault"          // POST FaultCall
+	PathFault     = "/fault"          // POST FaultRequest
 	PathCounters  = "/counters"       // GET Counters
-	PathInstances = "/instances"      // POST wire.Instance registers or replaces a row; GET lists without lag
-	PathInstance  = "/instances/{id}" // DELETE takes a row off the list
+	PathInstances = "/instances"      // POST wire.Instance adds or replaces a row; GET returns the list without lag
+	PathInstance  = "/instances/{id}" // DELETE removes a row
 )
 
-// FaultCall is the body of PathFault.
+// FaultRequest is the request body of PathFault.
 type FaultRequest struct {
 	Target  string       `json:"target"` // id of an engine or service instance, or one of the Target constants
 	Fault   faults.Fault `json:"fault"`
 	On      bool         `json:"on"`
-	DelayMs int64        `json:"delay_ms,omitempty"` // of faults that wait; 0: faults.DefaultDelay
+	DelayMs int64        `json:"delay_ms,omitempty"` // of faults that delay; 0 selects faults.DefaultDelay
 }
 
-// Addrs is where the stand-ins listen.
+// Addrs holds the addresses that the stand-ins listen on. Engines and Services are keyed by id.
 type Addrs struct {
 	Objects   string            `json:"objects"`
 	Instances string            `json:"instances"`
@@ -43,18 +43,18 @@
 	Services  map[string]string `json:"services"`
 }
 
-// Counters is what the stand-ins saw.
+// Counters holds the requests and executions that the stand-ins counted.
 type Counters struct {
 	Objects       objects.Counts             `json:"objects"`
 	InstanceReads uint64                     `json:"instance_reads"`
 	Weights       weights.Counts             `json:"weights"`
 	Engines       map[string]engine.Counters `json:"engines"`
-	RunsByRequest map[string]int             `json:"runs_by_request"` // of the plain service
-	RunsByKey     map[string]int             `json:"runs_by_key"`
+	RunsByRequest map[string]int             `json:"runs_by_request"` // of the plain service, by request id
+	RunsByKey     map[string]int             `json:"runs_by_key"`     // of the plain service, by idempotency key
 	Executions    []service.Execution        `json:"executions"`
 }
 
-// Addrs gives where the stand-ins listen.
+// Addrs returns the addresses that the stand-ins listen on.
 func (c *Cluster) Addrs() Addrs {
 	addrs := Addrs{
 		Objects: c.Objects.Addr(), Instances: c.Instances.Addr(), Weights: c.Weights.Addr(),
@@ -69,7 +69,7 @@
 	return addrs
 }
 
-// Counters gives what the stand-ins saw so far.
+// Counters returns the current counts of all stand-ins.
 func (c *Cluster) Counters() Counters {
 	counters := Counters{
 		Objects: c.Objects.Counts(), InstanceReads: c.Instances.ReadCount(), Weights: c.Weights.Counts(),
@@ -82,7 +82,7 @@
 	return counters
 }
 
-// ServeControl serves the control listener on addr.
+// StartControl starts the control listener on addr. The caller closes the returned server.
 func (c *Cluster) StartControl(addr string) (*serve.Server, error) {
 	r := router.New()
 	r.POST(PathFault, c.postFault)
@@ -97,6 +97,7 @@
 	return s, nil
 }
 
+// postFault handles a POST of PathFault.
 func (c *Cluster) postFault(ctx *fasthttp.RequestCtx) {
 	var call FaultRequest
 	if err := json.Unmarshal(ctx.PostBody(), &call); err != nil {
@@ -110,16 +111,18 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
+// postInstance handles a POST of PathInstances.
 func (c *Cluster) postInstance(ctx *fasthttp.RequestCtx) {
 	var row wire.Instance
 	if err := json.Unmarshal(ctx.PostBody(), &row); err != nil || row.ID == "" {
-		ctx.Error("an instance needs an id", fasthttp.StatusBadRequest)
+		ctx.Error("instance is not JSON or has no id", fasthttp.StatusBadRequest)
 		return
 	}
 	c.Instances.Register(row)
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
+// deleteInstance handles a DELETE of PathInstance.
 func (c *Cluster) deleteInstance(ctx *fasthttp.RequestCtx) {
 	c.Instances.Remove(serve.PathParam(ctx, "id"))
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
