--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -1,5 +1,5 @@
-// Package instances is a stand-in of the platform's instance list, which shows live and leaving instances
-// with a lag.
+// Package instances implements a stand-in of the platform's instance list, which shows live and leaving instances. A
+// change becomes visible to readers after a lag.
 package instances
 
 import (
@@ -17,30 +17,30 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/serve"
 )
 
-// state is the list as it was from one moment on. Its rows are not changed once they are in a state.
-type state struct {
-	since time.Time
-	list  wire.InstanceList
+// snapshot is the list between one change and the next. Its rows are immutable.
+type snapshot struct {
+	validFrom time.Time
+	list      wire.InstanceList
 }
 
-// Server serves the list over HTTP.
+// Server serves the instance list over HTTP.
 type Server struct {
 	http   *serve.Server
 	faults *faults.Set
 	reads  atomic.Uint64
 
-	mu     sync.Mutex
-	lag    time.Duration
-	states []state // oldest first; the last one is the truth
-	frozen *wire.InstanceList
+	mu         sync.Mutex
+	lag        time.Duration
+	snapshots  []snapshot         // oldest first; the last one is the current list without lag
+	frozenList *wire.InstanceList // served instead of the snapshots while the lag fault is on; nil otherwise
 }
 
-// Start serves an empty list on addr; readers see changes after lag.
+// Start serves an empty list on addr. Readers see a change once it is lag old.
 func Start(addr string, lag time.Duration) (*Server, error) {
 	s := &Server{
-		lag:    lag,
-		states: []state{{list: wire.InstanceList{Instances: []wire.Instance{}}}},
-		faults: faults.NewSet(faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.Hang, faults.Slow, faults.StaleInstanceList, faults.RefuseEverything),
+		lag:       lag,
+		snapshots: []snapshot{{list: wire.InstanceList{Instances: []wire.Instance{}}}},
+		faults:    faults.NewSet(faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.Hang, faults.Slow, faults.StaleInstanceList, faults.RefuseEverything),
 	}
 	r := router.New()
 	r.GET(wire.PathInstances, s.get)
@@ -49,7 +49,7 @@
 	return s, err
 }
 
-// Addr is the server's address.
+// Addr returns the server's address.
 func (s *Server) Addr() string { return s.http.Addr() }
 
 // Close stops the server.
@@ -58,10 +58,10 @@
 	s.http.Close()
 }
 
-// Reads is the number of calls so far.
+// ReadCount returns the number of requests received, refused ones included.
 func (s *Server) ReadCount() uint64 { return s.reads.Load() }
 
-// SetLag changes the time after which readers see a change.
+// SetLag sets the time after which readers see a change.
 func (s *Server) SetLag(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,34 +74,35 @@
 		return err
 	}
 	if f == faults.StaleInstanceList {
-		s.freeze(on)
+		s.setFrozen(on)
 	}
 	return s.http.Switch(f, on)
 }
 
-func (s *Server) freeze(on bool) {
+// setFrozen makes readers see the list that is visible now until it is called with false.
+func (s *Server) setFrozen(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.frozen = nil
+	s.frozenList = nil
 	if on {
-		visible := s.visible(time.Now())
-		s.frozen = &visible
+		list := s.visibleList(time.Now())
+		s.frozenList = &list
 	}
 }
 
-// Register lists an instance, or replaces its row. A row without a state is live.
+// Register adds an instance, or replaces its row. A row without a state becomes live.
 func (s *Server) Register(i wire.Instance) {
 	if i.State == "" {
 		i.State = wire.StateLive
 	}
-	s.change(func(rows []wire.Instance) []wire.Instance {
-		return append(without(rows, i.ID), i)
+	s.update(func(rows []wire.Instance) []wire.Instance {
+		return append(withoutID(rows, i.ID), i)
 	})
 }
 
 // SetLeaving marks an instance as leaving.
 func (s *Server) SetLeaving(id string) {
-	s.change(func(rows []wire.Instance) []wire.Instance {
+	s.update(func(rows []wire.Instance) []wire.Instance {
 		for n := range rows {
 			if rows[n].ID == id {
 				rows[n].State = wire.StateLeaving
@@ -111,46 +112,51 @@
 	})
 }
 
-// Remove takes an instance off the list.
+// Remove removes an instance's row.
 func (s *Server) Remove(id string) {
-	s.change(func(rows []wire.Instance) []wire.Instance { return without(rows, id) })
+	s.update(func(rows []wire.Instance) []wire.Instance { return withoutID(rows, id) })
 }
 
-// List is the truth, without lag.
+// List returns the current list, without lag.
 func (s *Server) List() wire.InstanceList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.states[len(s.states)-1].list
+	return s.snapshots[len(s.snapshots)-1].list
 }
 
-func without(rows []wire.Instance, id string) []wire.Instance {
+// withoutID returns rows without the row of an id. It modifies rows.
+func withoutID(rows []wire.Instance, id string) []wire.Instance {
 	return slices.DeleteFunc(rows, func(i wire.Instance) bool { return i.ID == id })
 }
 
-func (s *Server) change(edit func([]wire.Instance) []wire.Instance) {
+// update adds a snapshot with the rows that edit returns, sorted by id, and increments the list's version.
+func (s *Server) update(edit func([]wire.Instance) []wire.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	last := s.states[len(s.states)-1].list
-	rows := edit(slices.Clone(last.Instances))
+	latest := s.snapshots[len(s.snapshots)-1].list
+	rows := edit(slices.Clone(latest.Instances))
 	slices.SortFunc(rows, func(a, b wire.Instance) int { return strings.Compare(a.ID, b.ID) })
-	s.states = append(s.states, state{now, wire.InstanceList{Version: last.Version + 1, Instances: rows}})
-	s.forget(now)
+	s.snapshots = append(s.snapshots, snapshot{now, wire.InstanceList{Version: latest.Version + 1, Instances: rows}})
+	s.dropOutdated(now)
 }
 
-// forget drops states that every reader has left behind.
-func (s *Server) forget(now time.Time) {
-	for len(s.states) > 1 && now.Sub(s.states[1].since) >= s.lag {
-		s.states = s.states[1:]
+// dropOutdated removes the snapshots that readers no longer see, because a later one is at least lag old. It is called
+// with mu held.
+func (s *Server) dropOutdated(now time.Time) {
+	for len(s.snapshots) > 1 && now.Sub(s.snapshots[1].validFrom) >= s.lag {
+		s.snapshots = s.snapshots[1:]
 	}
 }
 
-// visible is the list that readers see: the latest state at least lag old.
-func (s *Server) visible(now time.Time) wire.InstanceList {
-	s.forget(now)
-	return s.states[0].list
+// visibleList returns the list that readers see: the latest snapshot that is at least lag old, or the oldest one. It is
+// called with mu held.
+func (s *Server) visibleList(now time.Time) wire.InstanceList {
+	s.dropOutdated(now)
+	return s.snapshots[0].list
 }
 
+// get handles a read of the list. It answers 304 if the reader has this version already.
 func (s *Server) get(ctx *fasthttp.RequestCtx) {
 	s.reads.Add(1)
 	if s.faults.WaitUntilOff(faults.Hang, serve.ConnDone(ctx)) {
@@ -162,21 +168,22 @@
 		return
 	}
 	s.faults.WaitDelay(faults.Slow, serve.ConnDone(ctx))
-	list := s.answer()
-	tag := wire.InstancesETag(list.Version)
-	ctx.Response.Header.Set(fasthttp.HeaderETag, tag)
-	if string(ctx.Request.Header.Peek(fasthttp.HeaderIfNoneMatch)) == tag {
+	list := s.currentList()
+	etag := wire.InstancesETag(list.Version)
+	ctx.Response.Header.Set(fasthttp.HeaderETag, etag)
+	if string(ctx.Request.Header.Peek(fasthttp.HeaderIfNoneMatch)) == etag {
 		ctx.SetStatusCode(fasthttp.StatusNotModified)
 		return
 	}
 	serve.JSON(ctx, fasthttp.StatusOK, list)
 }
 
-func (s *Server) answer() wire.InstanceList {
+// currentList returns the list for a reader: the frozen one, if any, or the visible one.
+func (s *Server) currentList() wire.InstanceList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.frozen != nil {
-		return *s.frozen
+	if s.frozenList != nil {
+		return *s.frozenList
 	}
-	return s.visible(time.Now())
+	return s.visibleList(time.Now())
 }
--- a/internal/standin/instances/instances_test.go
+++ b/internal/standin/instances/instances_test.go
@@ -27,7 +27,8 @@
 	return s
 }
 
-func read(t *testing.T, s *instances.Server) wire.InstanceList {
+// readList reads the list over HTTP.
+func readList(t *testing.T, s *instances.Server) wire.InstanceList {
 	t.Helper()
 	is := is.New(t)
 	r := rawhttp.Call{Method: fasthttp.MethodGet, Path: wire.PathInstances}.Do(s.Addr())
@@ -38,8 +39,8 @@
 	return list
 }
 
-// states gives the rows as "id state".
-func states(list wire.InstanceList) []string {
+// rowStates returns each row as "id state".
+func rowStates(list wire.InstanceList) []string {
 	rows := []string{}
 	for _, i := range list.Instances {
 		rows = append(rows, i.ID+" "+i.State)
@@ -47,33 +48,33 @@
 	return rows
 }
 
-func TestRowsComeChangeAndGo(t *testing.T) {
+func TestRowsAreAddedChangedAndRemoved(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 0)
-	is.Equal(states(read(t, s)), []string{})
+	is.Equal(rowStates(readList(t, s)), []string{})
 	s.Register(wire.Instance{ID: "b", Kind: wire.KindEngine})
 	s.Register(wire.Instance{ID: "a", Kind: wire.KindEntry})
-	before := read(t, s)
-	is.Equal(states(before), []string{"a live", "b live"})
+	before := readList(t, s)
+	is.Equal(rowStates(before), []string{"a live", "b live"})
 	s.SetLeaving("b")
-	is.Equal(states(read(t, s)), []string{"a live", "b leaving"})
-	s.Register(wire.Instance{ID: "b", Kind: wire.KindEngine}) // replaced by a new one of that name
+	is.Equal(rowStates(readList(t, s)), []string{"a live", "b leaving"})
+	s.Register(wire.Instance{ID: "b", Kind: wire.KindEngine}) // a new process replaces b under the same id
 	s.Remove("a")
-	after := read(t, s)
-	is.Equal(states(after), []string{"b live"})
+	after := readList(t, s)
+	is.Equal(rowStates(after), []string{"b live"})
 	is.Equal(after.Version, before.Version+3)
 	is.Equal(s.ReadCount(), uint64(4))
 }
 
-// An instance is gone, and readers are still shown it until the lag is over.
+// Readers see the list as it was before a change until the change is as old as the lag.
 func TestReadersSeeChangesAfterTheLag(t *testing.T) {
 	is := is.New(t)
 	s := start(t, time.Hour)
 	s.Register(wire.Instance{ID: "a"})
-	is.Equal(states(read(t, s)), []string{})
-	is.Equal(states(s.List()), []string{"a live"}) // the truth
+	is.Equal(rowStates(readList(t, s)), []string{})
+	is.Equal(rowStates(s.List()), []string{"a live"}) // List has no lag
 	s.SetLag(0)
-	is.Equal(states(read(t, s)), []string{"a live"})
+	is.Equal(rowStates(readList(t, s)), []string{"a live"})
 }
 
 func TestLagFaultFreezesTheList(t *testing.T) {
@@ -82,7 +83,7 @@
 	s.Register(wire.Instance{ID: "a"})
 	is.NoErr(s.Switch(faults.StaleInstanceList, true, 0))
 	s.Remove("a")
-	is.Equal(states(read(t, s)), []string{"a live"})
+	is.Equal(rowStates(readList(t, s)), []string{"a live"})
 	is.NoErr(s.Switch(faults.StaleInstanceList, false, 0))
-	is.Equal(states(read(t, s)), []string{})
+	is.Equal(rowStates(readList(t, s)), []string{})
 }
