--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -1,5 +1,5 @@
-// Package objects is a stand-in of the platform's object API: versions over the whole store, conditional
-// writes, lists and watches. Store is the state alone; Server puts it on HTTP and plays faults.
+// Package objects implements a stand-in of the platform's object API: versions that count the changes of the whole store,
+// conditional writes, lists and watches. Store holds the state; Server serves it over HTTP and injects faults.
 package objects
 
 import (
@@ -19,13 +19,14 @@
 )
 
 const (
-	// MaxValue is the largest value in bytes.
+	// MaxValueBytes is the size limit of a value.
 	MaxValueBytes = 1 << 20
-	// MaxWatch bounds a watch's timeout.
+	// MaxWatchTimeout is the longest time that a watch waits for a change.
 	MaxWatchTimeout = time.Minute
 )
 
-// Counts tells how many calls the server got, refused ones included.
+// Counts holds the number of requests by kind. Requests that the server rejects count as well, but not those that the
+// faults Hang and RefuseEverything stop.
 type Counts struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
@@ -34,11 +35,11 @@
 
 // Server serves a Store over HTTP.
 type Server struct {
-	store  *Store
-	http   *serve.Server
-	faults *faults.Set
-	mu     sync.Mutex
-	stale  *Store
+	store      *Store
+	http       *serve.Server
+	faults     *faults.Set
+	mu         sync.Mutex
+	staleStore *Store // guarded by mu; serves the reads while StaleReads is on, nil otherwise
 
 	reads, writes, watches atomic.Uint64
 }
@@ -48,19 +49,19 @@
 	s := &Server{store: store, faults: faults.NewSet(faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.Hang, faults.Slow,
 		faults.LoseAnswer, faults.StaleReads, faults.RefuseEverything)}
 	r := router.New()
-	r.GET(wire.PathObject, s.gate(s.get))
-	r.PUT(wire.PathObject, s.gate(s.put))
-	r.DELETE(wire.PathObject, s.gate(s.remove))
-	r.GET(wire.PathObjects, s.gate(s.list))
+	r.GET(wire.PathObject, s.withFaults(s.get))
+	r.PUT(wire.PathObject, s.withFaults(s.put))
+	r.DELETE(wire.PathObject, s.withFaults(s.remove))
+	r.GET(wire.PathObjects, s.withFaults(s.list))
 	var err error
 	s.http, err = serve.Start(addr, r.Handler)
 	return s, err
 }
 
-// Addr is the server's address.
+// Addr returns the server's address.
 func (s *Server) Addr() string { return s.http.Addr() }
 
-// Store is the state that is served.
+// Store returns the store that the server serves.
 func (s *Server) Store() *Store { return s.store }
 
 // Close stops the server.
@@ -69,7 +70,7 @@
 	s.http.Close()
 }
 
-// Counts gives the calls counted so far.
+// Counts returns the current counts.
 func (s *Server) Counts() Counts {
 	return Counts{Reads: s.reads.Load(), Writes: s.writes.Load(), Watches: s.watches.Load()}
 }
@@ -80,34 +81,36 @@
 		return err
 	}
 	if f == faults.StaleReads {
-		s.setStale(on)
+		s.setStaleReads(on)
 	}
 	return s.http.Switch(f, on)
 }
 
-func (s *Server) setStale(on bool) {
+// setStaleReads starts or ends reads from a copy of the store's present state.
+func (s *Server) setStaleReads(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stale != nil {
-		s.stale.wake() // watches of the stale state go on with the true one
-		s.stale = nil
+	if s.staleStore != nil {
+		s.staleStore.wakeWatches() // lets its watches continue on the current store
+		s.staleStore = nil
 	}
 	if on {
-		s.stale = s.store.Clone()
+		s.staleStore = s.store.Clone()
 	}
 }
 
-// readable is the store that reads see.
-func (s *Server) readable() *Store {
+// readStore returns the store that serves reads: the stale copy, if any, or the current store.
+func (s *Server) readStore() *Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stale != nil {
-		return s.stale
+	if s.staleStore != nil {
+		return s.staleStore
 	}
 	return s.store
 }
 
-func (s *Server) gate(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// withFaults returns a handler that injects the faults Hang, RefuseEverything and Slow ahead of next.
+func (s *Server) withFaults(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if s.faults.WaitUntilOff(faults.Hang, serve.ConnDone(ctx)) {
 			serve.CloseConn(ctx)
@@ -122,9 +125,10 @@
 	}
 }
 
+// get handles a read of one object.
 func (s *Server) get(ctx *fasthttp.RequestCtx) {
 	s.reads.Add(1)
-	o, found := s.readable().Get(param(ctx, "kind"), param(ctx, "name"))
+	o, found := s.readStore().Get(pathParam(ctx, "kind"), pathParam(ctx, "name"))
 	if !found {
 		serve.JSON(ctx, fasthttp.StatusNotFound, wire.Conflict{WriteID: o.WriteID})
 		return
@@ -132,9 +136,10 @@
 	serve.JSON(ctx, fasthttp.StatusOK, o)
 }
 
+// put handles a write of one object.
 func (s *Server) put(ctx *fasthttp.RequestCtx) {
 	s.writes.Add(1)
-	ifVersion, err := condition(ctx)
+	ifVersion, err := parseIfVersion(ctx)
 	body := ctx.PostBody()
 	switch {
 	case err != nil:
@@ -144,23 +149,26 @@
 	case !json.Valid(body):
 		ctx.Error("value is not JSON", fasthttp.StatusBadRequest)
 	default:
-		written, conflict := s.store.Put(param(ctx, "kind"), param(ctx, "name"), ifVersion, writeID(ctx), body)
-		s.answerWrite(ctx, written, conflict)
+		written, conflict := s.store.Put(pathParam(ctx, "kind"), pathParam(ctx, "name"), ifVersion, writeID(ctx), body)
+		s.respondToWrite(ctx, written, conflict)
 	}
 }
 
+// remove handles the deletion of one object.
 func (s *Server) remove(ctx *fasthttp.RequestCtx) {
 	s.writes.Add(1)
-	ifVersion, err := condition(ctx)
+	ifVersion, err := parseIfVersion(ctx)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	written, conflict := s.store.Delete(param(ctx, "kind"), param(ctx, "name"), ifVersion, writeID(ctx))
-	s.answerWrite(ctx, written, conflict)
+	written, conflict := s.store.Delete(pathParam(ctx, "kind"), pathParam(ctx, "name"), ifVersion, writeID(ctx))
+	s.respondToWrite(ctx, written, conflict)
 }
 
-func (s *Server) answerWrite(ctx *fasthttp.RequestCtx, written wire.WriteResult, conflict *wire.Conflict) {
+// respondToWrite answers a write with its result or conflict. Under the fault LoseAnswer it closes the connection
+// instead, after the write took effect.
+func (s *Server) respondToWrite(ctx *fasthttp.RequestCtx, written wire.WriteResult, conflict *wire.Conflict) {
 	if s.faults.On(faults.LoseAnswer) {
 		serve.CloseConn(ctx)
 		return
@@ -172,10 +180,11 @@
 	serve.JSON(ctx, fasthttp.StatusOK, written)
 }
 
+// list handles a list of the objects of a kind, or a watch if the query names a version.
 func (s *Server) list(ctx *fasthttp.RequestCtx) {
 	if !ctx.QueryArgs().Has("watch") {
 		s.reads.Add(1)
-		serve.JSON(ctx, fasthttp.StatusOK, s.readable().List(param(ctx, "kind")))
+		serve.JSON(ctx, fasthttp.StatusOK, s.readStore().List(pathParam(ctx, "kind")))
 		return
 	}
 	s.watches.Add(1)
@@ -185,14 +194,16 @@
 		return
 	}
 	timeout := time.Duration(ctx.QueryArgs().GetUintOrZero("timeout_ms")) * time.Millisecond
-	serve.JSON(ctx, fasthttp.StatusOK, s.watch(param(ctx, "kind"), from, min(timeout, MaxWatchTimeout), serve.ConnDone(ctx)))
+	serve.JSON(ctx, fasthttp.StatusOK, s.watch(pathParam(ctx, "kind"), from, min(timeout, MaxWatchTimeout), serve.ConnDone(ctx)))
 }
 
-func (s *Server) watch(kind string, from uint64, timeout time.Duration, gone <-chan struct{}) wire.List {
+// watch returns the changes of a kind after version from, or a list marked as too old. Without a change it waits until the
+// timeout has passed or done is closed, and then returns a list without changes.
+func (s *Server) watch(kind string, from uint64, timeout time.Duration, done <-chan struct{}) wire.List {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
-		list, changed := s.readable().ChangesSince(kind, from)
+		list, changed := s.readStore().ChangesSince(kind, from)
 		if list.TooOld || len(list.Objects)+len(list.Deleted) > 0 {
 			return list
 		}
@@ -200,13 +211,14 @@
 		case <-changed:
 		case <-timer.C:
 			return list
-		case <-gone:
+		case <-done:
 			return list
 		}
 	}
 }
 
-func condition(ctx *fasthttp.RequestCtx) (*uint64, error) {
+// parseIfVersion returns the version that a write is conditional on, or nil if it is unconditional.
+func parseIfVersion(ctx *fasthttp.RequestCtx) (*uint64, error) {
 	header := ctx.Request.Header.Peek(wire.HeaderIfVersion)
 	if len(header) == 0 {
 		return nil, nil
@@ -219,8 +231,8 @@
 	return string(ctx.Request.Header.Peek(wire.HeaderWriteID))
 }
 
-// param is a path parameter; the router leaves escapes in place where the path has an escaped slash.
-func param(ctx *fasthttp.RequestCtx, name string) string {
+// pathParam returns a path parameter, unescaped. The router leaves escapes in place if the path has an escaped slash.
+func pathParam(ctx *fasthttp.RequestCtx, name string) string {
 	raw := serve.PathParam(ctx, name)
 	if plain, err := url.PathUnescape(raw); err == nil {
 		return plain
--- a/internal/standin/objects/objects_test.go
+++ b/internal/standin/objects/objects_test.go
@@ -22,7 +22,7 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 }
 
-const path = "/objects/config/main"
+const objectPath = "/objects/config/main"
 
 func start(t *testing.T) *objects.Server {
 	t.Helper()
@@ -32,6 +32,7 @@
 	return s
 }
 
+// put returns a write; it is unconditional if ifVersion is empty.
 func put(path, value, ifVersion, writeID string) rawhttp.Call {
 	c := rawhttp.Call{Method: fasthttp.MethodPut, Path: path, Body: []byte(value)}.WithHeader(wire.HeaderWriteID, writeID)
 	if ifVersion != "" {
@@ -42,7 +43,8 @@
 
 func get(path string) rawhttp.Call { return rawhttp.Call{Method: fasthttp.MethodGet, Path: path} }
 
-func decoded[T any](t *testing.T, r *rawhttp.Result) T {
+// decode returns a response's body as a T.
+func decode[T any](t *testing.T, r *rawhttp.Result) T {
 	t.Helper()
 	is := is.New(t)
 	is.NoErr(r.Err)
@@ -60,15 +62,15 @@
 		status int
 		body   string // checked when not empty
 	}{
-		{"absent", get(path), 404, `{"current":0,"write_id":""}`},
-		{"create", put(path, `{"a":1}`, "0", "w1"), 200, `{"version":1}`},
-		{"create twice", put(path, `{"a":1}`, "0", "w2"), 409, `{"current":1,"write_id":"w1"}`},
-		{"read", get(path), 200, `{"kind":"config","name":"main","version":1,"write_id":"w1","value":{"a":1}}`},
+		{"absent", get(objectPath), 404, `{"current":0,"write_id":""}`},
+		{"create", put(objectPath, `{"a":1}`, "0", "w1"), 200, `{"version":1}`},
+		{"create twice", put(objectPath, `{"a":1}`, "0", "w2"), 409, `{"current":1,"write_id":"w1"}`},
+		{"read", get(objectPath), 200, `{"kind":"config","name":"main","version":1,"write_id":"w1","value":{"a":1}}`},
 		{"list", get("/objects/config"), 200, `{"version":1,"objects":[{"kind":"config","name":"main","version":1,"write_id":"w1","value":{"a":1}}]}`},
 		{"other kind", get("/objects/lease"), 200, `{"version":1,"objects":[]}`},
-		{"update", put(path, `2`, "1", "w3"), 200, `{"version":2}`},
-		{"not JSON", put(path, `{`, "", "w4"), 400, ""},
-		{"bad condition", put(path, `1`, "x", "w4"), 400, ""},
+		{"update", put(objectPath, `2`, "1", "w3"), 200, `{"version":2}`},
+		{"not JSON", put(objectPath, `{`, "", "w4"), 400, ""},
+		{"bad condition", put(objectPath, `1`, "x", "w4"), 400, ""},
 		{"largest", put("/objects/config/big", largest, "", "w4"), 200, `{"version":3}`},
 		{"too large", put("/objects/config/big", large, "", "w5"), 413, ""},
 		{"escaped name", put("/objects/config/a%2Fb", `1`, "", "w5"), 200, `{"version":4}`},
@@ -76,10 +78,10 @@
 		{"watch without change", get("/objects/config?watch=4&timeout_ms=1"), 200, `{"version":4,"objects":[]}`},
 		{"bad watch", get("/objects/config?watch=x"), 400, ""},
 		{"watch of another store", get("/objects/config?watch=9"), 200, `{"version":4,"objects":[],"too_old":true}`},
-		{"delete", rawhttp.Call{Method: "DELETE", Path: path}.WithHeader(wire.HeaderWriteID, "d1"), 200, `{"version":5}`},
-		{"delete again", rawhttp.Call{Method: "DELETE", Path: path}, 200, `{"version":5}`},
-		{"conditional delete of an absent one", rawhttp.Call{Method: "DELETE", Path: path}.WithHeader(wire.HeaderIfVersion, "2"), 409, `{"current":0,"write_id":"d1"}`},
-		{"deleted", get(path), 404, `{"current":0,"write_id":"d1"}`},
+		{"delete", rawhttp.Call{Method: "DELETE", Path: objectPath}.WithHeader(wire.HeaderWriteID, "d1"), 200, `{"version":5}`},
+		{"delete again", rawhttp.Call{Method: "DELETE", Path: objectPath}, 200, `{"version":5}`},
+		{"conditional delete of an absent one", rawhttp.Call{Method: "DELETE", Path: objectPath}.WithHeader(wire.HeaderIfVersion, "2"), 409, `{"current":0,"write_id":"d1"}`},
+		{"deleted", get(objectPath), 404, `{"current":0,"write_id":"d1"}`},
 		{"watch of the delete", get("/objects/config?watch=4"), 200, `{"version":5,"objects":[],"deleted":["main"]}`},
 	}
 	s := start(t)
@@ -97,32 +99,32 @@
 	is.New(t).Equal(s.Counts(), objects.Counts{Reads: 6, Writes: 11, Watches: 4})
 }
 
-func TestWatchEndsWithTheChange(t *testing.T) {
+func TestWatchReturnsOnAChange(t *testing.T) {
 	is := is.New(t)
 	s := start(t)
-	got := make(chan *rawhttp.Result, 1)
-	go func() { got <- get("/objects/config?watch=0&timeout_ms=20000").Do(s.Addr()) }()
+	result := make(chan *rawhttp.Result, 1)
+	go func() { result <- get("/objects/config?watch=0&timeout_ms=20000").Do(s.Addr()) }()
 	for s.Counts().Watches == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	is.Equal(put("/objects/lease/x", `1`, "", "").Do(s.Addr()).Status, 200) // of another kind
-	is.Equal(put(path, `1`, "", "w").Do(s.Addr()).Status, 200)
-	list := decoded[wire.List](t, <-got)
+	is.Equal(put("/objects/lease/x", `1`, "", "").Do(s.Addr()).Status, 200) // another kind
+	is.Equal(put(objectPath, `1`, "", "w").Do(s.Addr()).Status, 200)
+	list := decode[wire.List](t, <-result)
 	is.Equal(list.Version, uint64(2))
 	is.Equal(list.Objects[0].Name, "main")
 }
 
-// Two operators change one object at the same time: of all writes on one version just one takes effect.
-func TestOneOfRacingWritesTakesEffect(t *testing.T) {
+// Of concurrent writes that are conditional on the same version, exactly one takes effect.
+func TestOnlyOneConcurrentWriteTakesEffect(t *testing.T) {
 	is := is.New(t)
 	s := start(t)
 	const writers = 8
 	statuses := make([]int, writers)
-	var done sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := range writers {
-		done.Go(func() { statuses[n] = put(path, `1`, "0", fmt.Sprint(n)).Do(s.Addr()).Status })
+		wg.Go(func() { statuses[n] = put(objectPath, `1`, "0", fmt.Sprint(n)).Do(s.Addr()).Status })
 	}
-	done.Wait()
+	wg.Wait()
 	count := map[int]int{}
 	for _, status := range statuses {
 		count[status]++
@@ -130,63 +132,63 @@
 	is.Equal(count, map[int]int{200: 1, 409: writers - 1})
 }
 
-// A writer gets no answer though its write took effect; it finds its own write id when it reads.
-func TestAnswerLostAfterTheWrite(t *testing.T) {
+// A write takes effect although its response is lost. The writer recognizes it by the write id that a read returns.
+func TestWriteTakesEffectWhenItsResponseIsLost(t *testing.T) {
 	is := is.New(t)
 	s := start(t)
 	is.NoErr(s.Switch(faults.LoseAnswer, true, 0))
-	r := put(path, `1`, "0", "mine").Do(s.Addr())
+	r := put(objectPath, `1`, "0", "mine").Do(s.Addr())
 	is.Equal(r.Status, 0)
 	is.True(r.Err != nil)
-	is.Equal(decoded[wire.Object](t, get(path).Do(s.Addr())).WriteID, "mine")
+	is.Equal(decode[wire.Object](t, get(objectPath).Do(s.Addr())).WriteID, "mine")
 }
 
 func TestStaleReads(t *testing.T) {
 	is := is.New(t)
 	s := start(t)
-	is.Equal(put(path, `1`, "", "").Do(s.Addr()).Status, 200)
+	is.Equal(put(objectPath, `1`, "", "").Do(s.Addr()).Status, 200)
 	is.NoErr(s.Switch(faults.StaleReads, true, 0))
-	is.Equal(put(path, `2`, "1", "").Do(s.Addr()).Status, 200) // writes see the truth
-	is.Equal(string(decoded[wire.Object](t, get(path).Do(s.Addr())).Value), `1`)
+	is.Equal(put(objectPath, `2`, "1", "").Do(s.Addr()).Status, 200) // writes use the current store
+	is.Equal(string(decode[wire.Object](t, get(objectPath).Do(s.Addr())).Value), `1`)
 	is.NoErr(s.Switch(faults.StaleReads, false, 0))
-	is.Equal(string(decoded[wire.Object](t, get(path).Do(s.Addr())).Value), `2`)
+	is.Equal(string(decode[wire.Object](t, get(objectPath).Do(s.Addr())).Value), `2`)
 }
 
-// Reads are stale while a change is made; a watch that waits then must not miss the change once they are
-// fresh again.
-func TestWatchGoesOnAfterStaleReads(t *testing.T) {
+// An object changes while reads are stale. A watch that started during that time returns the change as soon as reads are
+// current again.
+func TestWatchReturnsChangeMadeDuringStaleReads(t *testing.T) {
 	is := is.New(t)
 	s := start(t)
 	is.NoErr(s.Switch(faults.StaleReads, true, 0))
-	got := make(chan *rawhttp.Result, 1)
-	go func() { got <- get("/objects/config?watch=0&timeout_ms=20000").Do(s.Addr()) }()
+	result := make(chan *rawhttp.Result, 1)
+	go func() { result <- get("/objects/config?watch=0&timeout_ms=20000").Do(s.Addr()) }()
 	for s.Counts().Watches == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	is.Equal(put(path, `1`, "", "w").Do(s.Addr()).Status, 200)
-	time.Sleep(50 * time.Millisecond) // long enough that a watch of the true state would have answered
-	is.Equal(len(got), 0)
+	is.Equal(put(objectPath, `1`, "", "w").Do(s.Addr()).Status, 200)
+	time.Sleep(50 * time.Millisecond) // long enough for a watch of the current store to respond
+	is.Equal(len(result), 0)
 	is.NoErr(s.Switch(faults.StaleReads, false, 0))
-	is.Equal(decoded[wire.List](t, <-got).Version, uint64(1))
+	is.Equal(decode[wire.List](t, <-result).Version, uint64(1))
 }
 
 func TestOutages(t *testing.T) {
 	is := is.New(t)
 	s := start(t)
 	is.NoErr(s.Switch(faults.Kill, true, 0))
-	is.Equal(get(path).Do(s.Addr()).Status, 0)
+	is.Equal(get(objectPath).Do(s.Addr()).Status, 0)
 	is.NoErr(s.Switch(faults.Kill, false, 0))
-	is.Equal(get(path).Do(s.Addr()).Status, 404)
+	is.Equal(get(objectPath).Do(s.Addr()).Status, 404)
 
 	is.NoErr(s.Switch(faults.RefuseEverything, true, 0))
-	is.Equal(get(path).Do(s.Addr()).Status, 503)
+	is.Equal(get(objectPath).Do(s.Addr()).Status, 503)
 	is.NoErr(s.Switch(faults.RefuseEverything, false, 0))
 
 	is.NoErr(s.Switch(faults.Hang, true, 0))
-	hung := get(path)
-	hung.Timeout = 100 * time.Millisecond
-	is.Equal(hung.Do(s.Addr()).Status, 0)
+	call := get(objectPath)
+	call.Timeout = 100 * time.Millisecond
+	is.Equal(call.Do(s.Addr()).Status, 0)
 	is.NoErr(s.Switch(faults.Hang, false, 0))
-	is.Equal(get(path).Do(s.Addr()).Status, 404)
-	is.True(s.Switch(faults.Cold, true, 0) != nil) // no fault of a store
+	is.Equal(get(objectPath).Do(s.Addr()).Status, 404)
+	is.True(s.Switch(faults.Cold, true, 0) != nil) // not a fault of the object API
 }
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -10,11 +10,13 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// DefaultHistory is the number of changes kept for watches.
+// DefaultHistorySize is the default number of changes that a store keeps for watches.
 const DefaultHistorySize = 4096
 
+// key identifies an object.
 type key struct{ kind, name string }
 
+// change is the version at which an object was written or deleted.
 type change struct {
 	key
 	version uint64
@@ -22,25 +24,26 @@
 
 // Store is the object API's state. It is safe for concurrent use.
 type Store struct {
-	mu         sync.Mutex
-	version    uint64
-	objects    map[key]wire.Object
-	tombstones map[key]wire.Object // of deleted objects: version and write id of the delete
-	history    []change
-	limit      int
-	forgotten  uint64 // versions up to this one are no longer in history
-	changed    chan struct{}
+	mu             sync.Mutex
+	version        uint64
+	objects        map[key]wire.Object
+	tombstones     map[key]wire.Object // of deleted objects: the version and the write id of the deletion
+	history        []change            // oldest first
+	historyLimit   int                 // maximum length of history
+	droppedVersion uint64              // changes up to this version are no longer in history
+	changed        chan struct{}       // closed and replaced at each change
 }
 
-// NewStore makes an empty store that keeps limit changes for watches.
+// NewStore returns an empty store that keeps the latest limit changes for watches.
 func NewStore(limit int) *Store {
 	return &Store{
 		objects: map[key]wire.Object{}, tombstones: map[key]wire.Object{},
-		limit: limit, changed: make(chan struct{}),
+		historyLimit: limit, changed: make(chan struct{}),
 	}
 }
 
-// Get gives an object. Of an absent one it gives the zero version with the write id of its delete, if any.
+// Get returns an object and reports whether it exists. For an absent object it returns version 0 and the write id of its
+// deletion, if any.
 func (s *Store) Get(kind, name string) (wire.Object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,29 +54,29 @@
 	return o, true
 }
 
-// Put writes an object. Without a condition it always takes effect; otherwise only at that version, of
-// which 0 means absent.
+// Put writes an object. If ifVersion is not nil and differs from the object's version, which is 0 for an absent object, Put
+// returns a conflict and changes nothing.
 func (s *Store) Put(kind, name string, ifVersion *uint64, writeID string, value []byte) (wire.WriteResult, *wire.Conflict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key{kind, name}
-	if c := s.conflict(k, ifVersion); c != nil {
+	if c := s.checkCondition(k, ifVersion); c != nil {
 		return wire.WriteResult{}, c
 	}
 	s.version++
 	delete(s.tombstones, k)
 	s.objects[k] = wire.Object{Kind: kind, Name: name, Version: s.version, WriteID: writeID, Value: bytes.Clone(value)}
-	s.record(k)
+	s.recordChange(k)
 	return wire.WriteResult{Version: s.version}, nil
 }
 
-// Delete removes an object under the same conditions as Put and leaves a tombstone. An absent object
-// conflicts unless there is no condition.
+// Delete removes an object under the same condition as Put and leaves a tombstone. Deleting an absent object without a
+// condition, or with version 0, changes nothing and succeeds.
 func (s *Store) Delete(kind, name string, ifVersion *uint64, writeID string) (wire.WriteResult, *wire.Conflict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key{kind, name}
-	if c := s.conflict(k, ifVersion); c != nil {
+	if c := s.checkCondition(k, ifVersion); c != nil {
 		return wire.WriteResult{}, c
 	}
 	if _, found := s.objects[k]; !found {
@@ -82,11 +85,13 @@
 	s.version++
 	delete(s.objects, k)
 	s.tombstones[k] = wire.Object{Version: s.version, WriteID: writeID}
-	s.record(k)
+	s.recordChange(k)
 	return wire.WriteResult{Version: s.version}, nil
 }
 
-func (s *Store) conflict(k key, ifVersion *uint64) *wire.Conflict {
+// checkCondition returns the conflict of a write conditional on ifVersion, or nil if the condition holds. It is called
+// with mu held.
+func (s *Store) checkCondition(k key, ifVersion *uint64) *wire.Conflict {
 	current, found := s.objects[k]
 	if ifVersion == nil || *ifVersion == current.Version {
 		return nil
@@ -97,29 +102,30 @@
 	return &wire.Conflict{Current: current.Version, WriteID: current.WriteID}
 }
 
-func (s *Store) record(k key) {
+// recordChange appends a change at the current version to the history and wakes the watches. It is called with mu held.
+func (s *Store) recordChange(k key) {
 	s.history = append(s.history, change{k, s.version})
-	if over := len(s.history) - s.limit; over > 0 {
-		s.forgotten = s.history[over-1].version
-		s.history = slices.Delete(s.history, 0, over)
+	if excess := len(s.history) - s.historyLimit; excess > 0 {
+		s.droppedVersion = s.history[excess-1].version
+		s.history = slices.Delete(s.history, 0, excess)
 	}
-	s.signal()
+	s.notifyChange()
 }
 
-// signal ends the waits for a change; mu is held.
-func (s *Store) signal() {
+// notifyChange wakes all watches. It is called with mu held.
+func (s *Store) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// wake ends the waits for a change without one.
-func (s *Store) wake() {
+// wakeWatches wakes all watches although nothing has changed.
+func (s *Store) wakeWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.signal()
+	s.notifyChange()
 }
 
-// List gives all objects of a kind, sorted by name.
+// List returns all objects of a kind, sorted by name.
 func (s *Store) List(kind string) wire.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,13 +139,14 @@
 	return list
 }
 
-// Changes gives the latest state of the objects of a kind that changed after version from. Until there is
-// a change it gives an empty list and a channel that is closed at the store's next change.
+// ChangesSince returns the latest state of the objects of a kind that changed after version from, and a channel that is
+// closed at the store's next change. The list is empty if none has changed. It is marked as too old if the history does
+// not reach back to from, or if from is later than the store's version.
 func (s *Store) ChangesSince(kind string, from uint64) (wire.List, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := wire.List{Version: s.version, Objects: []wire.Object{}}
-	if from < s.forgotten || from > s.version {
+	if from < s.droppedVersion || from > s.version {
 		list.TooOld = true
 		return list, s.changed
 	}
@@ -160,20 +167,20 @@
 	return list, s.changed
 }
 
-// Version is the version of the latest change.
+// Version returns the version of the latest change.
 func (s *Store) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// Clone gives a copy that later writes to the store don't reach.
+// Clone returns a copy that later writes to s don't change. Its watches wait on a channel of its own.
 func (s *Store) Clone() *Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &Store{
 		version: s.version, objects: maps.Clone(s.objects), tombstones: maps.Clone(s.tombstones),
-		history: slices.Clone(s.history), limit: s.limit, forgotten: s.forgotten, changed: make(chan struct{}),
+		history: slices.Clone(s.history), historyLimit: s.historyLimit, droppedVersion: s.droppedVersion, changed: make(chan struct{}),
 	}
 }
 
--- a/internal/standin/objects/store_test.go
+++ b/internal/standin/objects/store_test.go
@@ -10,20 +10,20 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/objects"
 )
 
-func version(v uint64) *uint64 { return &v }
+func versionPtr(v uint64) *uint64 { return &v }
 
 func TestConditionalWrites(t *testing.T) {
 	is := is.New(t)
 	s := objects.NewStore(objects.DefaultHistorySize)
-	first, conflict := s.Put("config", "a", version(0), "w1", []byte(`1`))
+	first, conflict := s.Put("config", "a", versionPtr(0), "w1", []byte(`1`))
 	is.True(conflict == nil)
 
-	_, conflict = s.Put("config", "a", version(0), "w2", []byte(`2`)) // it is there
+	_, conflict = s.Put("config", "a", versionPtr(0), "w2", []byte(`2`)) // exists already
 	is.Equal(conflict, &wire.Conflict{Current: first.Version, WriteID: "w1"})
-	_, conflict = s.Put("config", "a", version(first.Version+1), "w2", []byte(`2`))
+	_, conflict = s.Put("config", "a", versionPtr(first.Version+1), "w2", []byte(`2`))
 	is.Equal(conflict, &wire.Conflict{Current: first.Version, WriteID: "w1"})
 
-	second, conflict := s.Put("config", "a", version(first.Version), "w2", []byte(`2`))
+	second, conflict := s.Put("config", "a", versionPtr(first.Version), "w2", []byte(`2`))
 	is.True(conflict == nil)
 	is.True(second.Version > first.Version)
 	third, conflict := s.Put("config", "a", nil, "w3", []byte(`3`)) // unconditional
@@ -37,24 +37,24 @@
 	is := is.New(t)
 	s := objects.NewStore(objects.DefaultHistorySize)
 	put, _ := s.Put("config", "a", nil, "w1", []byte(`1`))
-	_, conflict := s.Delete("config", "a", version(put.Version+1), "d1")
+	_, conflict := s.Delete("config", "a", versionPtr(put.Version+1), "d1")
 	is.Equal(conflict, &wire.Conflict{Current: put.Version, WriteID: "w1"})
-	gone, conflict := s.Delete("config", "a", version(put.Version), "d1")
+	deleted, conflict := s.Delete("config", "a", versionPtr(put.Version), "d1")
 	is.True(conflict == nil)
 
 	o, found := s.Get("config", "a")
 	is.True(!found)
-	is.Equal(o.WriteID, "d1") // the deleter finds its own write
-	_, conflict = s.Put("config", "a", version(put.Version), "w2", []byte(`2`))
+	is.Equal(o.WriteID, "d1") // identifies the deletion to its writer
+	_, conflict = s.Put("config", "a", versionPtr(put.Version), "w2", []byte(`2`))
 	is.Equal(conflict, &wire.Conflict{Current: 0, WriteID: "d1"})
 	list, _ := s.ChangesSince("config", put.Version)
 	is.Equal(list.Deleted, []string{"a"})
-	again, conflict := s.Put("config", "a", version(0), "w2", []byte(`2`))
+	recreated, conflict := s.Put("config", "a", versionPtr(0), "w2", []byte(`2`))
 	is.True(conflict == nil)
-	is.True(again.Version > gone.Version)
+	is.True(recreated.Version > deleted.Version)
 }
 
-func TestChangesShowTheLatestStateOnceAndOneKindOnly(t *testing.T) {
+func TestChangesSinceReturnsLatestStateOfOneKind(t *testing.T) {
 	is := is.New(t)
 	s := objects.NewStore(objects.DefaultHistorySize)
 	start := s.Version()
@@ -73,19 +73,19 @@
 	<-changed
 }
 
-func TestChangesBeforeTheHistoryAreTooOld(t *testing.T) {
+func TestChangesSinceReportsTooOldVersions(t *testing.T) {
 	is := is.New(t)
-	const kept = 4
-	s := objects.NewStore(kept)
-	for n := range 2 * kept {
+	const historySize = 4
+	s := objects.NewStore(historySize)
+	for n := range 2 * historySize {
 		_, _ = s.Put("config", fmt.Sprint(n), nil, "", []byte(`1`))
 	}
 	last := s.Version()
-	list, _ := s.ChangesSince("config", last-kept)
+	list, _ := s.ChangesSince("config", last-historySize)
 	is.True(!list.TooOld)
-	is.Equal(len(list.Objects), kept)
-	list, _ = s.ChangesSince("config", last-kept-1)
+	is.Equal(len(list.Objects), historySize)
+	list, _ = s.ChangesSince("config", last-historySize-1)
 	is.True(list.TooOld)
-	list, _ = s.ChangesSince("config", last+1) // of another store
+	list, _ = s.ChangesSince("config", last+1) // a version of another store
 	is.True(list.TooOld)
 }
