--- a/internal/standin/rawhttp/rawhttp.go
+++ b/internal/standin/rawhttp/rawhttp.go
@@ -1,6 +1,6 @@
-// Package rawhttp is a test's client of engines, plain services, the platform and entry instances. It opens
-// one connection for each call, so that a test decides when that ends, and reports all that arrived, down to
-// single parts and headers, instead of judging it.
+// Package rawhttp is an HTTP client for tests of engines, plain services, the platform and entry instances. It opens one
+// connection for each call, so that a test controls when the connection ends. It returns everything received, down to
+// single parts and headers, and doesn't interpret it.
 package rawhttp
 
 import (
@@ -18,37 +18,38 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// DefaultGuard ends a call that hangs.
+// DefaultTimeout is the timeout of a call that sets none.
 const DefaultTimeout = 30 * time.Second
 
-const readBuffer = 1 << 20
+// readBufferSize is the size in bytes of the response buffer and of the longest line of a stream.
+const readBufferSize = 1 << 20
 
 // Call is one HTTP call.
 type Call struct {
-	Method  string // POST when empty
+	Method  string // POST if empty
 	Path    string
 	Headers map[string]string
 	Body    []byte
-	Timeout time.Duration // bound of the whole call; DefaultGuard when zero
-	// Decode reads one event of a stream; nil: an engine's part.
+	Timeout time.Duration // of the whole call; 0 selects DefaultTimeout
+	// Decode decodes the data of one event of a stream. If nil, the data is an engine's part in JSON.
 	Decode func(data []byte) (wire.Part, error)
-	// OnPart is called for each part of a stream as it arrives; false closes the connection.
+	// OnPart, if set, is called for each part of a stream as it arrives. Returning false closes the connection.
 	OnPart func(wire.Part) bool
 }
 
-// Result is what arrived.
+// Result holds what a call received.
 type Result struct {
-	Status          int // 0: no answer
+	Status          int // 0 if no response arrived
 	Header          map[string]string
-	Body            []byte // of an answer that is no stream
+	Body            []byte // of a response that is not a stream
 	Parts           []wire.Part
-	Done            bool          // the end mark's follower, [DONE], arrived
-	TimeToFirstPart time.Duration // from the start of the call
-	Connected       bool          // the connection was opened
-	Err             error         // of the connection
+	Done            bool          // the stream's end mark, [DONE], arrived
+	TimeToFirstPart time.Duration // measured from the start of the call
+	Connected       bool          // whether the connection was opened
+	Err             error         // of the connection, or of decoding an event
 }
 
-// Text is the text of all parts in the order they arrived.
+// Text returns the text of all parts in the order of their arrival.
 func (r *Result) Text() string {
 	var b bytes.Buffer
 	for _, p := range r.Parts {
@@ -57,7 +58,7 @@
 	return b.String()
 }
 
-// Finish is the finish reason of the last part, or empty.
+// FinishReason returns the finish reason of the last part, or an empty string if there is no part.
 func (r *Result) FinishReason() string {
 	if len(r.Parts) == 0 {
 		return ""
@@ -65,25 +66,26 @@
 	return r.Parts[len(r.Parts)-1].FinishReason
 }
 
-// CheckStream tells what is wrong with a streamed answer of so many tokens to a request; nil when the
-// caller got the whole answer to its own request, each token once and in order.
+// CheckStream checks a streamed answer of the given number of tokens. It returns nil if the caller received the complete
+// answer to its own request, with each token once and in order. Otherwise it returns an error that describes the first
+// deviation.
 func (r *Result) CheckStream(requestID string, tokens int) error {
 	if r.Err != nil || r.Status != fasthttp.StatusOK {
 		return fmt.Errorf("status %d, body %q: %w", r.Status, r.Body, r.Err)
 	}
-	next := 0
+	offset := 0
 	for n, p := range r.Parts {
-		if p.Offset != next {
-			return fmt.Errorf("part %d has offset %d, not %d", n, p.Offset, next)
+		if p.Offset != offset {
+			return fmt.Errorf("part %d has offset %d, not %d", n, p.Offset, offset)
 		}
 		if p.ID != requestID {
 			return fmt.Errorf("part %d is of request %q", n, p.ID)
 		}
-		next += p.Tokens
+		offset += p.Tokens
 	}
 	switch {
-	case next != tokens:
-		return fmt.Errorf("%d tokens of %d, finish reason %q", next, tokens, r.FinishReason())
+	case offset != tokens:
+		return fmt.Errorf("%d tokens of %d, finish reason %q", offset, tokens, r.FinishReason())
 	case r.Text() != answer.Text(requestID, tokens):
 		return fmt.Errorf("text is not the answer to %s", requestID)
 	case r.FinishReason() != "length":
@@ -94,29 +96,29 @@
 	return nil
 }
 
-// CheckPrefix tells what is wrong with the parts of a stream that was not finished: they must be the
-// beginning of the request's own answer.
+// CheckPrefix checks the parts of a stream that was cut short. It returns an error unless they are the beginning of the
+// request's own answer, in order.
 func (r *Result) CheckPrefix(requestID string) error {
-	next := 0
+	offset := 0
 	for n, p := range r.Parts {
-		if p.ID != requestID || p.Offset != next || p.Text != answer.Range(requestID, next, next+p.Tokens) {
-			return fmt.Errorf("part %d (%+v) does not continue %s at %d", n, p, requestID, next)
+		if p.ID != requestID || p.Offset != offset || p.Text != answer.Range(requestID, offset, offset+p.Tokens) {
+			return fmt.Errorf("part %d (%+v) does not continue %s at %d", n, p, requestID, offset)
 		}
-		next += p.Tokens
+		offset += p.Tokens
 	}
 	return nil
 }
 
-// Completion makes the call of a completions request.
+// Completion returns the call of a completions request.
 func Completion(id string, c wire.CompletionRequest) Call {
 	body, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // a struct of strings and numbers encodes
+		panic(err) // can't happen: a struct of strings and numbers always encodes
 	}
 	return Call{Path: wire.PathCompletions, Body: body, Headers: map[string]string{wire.HeaderRequestID: id}}
 }
 
-// With adds a header to the call.
+// WithHeader returns a copy of the call with a header added or replaced.
 func (c Call) WithHeader(name, value string) Call {
 	headers := map[string]string{name: value}
 	for k, v := range c.Headers {
@@ -128,9 +130,9 @@
 	return c
 }
 
-// Do makes the call over a new connection to addr.
+// Do makes the call over a new connection to addr, which it closes.
 func (c Call) Do(addr string) *Result {
-	conn, err := net.DialTimeout("tcp", addr, c.guard())
+	conn, err := net.DialTimeout("tcp", addr, c.timeout())
 	if err != nil {
 		return &Result{Err: fmt.Errorf("dial: %w", err)}
 	}
@@ -138,19 +140,20 @@
 	return c.DoConn(conn)
 }
 
-func (c Call) guard() time.Duration {
+// timeout returns the call's timeout, or the default.
+func (c Call) timeout() time.Duration {
 	if c.Timeout == 0 {
 		return DefaultTimeout
 	}
 	return c.Timeout
 }
 
-// DoOver makes the call over an open connection, which it leaves open unless OnPart closes it.
+// DoConn makes the call over an open connection and leaves it open, unless OnPart returns false.
 func (c Call) DoConn(conn net.Conn) *Result {
-	started := time.Now()
-	_ = conn.SetDeadline(started.Add(c.guard()))
+	start := time.Now()
+	_ = conn.SetDeadline(start.Add(c.timeout()))
 	r := &Result{Header: map[string]string{}, Connected: true}
-	req := c.request(conn.RemoteAddr().String())
+	req := c.newRequest(conn.RemoteAddr().String())
 	defer fasthttp.ReleaseRequest(req)
 	if _, err := req.WriteTo(conn); err != nil {
 		r.Err = fmt.Errorf("write request: %w", err)
@@ -158,7 +161,7 @@
 	}
 	var resp fasthttp.Response
 	resp.StreamBody = true
-	if err := resp.ReadLimitBody(bufio.NewReaderSize(conn, readBuffer), 0); err != nil {
+	if err := resp.ReadLimitBody(bufio.NewReaderSize(conn, readBufferSize), 0); err != nil {
 		r.Err = fmt.Errorf("read answer: %w", err)
 		return r
 	}
@@ -168,15 +171,16 @@
 	}
 	body := resp.BodyStream()
 	switch {
-	case body == nil: // as of status 204
+	case body == nil: // for example with status 204
 	case bytes.HasPrefix(resp.Header.ContentType(), []byte("text/event-stream")):
-		r.readStream(body, c, started, conn)
+		r.readStream(body, c, start, conn)
 	default:
 		r.Body, r.Err = io.ReadAll(body)
 	}
 	return r
 }
 
+// decode decodes one event by c.Decode, or as an engine's part.
 func (c Call) decode(data []byte) (wire.Part, error) {
 	if c.Decode != nil {
 		return c.Decode(data)
@@ -186,14 +190,15 @@
 	return p, err
 }
 
-func (c Call) request(host string) *fasthttp.Request {
+// newRequest returns the HTTP request of the call. The caller releases it.
+func (c Call) newRequest(host string) *fasthttp.Request {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethod(fasthttp.MethodPost)
 	if c.Method != "" {
 		req.Header.SetMethod(c.Method)
 	}
 	req.SetRequestURI("http://" + host + c.Path)
-	req.URI().DisablePathNormalizing = true // else an escaped slash would be sent as a slash
+	req.URI().DisablePathNormalizing = true // otherwise an escaped slash would be sent as a slash
 	for k, v := range c.Headers {
 		req.Header.Set(k, v)
 	}
@@ -204,11 +209,12 @@
 	return req
 }
 
-func (r *Result) readStream(body io.Reader, c Call, started time.Time, conn net.Conn) {
-	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, readBuffer), readBuffer)
-	for lines.Scan() {
-		data, found := bytes.CutPrefix(lines.Bytes(), []byte("data: "))
+// readStream reads a stream's events into r until the stream ends, an event can't be decoded, or OnPart returns false.
+func (r *Result) readStream(body io.Reader, c Call, start time.Time, conn net.Conn) {
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(make([]byte, 0, readBufferSize), readBufferSize)
+	for scanner.Scan() {
+		data, found := bytes.CutPrefix(scanner.Bytes(), []byte("data: "))
 		if !found {
 			continue
 		}
@@ -222,7 +228,7 @@
 			return
 		}
 		if len(r.Parts) == 0 {
-			r.TimeToFirstPart = time.Since(started)
+			r.TimeToFirstPart = time.Since(start)
 		}
 		r.Parts = append(r.Parts, p)
 		if c.OnPart != nil && !c.OnPart(p) {
@@ -230,5 +236,5 @@
 			return
 		}
 	}
-	r.Err = lines.Err()
+	r.Err = scanner.Err()
 }
