--- a/internal/standin/serve/conn.go
+++ b/internal/standin/serve/conn.go
@@ -6,51 +6,53 @@
 )
 
 const (
-	readChunk   = 32 << 10
-	readBacklog = 256 << 10
+	readChunkBytes   = 32 << 10  // size of one read from the network
+	maxBufferedBytes = 256 << 10 // reading ahead pauses while more is buffered
 )
 
-// Conn is an accepted connection that is read ahead, so that its end is noticed while an answer is being
-// written, and that can be made silent.
+// Conn is an accepted connection that can be made silent. It reads ahead, so that its end is detected while the handler
+// writes a response.
 type Conn struct {
 	net.Conn
-	mu     sync.Mutex
-	more   *sync.Cond
-	buf    []byte
-	err    error
-	silent bool
-	closed chan struct{}
-	once   sync.Once
-	gone   chan struct{}
-	forget func(*Conn)
+	mu        sync.Mutex
+	changed   *sync.Cond    // of mu; signaled when readBuf, readErr or closed changes
+	readBuf   []byte        // guarded by mu; bytes read ahead
+	readErr   error         // guarded by mu; error that ended reading
+	silent    bool          // guarded by mu
+	closed    chan struct{} // closed by Close
+	closeOnce sync.Once
+	ended     chan struct{} // closed when reading has ended
+	onClose   func(*Conn)   // called once, by Close
 }
 
-func newConn(c net.Conn, forget func(*Conn)) *Conn {
-	conn := &Conn{Conn: c, closed: make(chan struct{}), gone: make(chan struct{}), forget: forget}
-	conn.more = sync.NewCond(&conn.mu)
+// newConn returns a Conn for an accepted connection. The caller starts readAhead.
+func newConn(c net.Conn, onClose func(*Conn)) *Conn {
+	conn := &Conn{Conn: c, closed: make(chan struct{}), ended: make(chan struct{}), onClose: onClose}
+	conn.changed = sync.NewCond(&conn.mu)
 	return conn
 }
 
-// Gone is closed when the other end, or this one, has closed the connection.
-func (c *Conn) Done() <-chan struct{} { return c.gone }
+// Done returns a channel that is closed when either end has closed the connection. On a silent connection only Close
+// closes it.
+func (c *Conn) Done() <-chan struct{} { return c.ended }
 
-// Read gives bytes read ahead.
+// Read returns bytes read ahead, and waits for them if there are none.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.buf) == 0 && c.err == nil {
-		c.more.Wait()
+	for len(c.readBuf) == 0 && c.readErr == nil {
+		c.changed.Wait()
 	}
-	if len(c.buf) == 0 {
-		return 0, c.err
+	if len(c.readBuf) == 0 {
+		return 0, c.readErr
 	}
-	n := copy(p, c.buf)
-	c.buf = c.buf[n:]
-	c.more.Broadcast()
+	n := copy(p, c.readBuf)
+	c.readBuf = c.readBuf[n:]
+	c.changed.Broadcast()
 	return n, nil
 }
 
-// Write sends bytes, or swallows them on a silent connection.
+// Write sends bytes. On a silent connection it discards them and reports success.
 func (c *Conn) Write(p []byte) (int, error) {
 	if !c.isSilent() {
 		return c.Conn.Write(p)
@@ -66,22 +68,23 @@
 // Close closes the connection.
 func (c *Conn) Close() error {
 	var err error
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
 		err = c.Conn.Close()
-		c.forget(c)
+		c.onClose(c)
 		c.mu.Lock()
-		c.more.Broadcast()
+		c.changed.Broadcast()
 		c.mu.Unlock()
 	})
 	return err
 }
 
+// silence makes the connection silent for good: it discards everything in both directions.
 func (c *Conn) silence() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silent = true
-	c.buf = nil
+	c.readBuf = nil
 }
 
 func (c *Conn) isSilent() bool {
@@ -99,27 +102,27 @@
 	}
 }
 
-// readAhead runs until the connection ends. A silent connection swallows what arrives, its end included:
-// whatever lost track of it lets neither data nor a FIN through.
+// readAhead reads into the buffer until the connection ends. On a silent connection it discards what arrives and ignores
+// the peer's close, as a middlebox that lost the connection's state passes on neither data nor a FIN.
 func (c *Conn) readAhead() {
-	chunk := make([]byte, readChunk)
+	chunk := make([]byte, readChunkBytes)
 	for {
 		n, err := c.Conn.Read(chunk)
 		if err != nil && c.isSilent() {
 			<-c.closed
 		}
 		c.mu.Lock()
-		for len(c.buf) > readBacklog && !c.silent && !c.isClosed() {
-			c.more.Wait()
+		for len(c.readBuf) > maxBufferedBytes && !c.silent && !c.isClosed() {
+			c.changed.Wait()
 		}
 		if !c.silent {
-			c.buf = append(c.buf, chunk[:n]...)
+			c.readBuf = append(c.readBuf, chunk[:n]...)
 		}
-		c.err = err
-		c.more.Broadcast()
+		c.readErr = err
+		c.changed.Broadcast()
 		c.mu.Unlock()
 		if err != nil {
-			close(c.gone)
+			close(c.ended)
 			return
 		}
 	}
--- a/internal/standin/serve/hold_test.go
+++ b/internal/standin/serve/reservedport_test.go
@@ -12,9 +12,9 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/serve"
 )
 
-// A test kills an engine and starts it again, and fails with "address already in use": while the engine was
-// dead, another test's connection had been given its port.
-func TestKilledServerKeepsItsPort(t *testing.T) {
+// The port of a killed server stays reserved. Otherwise the system could assign it to another connection, and a restart
+// would fail with "address already in use".
+func TestKilledServerReservesItsPort(t *testing.T) {
 	is := is.New(t)
 	s, err := serve.Start("127.0.0.1:0", func(ctx *fasthttp.RequestCtx) {})
 	is.NoErr(err)
@@ -22,9 +22,9 @@
 	for range 3 {
 		s.Kill()
 		_, err = net.Dial("tcp", s.Addr())
-		is.True(errors.Is(err, syscall.ECONNREFUSED)) // as a dead process
-		_, err = (&net.Dialer{LocalAddr: address(t, s.Addr())}).Dial("tcp", "127.0.0.1:9")
-		is.True(errors.Is(err, syscall.EADDRINUSE)) // nobody else gets the port
+		is.True(errors.Is(err, syscall.ECONNREFUSED)) // as with a dead process
+		_, err = (&net.Dialer{LocalAddr: resolveAddr(t, s.Addr())}).Dial("tcp", "127.0.0.1:9")
+		is.True(errors.Is(err, syscall.EADDRINUSE)) // no other socket can bind the port
 		is.NoErr(s.Restart())
 		c, err := net.Dial("tcp", s.Addr())
 		is.NoErr(err)
@@ -32,7 +32,7 @@
 	}
 }
 
-func address(t *testing.T, addr string) net.Addr {
+func resolveAddr(t *testing.T, addr string) net.Addr {
 	t.Helper()
 	a, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
--- a/internal/standin/serve/serve.go
+++ b/internal/standin/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve runs a stand-in's HTTP listener on TCP and plays the faults of connections: refused, cut
-// and silent ones.
+// Package serve runs a stand-in's HTTP server over TCP and injects faults of its connections: refused, closed and silent
+// ones.
 package serve
 
 import (
@@ -15,24 +15,24 @@
 )
 
 const (
-	maxBody       = 64 << 20
-	idleWorker    = 100 * time.Millisecond // also how long the library's goroutines outlive the listener
-	listenRetries = 20
-	listenPause   = 50 * time.Millisecond
+	maxBodyBytes      = 64 << 20
+	idleWorkerTimeout = 100 * time.Millisecond // also the time that fasthttp's goroutines outlive the listener
+	listenAttempts    = 20
+	listenRetryDelay  = 50 * time.Millisecond
 )
 
-// Server is an HTTP server whose listener can be killed and started again on the same address.
+// Server is an HTTP server that can be killed and restarted on the same address.
 type Server struct {
-	handler fasthttp.RequestHandler
-	addr    string
-	mu      sync.Mutex
-	ln      net.Listener       // guarded by mu; nil: killed
-	port    *hold              // guarded by mu: while killed
-	conns   map[*Conn]struct{} // guarded by mu
-	running sync.WaitGroup
+	handler  fasthttp.RequestHandler
+	addr     string
+	mu       sync.Mutex
+	listener net.Listener       // guarded by mu; nil while killed
+	reserved *reservedPort      // guarded by mu; set while killed
+	conns    map[*Conn]struct{} // guarded by mu; open connections
+	serving  sync.WaitGroup     // accept loops that run
 }
 
-// Start listens on addr, of which port 0 means any free port.
+// Start starts a server on addr. Port 0 selects any free port.
 func Start(addr string, handler fasthttp.RequestHandler) (*Server, error) {
 	s := &Server{handler: handler, addr: addr, conns: map[*Conn]struct{}{}}
 	if err := s.Restart(); err != nil {
@@ -41,128 +41,131 @@
 	return s, nil
 }
 
-// Addr is the address that the server listens on, also while it is killed.
+// Addr returns the address that the server listens on. It stays the same while the server is killed.
 func (s *Server) Addr() string { return s.addr }
 
-// Restart listens again after Kill. It does nothing on a running server.
+// Restart starts to listen again after Kill. It does nothing on a running server.
 func (s *Server) Restart() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ln != nil {
+	if s.listener != nil {
 		return nil
 	}
 	ln, err := listen(s.addr)
 	if err != nil {
 		return err
 	}
-	s.port.release()
-	s.port = nil
+	s.reserved.release()
+	s.reserved = nil
 	s.addr = ln.Addr().String()
-	s.ln = ln
+	s.listener = ln
 	server := &fasthttp.Server{
-		Handler: s.handler, MaxRequestBodySize: maxBody, NoDefaultServerHeader: true,
-		Logger: discard{}, CloseOnShutdown: true, MaxIdleWorkerDuration: idleWorker,
+		Handler: s.handler, MaxRequestBodySize: maxBodyBytes, NoDefaultServerHeader: true,
+		Logger: discardLogger{}, CloseOnShutdown: true, MaxIdleWorkerDuration: idleWorkerTimeout,
 	}
-	s.running.Add(1)
+	s.serving.Add(1)
 	go func() {
-		defer s.running.Done()
-		_ = server.Serve(&acceptor{Listener: ln, server: s})
+		defer s.serving.Done()
+		_ = server.Serve(&trackingListener{Listener: ln, server: s})
 	}()
 	return nil
 }
 
-// listen retries, since a killed listener's port may be held by an outgoing connection for a moment.
+// listen opens a listener on addr. It retries, because an outgoing connection may hold a killed server's port for a
+// moment.
 func listen(addr string) (net.Listener, error) {
 	var err error
-	for range listenRetries {
+	for range listenAttempts {
 		var ln net.Listener
 		if ln, err = net.Listen("tcp", addr); err == nil {
 			return ln, nil
 		}
-		time.Sleep(listenPause)
+		time.Sleep(listenRetryDelay)
 	}
 	return nil, fmt.Errorf("listen: %w", err)
 }
 
-// Kill closes the listener and every connection. The port stays the server's until Restart or Close.
-func (s *Server) Kill() { s.end(true) }
+// Kill closes the listener and every connection. The port stays reserved until Restart or Close.
+func (s *Server) Kill() { s.stop(true) }
 
-func (s *Server) end(keepPort bool) {
+// stop closes the listener and every connection. It keeps the port reserved if keepPort is set, and frees it otherwise.
+func (s *Server) stop(keepPort bool) {
 	s.mu.Lock()
-	if s.ln != nil {
-		_ = s.ln.Close()
-		s.ln = nil
+	if s.listener != nil {
+		_ = s.listener.Close()
+		s.listener = nil
 		if keepPort {
-			s.port, _ = holdPort(s.addr) // without it, listen tries again for a while
+			s.reserved, _ = reservePort(s.addr) // if this fails, Restart relies on the retries of listen
 		}
 	}
 	if !keepPort {
-		s.port.release()
-		s.port = nil
+		s.reserved.release()
+		s.reserved = nil
 	}
 	s.mu.Unlock()
-	s.running.Wait()
+	s.serving.Wait()
 	s.CloseConns()
 }
 
-// Cut closes the connections that are open now.
+// CloseConns closes the connections that are open now. The listener stays open.
 func (s *Server) CloseConns() {
-	for _, c := range s.open() {
+	for _, c := range s.openConns() {
 		_ = c.Close()
 	}
 }
 
-// Silence makes the connections that are open now silent for good.
+// SilenceConns makes the connections that are open now silent for good. New connections work.
 func (s *Server) SilenceConns() {
-	for _, c := range s.open() {
+	for _, c := range s.openConns() {
 		c.silence()
 	}
 }
 
-// Close ends the server for good.
-func (s *Server) Close() { s.end(false) }
+// Close stops the server for good and frees its port.
+func (s *Server) Close() { s.stop(false) }
 
-func (s *Server) open() []*Conn {
+func (s *Server) openConns() []*Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	open := make([]*Conn, 0, len(s.conns))
+	conns := make([]*Conn, 0, len(s.conns))
 	for c := range s.conns {
-		open = append(open, c)
+		conns = append(conns, c)
 	}
-	return open
+	return conns
 }
 
-func (s *Server) forget(c *Conn) {
+// removeConn removes a closed connection from conns.
+func (s *Server) removeConn(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// acceptor wraps accepted connections.
-type acceptor struct {
+// trackingListener wraps each accepted connection in a Conn and adds it to the server's connections.
+type trackingListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept waits for a connection. One that was accepted while the server was being killed is closed.
-func (a *acceptor) Accept() (net.Conn, error) {
-	raw, err := a.Listener.Accept()
+// Accept waits for the next connection and returns it. It closes a connection accepted while the server is being killed.
+func (l *trackingListener) Accept() (net.Conn, error) {
+	raw, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := newConn(raw, a.server.forget)
-	a.server.mu.Lock()
-	a.server.conns[c] = struct{}{}
-	dead := a.server.ln == nil
-	a.server.mu.Unlock()
+	c := newConn(raw, l.server.removeConn)
+	l.server.mu.Lock()
+	l.server.conns[c] = struct{}{}
+	killed := l.server.listener == nil
+	l.server.mu.Unlock()
 	go c.readAhead()
-	if dead {
+	if killed {
 		_ = c.Close()
 	}
 	return c, nil
 }
 
-// Gone is closed when the request's connection has ended.
+// ConnDone returns a channel that is closed when the request's connection has ended.
 func ConnDone(ctx *fasthttp.RequestCtx) <-chan struct{} {
 	if c, ok := ctx.Conn().(*Conn); ok {
 		return c.Done()
@@ -170,10 +173,10 @@
 	return nil
 }
 
-// Drop closes the request's connection, so that no answer arrives.
+// CloseConn closes the request's connection, so that no response arrives.
 func CloseConn(ctx *fasthttp.RequestCtx) { _ = ctx.Conn().Close() }
 
-// JSON answers with status and body.
+// JSON responds with a status and a body encoded as JSON.
 func JSON(ctx *fasthttp.RequestCtx, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -185,18 +188,20 @@
 	ctx.SetBody(data)
 }
 
-// Param is a path parameter, unescaped.
+// PathParam returns a path parameter. It is unescaped, unless the path has an escaped slash.
 func PathParam(ctx *fasthttp.RequestCtx, name string) string {
 	v, _ := ctx.UserValue(name).(string)
 	return v
 }
 
-type discard struct{}
+// discardLogger is a logger for fasthttp that writes nothing.
+type discardLogger struct{}
 
-// Printf drops the library's messages on broken connections: faults here are made on purpose.
-func (discard) Printf(string, ...any) {}
+// Printf discards fasthttp's messages about broken connections, which are expected under injected faults.
+func (discardLogger) Printf(string, ...any) {}
 
-// Switch plays the faults that concern the listener and its connections; others do nothing here.
+// Switch turns a fault of the listener or its connections on or off: a killed process, silent connections, or closed
+// connections. It ignores other faults.
 func (s *Server) Switch(f faults.Fault, on bool) error {
 	switch {
 	case f == faults.Kill && on:
--- a/internal/standin/serve/serve_test.go
+++ b/internal/standin/serve/serve_test.go
@@ -16,12 +16,12 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/serve"
 )
 
-// The library keeps one goroutine for its Date header.
+// TestMain checks for leaked goroutines. fasthttp keeps one running for its Date header.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 }
 
-const guard = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func start(t *testing.T, handler fasthttp.RequestHandler) *serve.Server {
 	t.Helper()
@@ -39,22 +39,22 @@
 	return conn
 }
 
-// timesOut reads for a moment and tells whether nothing came, not even an end.
-func timesOut(conn net.Conn) bool {
+// readTimesOut reads for 200 ms and reports whether neither data nor the connection's end arrived.
+func readTimesOut(conn net.Conn) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 	n, err := conn.Read(make([]byte, 1))
 	return n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-func hello(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("hello") }
+func handleHello(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("hello") }
 
 var get = rawhttp.Call{Method: fasthttp.MethodGet, Path: "/"}
 
-// A caller waits on a connection that something between the ends has lost track of. Nothing arrives on it
-// any more, neither data nor an end, while a new connection works at once.
+// On a silent connection neither data nor the connection's end arrives, as if a middlebox had lost its state. A new
+// connection works at once.
 func TestSilentConnectionStaysSilentWhileNewOnesWork(t *testing.T) {
 	is := is.New(t)
-	s := start(t, hello)
+	s := start(t, handleHello)
 	old := dial(t, s)
 	is.Equal(string(get.DoConn(old).Body), "hello")
 
@@ -62,12 +62,12 @@
 	is.Equal(string(get.Do(s.Addr()).Body), "hello")
 	_, err := old.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	is.NoErr(err)
-	is.True(timesOut(old)) // silence, not an end
+	is.True(readTimesOut(old)) // no end either
 }
 
-// An answer is under way when the connection turns silent: its rest is swallowed, and the handler that
-// writes it sees no error.
-func TestSilenceSwallowsTheRestOfAnAnswer(t *testing.T) {
+// A connection turns silent while a response is being written. The rest of the response is discarded, and the handler's
+// write returns no error.
+func TestSilentConnectionDropsTheRestOfAResponse(t *testing.T) {
 	is := is.New(t)
 	proceed, wrote := make(chan struct{}), make(chan error, 1)
 	s := start(t, func(ctx *fasthttp.RequestCtx) {
@@ -79,21 +79,21 @@
 	conn := dial(t, s)
 	_, err := conn.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	is.NoErr(err)
-	time.Sleep(50 * time.Millisecond) // lets the request reach its handler before the silence
+	time.Sleep(50 * time.Millisecond) // lets the request reach its handler before the connection turns silent
 	s.SilenceConns()
 	close(proceed)
 	is.NoErr(<-wrote)
-	is.True(timesOut(conn))
+	is.True(readTimesOut(conn))
 }
 
-// A caller closes its connection while its request is being handled; the handler learns of it at once.
-func TestHandlerLearnsThatTheCallerIsGone(t *testing.T) {
+// A caller closes its connection while its request is being handled. The handler can detect that at once by ConnDone.
+func TestConnDoneClosesWhenTheCallerDisconnects(t *testing.T) {
 	is := is.New(t)
-	handling, gone := make(chan struct{}), make(chan struct{})
+	handling, disconnected := make(chan struct{}), make(chan struct{})
 	s := start(t, func(ctx *fasthttp.RequestCtx) {
 		close(handling)
 		<-serve.ConnDone(ctx)
-		close(gone)
+		close(disconnected)
 	})
 	conn := dial(t, s)
 	_, err := conn.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
@@ -101,25 +101,25 @@
 	<-handling
 	is.NoErr(conn.Close())
 	select {
-	case <-gone:
-	case <-time.After(guard):
-		t.Fatal("the handler was not told")
+	case <-disconnected:
+	case <-time.After(testTimeout):
+		t.Fatal("ConnDone was not closed after the caller disconnected")
 	}
 }
 
-// A process dies: open connections end, new ones are refused. Started again, it listens where it did.
+// Kill ends open connections and refuses new ones. After Restart the server listens on the same address.
 func TestKillAndRestart(t *testing.T) {
 	is := is.New(t)
-	s := start(t, hello)
+	s := start(t, handleHello)
 	addr := s.Addr()
 	old := dial(t, s)
 	is.Equal(get.DoConn(old).Status, fasthttp.StatusOK)
 
 	s.Kill()
-	_ = old.SetReadDeadline(time.Now().Add(guard))
+	_ = old.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err := old.Read(make([]byte, 1))
 	is.True(err != nil)
-	is.True(!errors.Is(err, os.ErrDeadlineExceeded)) // ended, not silent
+	is.True(!errors.Is(err, os.ErrDeadlineExceeded)) // the connection ended
 	is.Equal(get.Do(addr).Status, 0)
 
 	is.NoErr(s.Restart())
@@ -127,9 +127,9 @@
 	is.Equal(get.Do(addr).Status, fasthttp.StatusOK)
 }
 
-func TestCutEndsOpenConnectionsOnly(t *testing.T) {
+func TestCloseConnsSparesNewConnections(t *testing.T) {
 	is := is.New(t)
-	s := start(t, hello)
+	s := start(t, handleHello)
 	old := dial(t, s)
 	is.Equal(get.DoConn(old).Status, fasthttp.StatusOK)
 	s.CloseConns()
@@ -137,7 +137,7 @@
 	is.Equal(get.Do(s.Addr()).Status, fasthttp.StatusOK)
 }
 
-// A body far larger than what is read ahead arrives whole.
+// A body much larger than the read-ahead buffer arrives complete.
 func TestLargeBody(t *testing.T) {
 	is := is.New(t)
 	s := start(t, func(ctx *fasthttp.RequestCtx) { ctx.SetBody(ctx.PostBody()) })
