--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -27,7 +27,8 @@
 	return s, ledger
 }
 
-func booking(id, key string) rawhttp.Call {
+// bookingCall returns a booking with a request id and an idempotency key, which may be empty.
+func bookingCall(id, key string) rawhttp.Call {
 	c := rawhttp.Call{Path: service.PathBookings, Body: []byte(`{"hut":"north","day":"monday"}`)}
 	return c.WithHeader(wire.HeaderRequestID, id).WithHeader(wire.HeaderIdempotencyKey, key)
 }
@@ -35,36 +36,36 @@
 func TestBookings(t *testing.T) {
 	is := is.New(t)
 	s, ledger := start(t)
-	free := rawhttp.Call{Method: fasthttp.MethodGet, Path: service.PathAvailability + "?hut=north&day=monday"}
-	is.Equal(string(free.Do(s.Addr()).Body), `{"hut":"north","day":"monday","free":true}`)
-	r := booking("r1", "k1").Do(s.Addr())
+	availability := rawhttp.Call{Method: fasthttp.MethodGet, Path: service.PathAvailability + "?hut=north&day=monday"}
+	is.Equal(string(availability.Do(s.Addr()).Body), `{"hut":"north","day":"monday","free":true}`)
+	r := bookingCall("r1", "k1").Do(s.Addr())
 	is.Equal(r.Status, 201)
 	is.Equal(string(r.Body), `{"id":"booking-1","hut":"north","day":"monday","request_id":"r1"}`)
 	is.True(r.Header[wire.HeaderBootID] != "")
-	is.Equal(string(free.Do(s.Addr()).Body), `{"hut":"north","day":"monday","free":false}`)
+	is.Equal(string(availability.Do(s.Addr()).Body), `{"hut":"north","day":"monday","free":false}`)
 	is.Equal(len(ledger.Executions()), 3)
 	is.Equal(rawhttp.Call{Path: service.PathBookings, Body: []byte(`{}`)}.Do(s.Addr()).Status, 400)
 }
 
-// The same booking reaches the service twice: a double booking that a test must be able to see.
-func TestDoubleRunsAreCounted(t *testing.T) {
+// The ledger counts each run if the same booking reaches the service more than once.
+func TestLedgerCountsRepeatedRuns(t *testing.T) {
 	is := is.New(t)
 	s, ledger := start(t)
-	is.Equal(booking("r1", "k").Do(s.Addr()).Status, 201)
-	is.Equal(booking("r2", "k").Do(s.Addr()).Status, 201)
-	is.Equal(booking("r2", "").Do(s.Addr()).Status, 201)
+	is.Equal(bookingCall("r1", "k").Do(s.Addr()).Status, 201)
+	is.Equal(bookingCall("r2", "k").Do(s.Addr()).Status, 201)
+	is.Equal(bookingCall("r2", "").Do(s.Addr()).Status, 201)
 	is.Equal(ledger.RunsByRequest(), map[string]int{"r1": 1, "r2": 2})
 	is.Equal(ledger.RunsByKey(), map[string]int{"k": 2})
 	is.Equal(len(ledger.Bookings()), 3)
 }
 
-// What a caller sees of a fault, and whether the booking ran.
+// Each fault gives the caller the expected status, and the booking runs only if the fault comes after the run.
 func TestFaults(t *testing.T) {
 	cases := []struct {
-		fault  faults.Fault
-		status int
-		ran    int
-		told   bool // says that it did not start
+		fault      faults.Fault
+		status     int
+		runs       int
+		notStarted bool // the response says that the request did not start
 	}{
 		{faults.RefuseStart, 503, 0, true},
 		{faults.Leaving, 503, 0, true},
@@ -80,16 +81,16 @@
 			is := is.New(t)
 			s, ledger := start(t)
 			is.NoErr(s.Switch(c.fault, true, 0))
-			call := booking("r1", "")
+			call := bookingCall("r1", "")
 			if c.fault == faults.Hang {
 				call.Timeout = 100 * time.Millisecond
 			}
 			r := call.Do(s.Addr())
 			is.Equal(r.Status, c.status)
-			is.Equal(r.Header[wire.HeaderNotStarted] == "true", c.told)
-			is.Equal(ledger.RunsByRequest()["r1"], c.ran)
+			is.Equal(r.Header[wire.HeaderNotStarted] == "true", c.notStarted)
+			is.Equal(ledger.RunsByRequest()["r1"], c.runs)
 			is.NoErr(s.Switch(c.fault, false, 0))
-			is.Equal(booking("r2", "").Do(s.Addr()).Status, 201)
+			is.Equal(bookingCall("r2", "").Do(s.Addr()).Status, 201)
 		})
 	}
 }
