--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is a stand-in of the platform's weight store: a transfer budget that fills at a fixed
-// rate, and calls that take from it.
+// Package weights implements a stand-in of the platform's weight store. It grants transfers from a budget that refills at
+// a fixed rate.
 package weights
 
 import (
@@ -16,35 +16,35 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/serve"
 )
 
-// Counts tells what was taken and refused.
+// Counts holds what was granted and refused.
 type Counts struct {
 	TakenGB float64 `json:"taken_gb"`
-	Taken   uint64  `json:"taken"`
-	Refused uint64  `json:"refused"`
+	Taken   uint64  `json:"taken"`   // number of calls granted
+	Refused uint64  `json:"refused"` // number of calls refused for lack of budget
 }
 
 // Budget is a token bucket in gigabytes that starts full.
 type Budget struct {
-	Rate  float64 // gigabytes a second
-	Burst float64 // most that the bucket holds
+	Rate  float64 // GB per second
+	Burst float64 // capacity in GB
 
-	level float64
-	last  time.Time
+	availableGB float64 // negative while in debt
+	updatedAt   time.Time
 }
 
-// Take takes gb from the budget, or gives the time until there is enough. More than the burst is granted
-// from a full bucket, which then stays in debt.
+// Take withdraws gb gigabytes and reports whether the budget allowed it. If not, it returns the time until it will. An
+// amount above Burst needs a full bucket and leaves it in debt.
 func (b *Budget) Take(gb float64, now time.Time) (wait time.Duration, ok bool) {
-	if b.last.IsZero() {
-		b.level = b.Burst
+	if b.updatedAt.IsZero() {
+		b.availableGB = b.Burst
 	} else {
-		b.level = min(b.Burst, b.level+b.Rate*now.Sub(b.last).Seconds())
+		b.availableGB = min(b.Burst, b.availableGB+b.Rate*now.Sub(b.updatedAt).Seconds())
 	}
-	b.last = now
-	if need := min(gb, b.Burst); b.level < need {
-		return time.Duration((need - b.level) / b.Rate * float64(time.Second)), false
+	b.updatedAt = now
+	if requiredGB := min(gb, b.Burst); b.availableGB < requiredGB {
+		return time.Duration((requiredGB - b.availableGB) / b.Rate * float64(time.Second)), false
 	}
-	b.level -= gb
+	b.availableGB -= gb
 	return 0, true
 }
 
@@ -53,24 +53,24 @@
 	http   *serve.Server
 	faults *faults.Set
 	mu     sync.Mutex
-	budget Budget
-	counts Counts
+	budget Budget // guarded by mu
+	counts Counts // guarded by mu
 }
 
-// Start serves a budget of rate gigabytes a second, with burst gigabytes at most, on addr.
+// Start starts a server on addr with a budget that refills at rate GB per second up to burst GB.
 func Start(addr string, rate, burst float64) (*Server, error) {
 	s := &Server{
 		budget: Budget{Rate: rate, Burst: burst},
 		faults: faults.NewSet(faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.Hang, faults.Slow),
 	}
 	r := router.New()
-	r.POST(wire.PathWeights, s.take)
+	r.POST(wire.PathWeights, s.postTake)
 	var err error
 	s.http, err = serve.Start(addr, r.Handler)
 	return s, err
 }
 
-// Addr is the server's address.
+// Addr returns the server's address.
 func (s *Server) Addr() string { return s.http.Addr() }
 
 // Close stops the server.
@@ -79,7 +79,7 @@
 	s.http.Close()
 }
 
-// Counts gives what was taken and refused so far.
+// Counts returns the current counts.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,9 @@
 	return s.http.Switch(f, on)
 }
 
-func (s *Server) take(ctx *fasthttp.RequestCtx) {
+// postTake handles a withdrawal from the budget. If the budget is too low, it answers 429 with the time to wait in
+// Retry-After, rounded up to seconds.
+func (s *Server) postTake(ctx *fasthttp.RequestCtx) {
 	if s.faults.WaitUntilOff(faults.Hang, serve.ConnDone(ctx)) {
 		serve.CloseConn(ctx)
 		return
@@ -105,7 +107,7 @@
 		ctx.Error("gb: not a positive number", fasthttp.StatusBadRequest)
 		return
 	}
-	if wait, ok := s.grant(gb); !ok {
+	if wait, ok := s.takeNow(gb); !ok {
 		ctx.Error("no transfer budget", fasthttp.StatusTooManyRequests)
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 		return
@@ -113,7 +115,9 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-func (s *Server) grant(gb float64) (time.Duration, bool) {
+// takeNow withdraws gb gigabytes from the budget at the present time and counts the outcome. It returns as Budget.Take
+// does.
+func (s *Server) takeNow(gb float64) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wait, ok := s.budget.Take(gb, time.Now())
--- a/internal/standin/weights/weights_test.go
+++ b/internal/standin/weights/weights_test.go
@@ -16,7 +16,7 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 }
 
-func TestBudgetFillsAtItsRate(t *testing.T) {
+func TestBudgetRefillsAtItsRate(t *testing.T) {
 	is := is.New(t)
 	b := weights.Budget{Rate: 2, Burst: 10}
 	now := time.Unix(1_000_000, 0)
@@ -28,11 +28,11 @@
 	_, ok = b.Take(4, now.Add(wait))
 	is.True(ok)
 	now = now.Add(time.Hour)
-	_, ok = b.Take(30, now) // more than the burst, from a full bucket
+	_, ok = b.Take(30, now) // more than the burst, with a full bucket
 	is.True(ok)
 	wait, ok = b.Take(1, now)
 	is.True(!ok)
-	is.Equal(wait, 10500*time.Millisecond) // 20 of debt and 1
+	is.Equal(wait, 10500*time.Millisecond) // 20 GB of debt and 1 GB
 }
 
 func TestHTTP(t *testing.T) {
@@ -46,9 +46,9 @@
 	is.Equal(take("?gb=10").Status, 204)
 	refused := take("?gb=1")
 	is.Equal(refused.Status, 429)
-	after, err := strconv.Atoi(refused.Header["Retry-After"])
+	retryAfter, err := strconv.Atoi(refused.Header["Retry-After"])
 	is.NoErr(err)
-	is.True(after > 0)
+	is.True(retryAfter > 0)
 	for _, query := range []string{"", "?gb=0", "?gb=-1", "?gb=x", "?gb=NaN", "?gb=Inf"} {
 		is.Equal(take(query).Status, 400)
 	}
