--- a/test/soak/daemon_test.go
+++ b/test/soak/daemon_test.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// program is the daemon, built once.
-var program string
+// daemonPath is the path of the daemon's executable, which TestMain builds.
+var daemonPath string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err == nil {
-		program = filepath.Join(dir, "damaskshelfd")
+		daemonPath = filepath.Join(dir, "damaskshelfd")
 		var out []byte
-		if out, err = exec.Command("go", "build", "-o", program, "../../cmd/damaskshelfd").CombinedOutput(); err != nil {
+		if out, err = exec.Command("go", "build", "-o", daemonPath, "../../cmd/damaskshelfd").CombinedOutput(); err != nil {
 			err = fmt.Errorf("build: %w\n%s", err, out)
 		}
 	}
@@ -34,36 +34,36 @@
 	os.Exit(code)
 }
 
-// daemon is one instance as a process of its own.
+// daemon is an instance that runs as a process of its own.
 type daemon struct {
-	name    string
-	callers string
-	ready   string
-	path    string // of its settings
-	log     *os.File
-	cmd     *exec.Cmd
-	done    chan struct{} // closed when the process is over
+	name         string
+	callerAddr   string
+	readyAddr    string
+	settingsPath string
+	logFile      *os.File
+	cmd          *exec.Cmd
+	exited       chan struct{} // closed when the process has ended
 }
 
-// given are the ports that freeAddr has given. Twelve are drawn for a seed, and bound only later: once in 150 seeds two
-// were the same, and a daemon that could not bind never served.
-var given = map[int]bool{}
+// assignedPorts holds the ports that freeAddr has returned. Each seed needs twelve, and daemons bind them only later.
+// Without this record one seed in 150 got the same port twice, and the daemon that failed to bind it never served.
+var assignedPorts = map[int]bool{}
 
-// freeAddr gives a loopback address that is free, with a port below those that the system gives to outgoing
-// connections: one of theirs may be taken again before the daemon binds it.
+// freeAddr returns a free loopback address. Its port is below the range that the system assigns to outgoing connections,
+// so that none of them takes the port before the daemon binds it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	const lowest, ports = 20_000, 10_000
+	const minPort, portCount = 20_000, 10_000
 	for range 100 {
-		port := lowest + rand.IntN(ports)
-		if given[port] {
+		port := minPort + rand.IntN(portCount)
+		if assignedPorts[port] {
 			continue
 		}
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
 			continue
 		}
-		given[port] = true
+		assignedPorts[port] = true
 		defer func() { _ = l.Close() }()
 		return l.Addr().String()
 	}
@@ -71,19 +71,19 @@
 	return ""
 }
 
-// newDaemon writes the settings of an instance that reaches the store at store, and is reached by its peers
-// at the address that advertise gives for its own.
-func newDaemon(t *testing.T, dir, name, store string, advertise func(peers string) string) *daemon {
+// newDaemon writes the settings of an instance that connects to the store at storeAddr. Its peers connect to it at the
+// address that advertise returns for its own peer address. start starts its process.
+func newDaemon(t *testing.T, dir, name, storeAddr string, advertise func(peers string) string) *daemon {
 	t.Helper()
-	d := &daemon{name: name, callers: freeAddr(t), ready: freeAddr(t), path: filepath.Join(dir, name+".json")}
+	d := &daemon{name: name, callerAddr: freeAddr(t), readyAddr: freeAddr(t), settingsPath: filepath.Join(dir, name+".json")}
 	peers := freeAddr(t)
 	settings := map[string]any{
 		"instance": name, "region": "r", "failure_domain": "a",
 		"routed": map[string]any{
 			"listen": map[string]any{
-				"callers": d.callers, "ready": d.ready, "peers": peers, "metrics": freeAddr(t), "advertised": advertise(peers),
+				"callers": d.callerAddr, "ready": d.readyAddr, "peers": peers, "metrics": freeAddr(t), "advertised": advertise(peers),
 			},
-			"ready_path": "/-/ready", "store": map[string]any{"address": store},
+			"ready_path": "/-/ready", "store": map[string]any{"address": storeAddr},
 			"retries": map[string]any{"ratio": 0.2, "slack": 1000},
 			"stop":    map[string]any{"lag": "300ms", "grace": "6s"},
 		},
@@ -92,46 +92,47 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(d.path, raw, 0o600); err != nil {
+	if err := os.WriteFile(d.settingsPath, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if d.log, err = os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
+	if d.logFile, err = os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-// start starts the process. A port that another process of the machine holds for a moment is waited for.
+// start starts the process. Neither it nor the daemon retries if another process holds one of the ports.
 func (d *daemon) start(t *testing.T) {
 	t.Helper()
-	d.cmd = exec.Command(program, "-settings", d.path)
-	d.cmd.Stdout, d.cmd.Stderr = d.log, d.log
+	d.cmd = exec.Command(daemonPath, "-settings", d.settingsPath)
+	d.cmd.Stdout, d.cmd.Stderr = d.logFile, d.logFile
 	if err := d.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	done, cmd := make(chan struct{}), d.cmd
-	d.done = done
+	exited, cmd := make(chan struct{}), d.cmd
+	d.exited = exited
 	go func() {
-		_ = cmd.Wait() // how it ended stands in its log; killed ones end with an error
-		close(done)
+		_ = cmd.Wait() // the log shows how it ended; a killed process returns an error
+		close(exited)
 	}()
 }
 
+// signal sends a signal to the process.
 func (d *daemon) signal(s syscall.Signal) { _ = d.cmd.Process.Signal(s) }
 
-// stopped waits for the end of the process, and tells whether it came in time.
-func (d *daemon) stopped(within time.Duration) bool {
+// awaitExit waits for the end of the process and reports whether it came within the timeout.
+func (d *daemon) awaitExit(timeout time.Duration) bool {
 	select {
-	case <-d.done:
+	case <-d.exited:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// kill ends the process, by its id, whatever state it is in.
+// kill ends the process whatever its state, a paused one included.
 func (d *daemon) kill() {
 	d.signal(syscall.SIGCONT)
 	d.signal(syscall.SIGKILL)
-	d.stopped(5 * time.Second)
+	d.awaitExit(5 * time.Second)
 }
--- a/test/soak/promises_test.go
+++ b/test/soak/promises_test.go
@@ -16,67 +16,70 @@
 	"github.com/damaskshelf/damaskshelf/platform/standin"
 )
 
+// Limits of requests and of the recovery from faults.
 const (
-	deadline = 2500 * time.Millisecond
-	slack    = 1500 * time.Millisecond // a paused daemon answers late; the pause counts on top
-	pieces   = 6                       // events of a whole stream
-	settle   = 12 * time.Second        // within it all is well after the last fault
+	requestTimeout  = 2500 * time.Millisecond
+	answerSlack     = 1500 * time.Millisecond // allowed on top of requestTimeout, as a daemon may be paused meanwhile
+	streamEvents    = 6                       // events of a complete stream
+	recoveryTimeout = 12 * time.Second        // time to recover after the last fault
 )
 
-// book holds what callers were told and what workers ran.
-type book struct {
-	mu       sync.Mutex
-	ran      map[string]int    // guarded by mu: runs of what must not run twice
-	told     map[string]int    // guarded by mu: last status that a caller got
-	problems []string          // guarded by mu
-	answers  map[string]string // guarded by mu: how the workers' answers end, by request
+// recorder records the workers' runs, the statuses that callers received and the violations of promises.
+type recorder struct {
+	mu         sync.Mutex
+	runs       map[string]int    // guarded by mu: number of runs by request id
+	statuses   map[string]int    // guarded by mu: last status that a caller received, by request id
+	violations []string          // guarded by mu: the first 20, and those that report adds
+	answers    map[string]string // guarded by mu: by request id; not written at present
 }
 
-func newBook() *book {
-	return &book{ran: map[string]int{}, told: map[string]int{}, answers: map[string]string{}}
+func newRecorder() *recorder {
+	return &recorder{runs: map[string]int{}, statuses: map[string]int{}, answers: map[string]string{}}
 }
 
-func (b *book) problem(format string, args ...any) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.problems) < 20 {
-		b.problems = append(b.problems, fmt.Sprintf(format, args...))
+// addViolation records a violation, up to 20 of them.
+func (r *recorder) addViolation(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.violations) < 20 {
+		r.violations = append(r.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// reply answers as a worker: mostly whole, now and then in one of the ways that workers fail.
-func (b *book) reply(c *standin.WorkerConn, a standin.Arrival) bool {
+// workerReply answers a request in place of a worker: mostly with success, at random with one of the workers' failures.
+func (r *recorder) workerReply(c *standin.WorkerConn, a standin.Arrival) bool {
 	id := a.AttemptID()
 	stream := strings.HasPrefix(a.Path, "/stream/") || strings.HasPrefix(a.Path, "/once/")
-	luck := rand.IntN(100)
-	if luck < 4 {
+	roll := rand.IntN(100)
+	if roll < 4 {
 		return standin.NotExecuted(c, a)
 	}
-	b.mu.Lock()
-	b.ran[id]++
-	b.mu.Unlock()
+	r.mu.Lock()
+	r.runs[id]++
+	r.mu.Unlock()
 	if stream {
-		if luck < 12 {
-			return standin.Events(pieces, 1+luck%(pieces-1), time.Millisecond)(c, a)
+		if roll < 12 {
+			return standin.Events(streamEvents, 1+roll%(streamEvents-1), time.Millisecond)(c, a)
 		}
-		return standin.Events(pieces, 0, 2*time.Millisecond)(c, a)
+		return standin.Events(streamEvents, 0, 2*time.Millisecond)(c, a)
 	}
 	switch {
-	case luck < 6:
+	case roll < 6:
 		return standin.Truncated(c, a)
-	case luck < 8:
+	case roll < 8:
 		return standin.CloseUnanswered(c, a)
-	case luck < 10:
+	case roll < 10:
 		return standin.Garbage(c, a)
-	case luck < 12:
+	case roll < 12:
 		return standin.SecondAnswer(id)(c, a)
 	default:
 		return standin.OK(id)(c, a)
 	}
 }
 
-// call sends requests, one after the other over a connection that is kept while it lasts.
-func (w *world) call(n int, r *rand.Rand, stop <-chan struct{}) {
+// runCaller sends requests in sequence until stop is closed. It reuses a connection while it is open, and replaces it at
+// random.
+func (s *soakRun) runCaller(n int, r *rand.Rand, stop <-chan struct{}) {
 	var conn net.Conn
 	defer func() {
 		if conn != nil {
@@ -95,7 +98,7 @@
 				_ = conn.Close()
 			}
 			var err error
-			conn, err = net.DialTimeout("tcp", w.daemons[r.IntN(len(w.daemons))].callers, time.Second)
+			conn, err = net.DialTimeout("tcp", s.daemons[r.IntN(len(s.daemons))].callerAddr, time.Second)
 			if err != nil {
 				conn = nil
 				continue
@@ -103,22 +106,22 @@
 			in = bufio.NewReader(conn)
 		}
 		kind := []string{"safe", "unsafe", "stream", "once"}[r.IntN(4)]
-		if !w.one(conn, in, kind, fmt.Sprintf("%s-%d-%d", kind, n, i), r) {
+		if !s.sendRequest(conn, in, kind, fmt.Sprintf("%s-%d-%d", kind, n, i), r) {
 			_ = conn.Close()
 			conn = nil
 		}
 	}
 }
 
-// one sends a request and checks its answer; it tells whether the connection goes on.
-func (w *world) one(conn net.Conn, in *bufio.Reader, kind, id string, r *rand.Rand) bool {
-	began := time.Now()
-	_ = conn.SetDeadline(began.Add(deadline + slack + 4*time.Second))
-	c := standin.Call{Method: http.MethodPost, Path: "/" + kind + "/x", Host: host, AttemptID: id, Timeout: deadline, Body: "hi"}
+// sendRequest sends a request and checks its response. It reports whether the connection can be used again.
+func (s *soakRun) sendRequest(conn net.Conn, in *bufio.Reader, kind, id string, r *rand.Rand) bool {
+	start := time.Now()
+	_ = conn.SetDeadline(start.Add(requestTimeout + answerSlack + 4*time.Second))
+	c := standin.Call{Method: http.MethodPost, Path: "/" + kind + "/x", Host: host, AttemptID: id, Timeout: requestTimeout, Body: "hi"}
 	if kind == "stream" || kind == "once" {
 		c.PromptTokens, c.MaxOutputTokens = 1000, 200
 		if r.IntN(10) == 0 {
-			c.PromptTokens = 500_000 // over one engine's memory
+			c.PromptTokens = 500_000 // exceeds one engine's memory
 		}
 	}
 	err := c.Write(conn)
@@ -127,87 +130,89 @@
 	}
 	resp, err := http.ReadResponse(in, &http.Request{Method: http.MethodPost})
 	if err != nil {
-		return false // a closed connection promises nothing
+		return false // no promise covers a connection that closes without a response
 	}
 	body, err := io.ReadAll(resp.Body)
-	w.judge(kind, id, resp, string(body), err, time.Since(began))
+	s.checkResponse(kind, id, resp, string(body), err, time.Since(start))
 	return err == nil && !resp.Close
 }
 
-// judge checks one answer against the promises.
-func (w *world) judge(kind, id string, resp *http.Response, body string, err error, took time.Duration) {
-	w.book.mu.Lock()
-	w.book.told[id] = resp.StatusCode
-	w.book.mu.Unlock()
-	if took > deadline+slack {
-		w.book.problem("%s: answered after %s", id, took)
+// checkResponse checks one response against the promises and records its status.
+func (s *soakRun) checkResponse(kind, id string, resp *http.Response, body string, err error, elapsed time.Duration) {
+	s.recorder.mu.Lock()
+	s.recorder.statuses[id] = resp.StatusCode
+	s.recorder.mu.Unlock()
+	if elapsed > requestTimeout+answerSlack {
+		s.recorder.addViolation("%s: answered after %s", id, elapsed)
 	}
 	if got := standin.AttemptID(resp.Header); got != "" && got != id {
-		w.book.problem("%s: got the answer of %s", id, got)
+		s.recorder.addViolation("%s: received the answer to %s", id, got)
 	}
 	sealed := standin.HasSeal(resp.Header)
 	switch {
 	case resp.StatusCode >= 400 && resp.StatusCode < 500 && resp.StatusCode != http.StatusTooManyRequests && resp.StatusCode != http.StatusRequestTimeout:
-		w.book.problem("%s: a proper request is refused with %d", id, resp.StatusCode)
+		s.recorder.addViolation("%s: a valid request was refused with %d", id, resp.StatusCode)
 	case resp.StatusCode != http.StatusOK:
 	case !sealed:
-		w.book.problem("%s: a success without a seal", id)
+		s.recorder.addViolation("%s: a successful response has no seal", id)
 	case kind == "stream" || kind == "once":
-		w.judgeStream(id, body, err)
+		s.checkStream(id, body, err)
 	case err == nil && body != id:
-		w.book.problem("%s: a success with the body %q", id, body)
+		s.recorder.addViolation("%s: a successful response has the body %q", id, body)
 	}
 }
 
-// judgeStream checks that pieces come in order, none missing or twice, and that only a whole stream ends whole.
-func (w *world) judgeStream(id, body string, err error) {
-	whole := standin.AllEvents(1, pieces)
-	if err == nil && body != whole {
-		w.book.problem("%s: a stream ends as whole with %q", id, body)
+// checkStream checks that a stream's events arrive in order, none missing or repeated, and that only a complete stream
+// ends without an error.
+func (s *soakRun) checkStream(id, body string, err error) {
+	full := standin.AllEvents(1, streamEvents)
+	if err == nil && body != full {
+		s.recorder.addViolation("%s: a stream ended as complete with %q", id, body)
 	}
-	if !strings.HasPrefix(whole, body) {
-		w.book.problem("%s: a stream holds %q", id, body)
+	if !strings.HasPrefix(full, body) {
+		s.recorder.addViolation("%s: a stream contains %q", id, body)
 	}
 }
 
-// check reads the book at the end of a seed.
-func (b *book) check(t *testing.T, all []*standin.Worker) {
+// report checks the recorded runs against the statuses and reports all violations as test failures. Requests that must
+// not run twice must have run at most once, and not at all if they were answered with 429 or 503.
+func (r *recorder) report(t *testing.T, all []*standin.Worker) {
 	t.Helper()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for id, runs := range b.ran {
-		once := strings.HasPrefix(id, "unsafe-") || strings.HasPrefix(id, "once-")
-		if once && runs > 1 {
-			b.problems = append(b.problems, fmt.Sprintf("%s: ran %d times", id, runs))
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for id, runs := range r.runs {
+		atMostOnce := strings.HasPrefix(id, "unsafe-") || strings.HasPrefix(id, "once-")
+		if atMostOnce && runs > 1 {
+			r.violations = append(r.violations, fmt.Sprintf("%s: ran %d times", id, runs))
 		}
-		if status := b.told[id]; once && (status == 503 || status == 429) {
-			b.problems = append(b.problems, fmt.Sprintf("%s: told %d, and it ran", id, status))
+		if status := r.statuses[id]; atMostOnce && (status == 503 || status == 429) {
+			r.violations = append(r.violations, fmt.Sprintf("%s: answered with %d, but it ran", id, status))
 		}
 	}
 	served := 0
-	for _, status := range b.told {
+	for _, status := range r.statuses {
 		if status == http.StatusOK {
 			served++
 		}
 	}
-	t.Logf("%d answers, %d of them good; %d requests ran on %d workers", len(b.told), served, len(b.ran), len(all))
+	t.Logf("%d responses, %d of them successful; %d requests ran on %d workers", len(r.statuses), served, len(r.runs), len(all))
 	if served == 0 {
-		t.Error("nothing was served")
+		t.Error("no request was served")
 	}
-	for _, p := range b.problems {
-		t.Error(p)
+	for _, violation := range r.violations {
+		t.Error(violation)
 	}
 }
 
-// get asks one daemon for a path and gives the status; 0: no answer.
-func get(d *daemon, path, id string) int {
-	conn, err := net.DialTimeout("tcp", d.callers, time.Second)
+// getStatus sends a GET for a path to one daemon and returns the status, or 0 without a response.
+func getStatus(d *daemon, path, id string) int {
+	conn, err := net.DialTimeout("tcp", d.callerAddr, time.Second)
 	if err != nil {
 		return 0
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(deadline + slack))
-	if err := (standin.Call{Method: http.MethodGet, Path: path, Host: host, AttemptID: id, Timeout: deadline}).Write(conn); err != nil {
+	_ = conn.SetDeadline(time.Now().Add(requestTimeout + answerSlack))
+	if err := (standin.Call{Method: http.MethodGet, Path: path, Host: host, AttemptID: id, Timeout: requestTimeout}).Write(conn); err != nil {
 		return 0
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -218,125 +223,128 @@
 	return resp.StatusCode
 }
 
-// within waits until ok holds for every daemon.
-func (w *world) within(what string, ok func(d *daemon) bool) {
-	w.t.Helper()
-	end := time.Now().Add(settle)
-	for _, d := range w.daemons {
+// awaitAll waits until ok holds for every daemon, and ends the test if recoveryTimeout passes first.
+func (s *soakRun) awaitAll(what string, ok func(d *daemon) bool) {
+	s.t.Helper()
+	timeLimit := time.Now().Add(recoveryTimeout)
+	for _, d := range s.daemons {
 		for !ok(d) {
-			if time.Now().After(end) {
-				w.t.Fatalf("%s: not %s within %s", d.name, what, settle)
+			if time.Now().After(timeLimit) {
+				s.t.Fatalf("%s: not %s within %s", d.name, what, recoveryTimeout)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 }
 
-// waitCalm waits until every daemon serves.
-func (w *world) waitCalm(when string) {
+// awaitServing waits until every daemon serves requests.
+func (s *soakRun) awaitServing(when string) {
 	n := 0
-	w.within("serving "+when, func(d *daemon) bool {
+	s.awaitAll("serving "+when, func(d *daemon) bool {
 		n++
-		return get(d, "/safe/x", fmt.Sprintf("calm-%s-%d", strings.ReplaceAll(when, " ", "-"), n)) == http.StatusOK
+		return getStatus(d, "/safe/x", fmt.Sprintf("calm-%s-%d", strings.ReplaceAll(when, " ", "-"), n)) == http.StatusOK
 	})
 }
 
-// newsIsInForce checks that the newest configuration is in force everywhere: its own route is served and the
-// route of the version before is gone.
-func (w *world) newsIsInForce() {
-	w.version++
-	w.putConfig()
+// checkNewConfigInForce writes a new configuration and checks that every daemon puts it in force: the daemon serves the
+// new version's own route and no longer that of the previous version.
+func (s *soakRun) checkNewConfigInForce() {
+	s.configVersion++
+	s.putConfig()
 	n := 0
-	w.within("at the newest configuration", func(d *daemon) bool {
+	s.awaitAll("serving the newest configuration", func(d *daemon) bool {
 		n++
-		return get(d, fmt.Sprintf("/v%d/x", w.version), fmt.Sprintf("news-%d", n)) == http.StatusOK
+		return getStatus(d, fmt.Sprintf("/v%d/x", s.configVersion), fmt.Sprintf("news-%d", n)) == http.StatusOK
 	})
-	for _, d := range w.daemons {
-		if status := get(d, fmt.Sprintf("/v%d/x", w.version-1), "old-"+d.name); status != http.StatusNotFound {
-			w.t.Errorf("%s: the route of an older version answers %d", d.name, status)
+	for _, d := range s.daemons {
+		if status := getStatus(d, fmt.Sprintf("/v%d/x", s.configVersion-1), "old-"+d.name); status != http.StatusNotFound {
+			s.t.Errorf("%s: the route of the previous version returned %d", d.name, status)
 		}
 	}
 }
 
-// limitedGetsWhatItTakes checks that workers that name a limit get it over all daemons: from three seconds after it was named,
-// in four seconds half as much again and five at most.
-func (w *world) limitedGetsWhatItTakes() {
+// checkRateLimits checks that all daemons together respect the rate limit that a worker states. In four seconds, which
+// begin three seconds after the worker first states the limit, it receives at most one and a half times what the limit
+// allows, plus five requests.
+func (s *soakRun) checkRateLimits() {
 	const rate = 2.0
-	limited := w.workers[2:4] // one of each service
-	for _, worker := range limited {
+	limitedWorkers := s.workers[2:4] // one of each service
+	for _, worker := range limitedWorkers {
 		worker.SetHeaderLines(standin.LimitLine(rate))
 	}
 	time.Sleep(3 * time.Second)
-	from := time.Now()
+	countedFrom := time.Now()
 	time.Sleep(4 * time.Second)
-	for _, worker := range limited {
-		got := 0
+	for _, worker := range limitedWorkers {
+		arrivals := 0
 		for _, a := range worker.Arrivals() {
-			if a.ReceivedAt.After(from) {
-				got++
+			if a.ReceivedAt.After(countedFrom) {
+				arrivals++
 			}
 		}
-		if float64(got) > 1.5*rate*4+5 {
-			w.t.Errorf("%s: %d requests in four seconds reached a worker that takes %g a second", worker.ID, got, rate)
+		if float64(arrivals) > 1.5*rate*4+5 {
+			s.t.Errorf("%s: %d requests in four seconds reached a worker with a limit of %g per second", worker.ID, arrivals, rate)
 		}
 		worker.SetHeaderLines()
 	}
 }
 
-// leavingGetsNothing checks that a worker that leaves gets no new work two seconds after it said so, to the store or on an
-// answer. The first one's word is out at once; of the second one nobody knows before it has answered a request.
-func (w *world) leavingGetsNothing() {
-	toStore, onAnswers := w.workers[0], w.workers[3] // one of each service
-	w.register(0, "draining")
-	onAnswers.SetHeaderLines(standin.LeavingLine)
-	said := time.Now()
+// checkLeavingWorkers checks that a worker receives no new requests from two seconds after it announced that it is
+// leaving. One worker announces it in the store, and the time counts from the write. The other one announces it in its
+// responses, and the time counts from the first request that reaches it afterwards.
+func (s *soakRun) checkLeavingWorkers() {
+	leavingByStore, leavingByHeader := s.workers[0], s.workers[3] // one of each service
+	s.registerWorker(0, "draining")
+	leavingByHeader.SetHeaderLines(standin.LeavingLine)
+	leavingSince := time.Now()
 	time.Sleep(2 * time.Second)
-	before := len(toStore.Arrivals())
+	countBefore := len(leavingByStore.Arrivals())
 	time.Sleep(time.Second)
-	if after := len(toStore.Arrivals()); after > before {
-		w.t.Errorf("%d requests reached a worker that had said two seconds before that it leaves", after-before)
+	if countAfter := len(leavingByStore.Arrivals()); countAfter > countBefore {
+		s.t.Errorf("%d requests reached a worker more than two seconds after the store listed it as leaving", countAfter-countBefore)
 	}
-	first := w.firstAfter(onAnswers, said)
-	time.Sleep(time.Until(first.Add(3 * time.Second)))
-	for _, a := range onAnswers.Arrivals() {
-		if a.ReceivedAt.After(first.Add(2 * time.Second)) {
-			w.t.Errorf("%s: %s reached a worker %s after it had answered that it leaves", onAnswers.ID, a.AttemptID(), a.ReceivedAt.Sub(first))
+	firstAnswered := s.awaitArrivalAfter(leavingByHeader, leavingSince)
+	time.Sleep(time.Until(firstAnswered.Add(3 * time.Second)))
+	for _, a := range leavingByHeader.Arrivals() {
+		if a.ReceivedAt.After(firstAnswered.Add(2 * time.Second)) {
+			s.t.Errorf("%s: %s reached a worker %s after it had answered that it is leaving", leavingByHeader.ID, a.AttemptID(), a.ReceivedAt.Sub(firstAnswered))
 		}
 	}
 }
 
-// firstAfter waits for the first request that reaches a worker after a moment, and gives when it did.
-func (w *world) firstAfter(worker *standin.Worker, after time.Time) time.Time {
-	w.t.Helper()
-	for end := time.Now().Add(settle); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+// awaitArrivalAfter waits for the first request that reaches a worker after a point in time, and returns the time of its
+// arrival.
+func (s *soakRun) awaitArrivalAfter(worker *standin.Worker, after time.Time) time.Time {
+	s.t.Helper()
+	for end := time.Now().Add(recoveryTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, a := range worker.Arrivals() {
 			if a.ReceivedAt.After(after) {
 				return a.ReceivedAt
 			}
 		}
 	}
-	w.t.Fatalf("%s: no request in %s", worker.ID, settle)
+	s.t.Fatalf("%s: no request in %s", worker.ID, recoveryTimeout)
 	return time.Time{}
 }
 
-// nothingStaysReserved checks that no engine's memory stays set aside once nothing runs.
-func (w *world) nothingStaysReserved() {
+// checkNoReservedMemory checks that no engine has memory reserved four seconds after the last request.
+func (s *soakRun) checkNoReservedMemory() {
 	time.Sleep(4 * time.Second)
-	for _, worker := range w.workers {
-		if n := worker.ReservedTokens(); n > 0 {
-			w.t.Errorf("%s: %d tokens are reserved four seconds after the last request", worker.ID, n)
+	for _, worker := range s.workers {
+		if tokens := worker.ReservedTokens(); tokens > 0 {
+			s.t.Errorf("%s: %d tokens are reserved four seconds after the last request", worker.ID, tokens)
 		}
 	}
 }
 
-// stopWhole stops every daemon as planned.
-func (w *world) stopWhole() {
-	for _, d := range w.daemons {
+// checkGracefulStop stops every daemon by SIGTERM and checks that each ends within 8 s.
+func (s *soakRun) checkGracefulStop() {
+	for _, d := range s.daemons {
 		d.signal(syscall.SIGTERM)
 	}
-	for _, d := range w.daemons {
-		if !d.stopped(8 * time.Second) {
-			w.t.Errorf("%s has not stopped 8 s after SIGTERM", d.name)
+	for _, d := range s.daemons {
+		if !d.awaitExit(8 * time.Second) {
+			s.t.Errorf("%s has not stopped 8 s after SIGTERM", d.name)
 		}
 	}
 }
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -7,51 +7,53 @@
 	"time"
 )
 
-// state is how a proxy treats the bytes of its connections.
-type state int
+// linkState is how a proxy treats its connections and their bytes.
+type linkState int
 
 const (
-	passing  state = iota
-	delayed        // each piece is late
-	silent         // nothing passes, and nothing says so
-	oneWay         // nothing passes back
-	refusing       // new connections are closed at once
+	forwarding linkState = iota
+	delayed              // each chunk is delayed
+	blackholed           // bytes are discarded in both directions, connections stay open
+	oneWay               // bytes to the client are discarded
+	refusing             // new connections are closed at once
 )
 
-// proxy is a loopback link whose faults are injected from outside the programs that use it.
+// proxy is a TCP proxy on loopback that injects faults into a link from outside the programs that use it.
 type proxy struct {
 	listener net.Listener
 	target   string
 
 	mu    sync.Mutex
-	state state             // guarded by mu
-	delay time.Duration     // guarded by mu
-	open  map[net.Conn]bool // guarded by mu
+	state linkState         // guarded by mu
+	delay time.Duration     // guarded by mu; of each chunk while delayed
+	conns map[net.Conn]bool // guarded by mu; both ends of each open link
 }
 
+// newProxy starts a proxy that forwards to target.
 func newProxy(target string) (*proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, target: target, open: map[net.Conn]bool{}}
+	p := &proxy{listener: l, target: target, conns: map[net.Conn]bool{}}
 	go p.accept()
 	return p, nil
 }
 
 func (p *proxy) addr() string { return p.listener.Addr().String() }
 
-func (p *proxy) set(s state, delay time.Duration) {
+// setState sets how the proxy treats new and open connections.
+func (p *proxy) setState(s linkState, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state, p.delay = s, delay
 }
 
-// reset closes every open connection with a reset.
+// reset closes every open connection with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.open {
+	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -59,11 +61,13 @@
 	}
 }
 
+// close stops the proxy and resets its connections.
 func (p *proxy) close() {
 	_ = p.listener.Close()
 	p.reset()
 }
 
+// accept accepts connections and starts to relay each, until the listener is closed.
 func (p *proxy) accept() {
 	for {
 		c, err := p.listener.Accept()
@@ -77,31 +81,33 @@
 			_ = c.Close()
 			continue
 		}
-		go p.link(c)
+		go p.relay(c)
 	}
 }
 
-func (p *proxy) link(near net.Conn) {
-	far, err := net.DialTimeout("tcp", p.target, time.Second)
+// relay connects a client to the target and copies in both directions until both have ended.
+func (p *proxy) relay(client net.Conn) {
+	server, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
 	p.mu.Lock()
-	p.open[near], p.open[far] = true, true
+	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(far, near, false) })
-	both.Go(func() { p.copy(near, far, true) })
-	both.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { p.copyBytes(server, client, false) })
+	wg.Go(func() { p.copyBytes(client, server, true) })
+	wg.Wait()
 	p.mu.Lock()
-	delete(p.open, near)
-	delete(p.open, far)
+	delete(p.conns, client)
+	delete(p.conns, server)
 	p.mu.Unlock()
 }
 
-// copy passes bytes on until an end closes. What a silent link holds up is not passed on later.
-func (p *proxy) copy(to, from net.Conn, back bool) {
+// copyBytes forwards bytes until either end closes. Once a chunk can't be forwarded, it discards everything that follows:
+// bytes lost on a blackholed link are not delivered later.
+func (p *proxy) copyBytes(to, from net.Conn, toClient bool) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -109,8 +115,8 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !p.pass(to, buf[:n], back) {
-			_, _ = io.Copy(io.Discard, from) // lost for good: the connection stays open and dead
+		if n > 0 && !p.forward(to, buf[:n], toClient) {
+			_, _ = io.Copy(io.Discard, from) // the connection stays open, but delivers nothing any more
 			return
 		}
 		if err != nil {
@@ -119,12 +125,13 @@
 	}
 }
 
-func (p *proxy) pass(to net.Conn, b []byte, back bool) bool {
+// forward writes one chunk as the link's state requires, and reports whether it was written.
+func (p *proxy) forward(to net.Conn, b []byte, toClient bool) bool {
 	p.mu.Lock()
 	s, delay := p.state, p.delay
 	p.mu.Unlock()
 	switch {
-	case s == silent, s == oneWay && back:
+	case s == blackholed, s == oneWay && toClient:
 		return false
 	case s == delayed:
 		time.Sleep(delay)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,6 +1,6 @@
-// Package soak_test runs the real daemon as processes and injects faults from outside: links that are
-// delayed, reset, cut one way or silent; processes that are killed, paused and restarted; a store and
-// workers that misbehave. While that goes on, callers check what the product promises.
+// Package soak_test runs the real daemon as processes and injects faults from outside. Links are delayed, reset,
+// blackholed or lose one direction; processes are killed, paused and restarted; the store and the workers misbehave.
+// Meanwhile callers check the promises of docs/PROMISES.md.
 //
 //	go test ./test/soak -run Soak -args -seeds 50 -first 1
 package soak_test
@@ -20,134 +20,139 @@
 )
 
 var (
-	seeds  = flag.Int("seeds", 2, "how many seeds are played")
-	first  = flag.Uint64("first", 1, "the first seed")
-	length = flag.Duration("length", 6*time.Second, "how long faults go on")
+	seedCount   = flag.Int("seeds", 2, "number of seeds to run")
+	firstSeed   = flag.Uint64("first", 1, "first seed")
+	faultPeriod = flag.Duration("length", 6*time.Second, "duration of the faults")
 )
 
-// failed lists seeds that ever showed a failure, with its cause; they are always played.
-var failed = []struct {
+// failedSeeds lists seeds that have found a failure, with its cause. TestSoak always runs them.
+var failedSeeds = []struct {
 	seed  uint64
 	cause string
 }{
-	{5007, "the dispatcher couldn't read the store, had missed a change, and took none that came after it from an instance that could: a leaving upstream got work"},
+	{5007, "the dispatcher could not read the store, had missed a change, and applied none of the later ones that an instance that could read it sent: a leaving upstream got work"},
 }
 
 func TestSoak(t *testing.T) {
-	for i := range uint64(*seeds) {
-		t.Run(fmt.Sprintf("seed_%d", *first+i), func(t *testing.T) { play(t, *first+i) })
+	for i := range uint64(*seedCount) {
+		t.Run(fmt.Sprintf("seed_%d", *firstSeed+i), func(t *testing.T) { runSeed(t, *firstSeed+i) })
 	}
-	for _, f := range failed {
-		t.Run(fmt.Sprintf("once_failed_%d", f.seed), func(t *testing.T) { play(t, f.seed) })
+	for _, f := range failedSeeds {
+		t.Run(fmt.Sprintf("once_failed_%d", f.seed), func(t *testing.T) { runSeed(t, f.seed) })
 	}
 }
 
 const (
-	nodes   = 3
-	workers = 4
-	callers = 12
-	host    = "soak.example"
-	gap     = 500 * time.Millisecond // longest pause of a stream in time
+	daemonCount = 3
+	workerCount = 4
+	callerCount = 12
+	host        = "soak.example"
+	streamGap   = 500 * time.Millisecond // target for the longest gap between a stream's events
 )
 
-// world is one played seed.
-type world struct {
-	t       *testing.T
-	rand    *rand.Rand
-	words   *rand.Rand // of what workers say of themselves: the other faults of a seed don't depend on it
-	store   *standin.Store
-	links   []*proxy // to the store, one for each daemon
-	peers   []*proxy
-	daemons []*daemon
-	workers []*standin.Worker
-	ways    []*proxy // to the workers
-	book    *book
-	version int
+// soakRun is the run of one seed.
+type soakRun struct {
+	t             *testing.T
+	faultRand     *rand.Rand
+	headerRand    *rand.Rand // selects the workers' headers; kept apart so that they don't change the seed's other faults
+	store         *standin.Store
+	storeLinks    []*proxy // from each daemon to the store
+	peerLinks     []*proxy // to each daemon from its peers
+	daemons       []*daemon
+	workers       []*standin.Worker
+	workerLinks   []*proxy // to each worker
+	recorder      *recorder
+	configVersion int
 }
 
-func play(t *testing.T, seed uint64) {
-	w := newWorld(t, seed)
-	defer w.end()
-	w.waitCalm("at the start")
+// runSeed loads the daemons with callers, injects the seed's faults, ends them, and checks the promises.
+func runSeed(t *testing.T, seed uint64) {
+	s := newSoakRun(t, seed)
+	defer s.shutDown()
+	s.awaitServing("at the start")
 	stop := make(chan struct{})
-	var all sync.WaitGroup
-	for i := range callers {
-		all.Go(func() { w.call(i, rand.New(rand.NewPCG(seed, uint64(i)+10)), stop) })
+	var callers sync.WaitGroup
+	for i := range callerCount {
+		callers.Go(func() { s.runCaller(i, rand.New(rand.NewPCG(seed, uint64(i)+10)), stop) })
 	}
-	w.faults(*length)
-	w.heal()
-	w.waitCalm("after the faults")
-	w.newsIsInForce()
-	w.limitedGetsWhatItTakes()
-	w.leavingGetsNothing()
+	s.injectFaults(*faultPeriod)
+	s.clearFaults()
+	s.awaitServing("after the faults")
+	s.checkNewConfigInForce()
+	s.checkRateLimits()
+	s.checkLeavingWorkers()
 	close(stop)
-	all.Wait()
-	w.book.check(t, w.workers)
-	w.nothingStaysReserved()
-	w.stopWhole()
+	callers.Wait()
+	s.recorder.report(t, s.workers)
+	s.checkNoReservedMemory()
+	s.checkGracefulStop()
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
+// newSoakRun starts the store, the workers and the daemons. If SOAK_LOGS names a directory, logs are kept there.
+func newSoakRun(t *testing.T, seed uint64) *soakRun {
 	t.Helper()
 	dir := t.TempDir()
-	if kept := os.Getenv("SOAK_LOGS"); kept != "" {
-		dir = filepath.Join(kept, fmt.Sprintf("seed-%d", seed))
+	if logDir := os.Getenv("SOAK_LOGS"); logDir != "" {
+		dir = filepath.Join(logDir, fmt.Sprintf("seed-%d", seed))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w := &world{t: t, rand: rand.New(rand.NewPCG(seed, 1)), words: rand.New(rand.NewPCG(seed, 2)), book: newBook(), version: 1}
+	s := &soakRun{t: t, faultRand: rand.New(rand.NewPCG(seed, 1)), headerRand: rand.New(rand.NewPCG(seed, 2)), recorder: newRecorder(), configVersion: 1}
 	var err error
-	if w.store, err = standin.NewStore(); err != nil {
+	if s.store, err = standin.NewStore(); err != nil {
 		t.Fatal(err)
 	}
-	w.putConfig()
-	for i := range workers {
-		w.addWorker(fmt.Sprintf("w%d", i+1))
+	s.putConfig()
+	for i := range workerCount {
+		s.addWorker(fmt.Sprintf("w%d", i+1))
 	}
-	for i := range nodes {
-		link := w.proxy(w.store.Addr())
-		w.links = append(w.links, link)
-		d := newDaemon(t, dir, fmt.Sprintf("entry-%d", i+1), link.addr(), func(peers string) string {
-			p := w.proxy(peers)
-			w.peers = append(w.peers, p)
+	for i := range daemonCount {
+		storeLink := s.startProxy(s.store.Addr())
+		s.storeLinks = append(s.storeLinks, storeLink)
+		d := newDaemon(t, dir, fmt.Sprintf("entry-%d", i+1), storeLink.addr(), func(peers string) string {
+			p := s.startProxy(peers)
+			s.peerLinks = append(s.peerLinks, p)
 			return p.addr()
 		})
 		d.start(t)
-		w.daemons = append(w.daemons, d)
+		s.daemons = append(s.daemons, d)
 	}
-	return w
+	return s
 }
 
-func (w *world) proxy(target string) *proxy {
+// startProxy starts a proxy to target.
+func (s *soakRun) startProxy(target string) *proxy {
 	p, err := newProxy(target)
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	return p
 }
 
-// addWorker starts a worker behind a link. Every second one is an engine.
-func (w *world) addWorker(id string) {
+// addWorker starts a worker behind a proxy and registers it. Every second worker is an engine.
+func (s *soakRun) addWorker(id string) {
 	worker, err := standin.NewWorker(id)
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	worker.SetReply(w.book.reply)
-	w.workers = append(w.workers, worker)
-	w.ways = append(w.ways, w.proxy(worker.Addr()))
-	w.register(len(w.workers)-1, "ready")
+	worker.SetReply(s.recorder.workerReply)
+	s.workers = append(s.workers, worker)
+	s.workerLinks = append(s.workerLinks, s.startProxy(worker.Addr()))
+	s.registerWorker(len(s.workers)-1, "ready")
 }
 
-func (w *world) register(i int, state string) {
+// registerWorker writes the worker with index i to the store with a state.
+func (s *soakRun) registerWorker(i int, state string) {
 	service := "plain"
 	if i%2 == 1 {
 		service = "engines"
 	}
-	w.store.PutWorker(w.workers[i].ID, service, w.ways[i].addr(), state)
+	s.store.PutWorker(s.workers[i].ID, service, s.workerLinks[i].addr(), state)
 }
 
-func (w *world) putConfig() {
+// putConfig writes the present configuration version to the store. It has a route of its own, named after the version.
+func (s *soakRun) putConfig() {
 	route := func(name, kind, service string) standin.Route {
 		return standin.Route{
 			Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: kind, Service: service, MaxAttempts: 2, Public: true,
@@ -157,108 +162,111 @@
 	unsafe := route("unsafe", "non_idempotent", "plain")
 	unsafe.MaxAttempts = 1
 	stream, once := route("stream", "streaming", "engines"), route("once", "streaming", "engines")
-	stream.Resumable, stream.TargetGap, once.TargetGap = true, gap, gap
-	w.store.PutConfig(w.version, []standin.Route{
-		route("safe", "idempotent", "plain"), unsafe, stream, once, route(fmt.Sprintf("v%d", w.version), "idempotent", "plain"),
+	stream.Resumable, stream.TargetGap, once.TargetGap = true, streamGap, streamGap
+	s.store.PutConfig(s.configVersion, []standin.Route{
+		route("safe", "idempotent", "plain"), unsafe, stream, once, route(fmt.Sprintf("v%d", s.configVersion), "idempotent", "plain"),
 	}, []standin.Service{{Name: "plain"}, {Name: "engines", KVCacheTokens: 400_000}}, nil)
 }
 
-// faults injects faults in series that overlap, for a time.
-func (w *world) faults(length time.Duration) {
+// injectFaults injects overlapping faults for a time.
+func (s *soakRun) injectFaults(length time.Duration) {
 	for end := time.Now().Add(length); time.Now().Before(end); {
-		w.fault()
-		w.word()
-		time.Sleep(time.Duration(w.rand.IntN(600)) * time.Millisecond)
+		s.injectFault()
+		s.changeWorkerHeaders()
+		time.Sleep(time.Duration(s.faultRand.IntN(600)) * time.Millisecond)
 	}
 }
 
-func (w *world) fault() {
-	pick := func(all []*proxy) *proxy { return all[w.rand.IntN(len(all))] }
-	states := []state{passing, delayed, silent, oneWay, refusing}
-	late := time.Duration(w.rand.IntN(80)) * time.Millisecond
-	switch w.rand.IntN(10) {
+// injectFault injects one fault, selected by the seed.
+func (s *soakRun) injectFault() {
+	pick := func(links []*proxy) *proxy { return links[s.faultRand.IntN(len(links))] }
+	states := []linkState{forwarding, delayed, blackholed, oneWay, refusing}
+	delay := time.Duration(s.faultRand.IntN(80)) * time.Millisecond
+	switch s.faultRand.IntN(10) {
 	case 0, 1:
-		pick(w.links).set(states[w.rand.IntN(len(states))], late)
+		pick(s.storeLinks).setState(states[s.faultRand.IntN(len(states))], delay)
 	case 2, 3:
-		pick(w.peers).set(states[w.rand.IntN(len(states))], late)
+		pick(s.peerLinks).setState(states[s.faultRand.IntN(len(states))], delay)
 	case 4:
-		pick(w.ways).set(states[w.rand.IntN(len(states))], late)
+		pick(s.workerLinks).setState(states[s.faultRand.IntN(len(states))], delay)
 	case 5:
-		pick(append(append(w.links, w.peers...), w.ways...)).reset()
+		pick(append(append(s.storeLinks, s.peerLinks...), s.workerLinks...)).reset()
 	case 6:
-		w.disturb(w.daemons[w.rand.IntN(len(w.daemons))])
+		s.disruptDaemon(s.daemons[s.faultRand.IntN(len(s.daemons))])
 	case 7:
-		w.store.SetFault(standin.StoreFault(w.rand.IntN(int(standin.StoreSilentWatches) + 1)))
+		s.store.SetFault(standin.StoreFault(s.faultRand.IntN(int(standin.StoreSilentWatches) + 1)))
 	case 8:
-		w.version++
-		w.putConfig()
-		if w.rand.IntN(2) == 0 {
-			w.store.DropHistory()
+		s.configVersion++
+		s.putConfig()
+		if s.faultRand.IntN(2) == 0 {
+			s.store.DropHistory()
 		}
 	case 9:
-		w.workers[w.rand.IntN(len(w.workers))].CloseConns()
+		s.workers[s.faultRand.IntN(len(s.workers))].CloseConns()
 	}
 }
 
-// word has a worker name a limit in its answers, or a pause in its refusals, or no longer, now and then.
-func (w *world) word() {
-	worker := w.workers[w.words.IntN(len(w.workers))]
-	switch w.words.IntN(8) {
+// changeWorkerHeaders makes a worker state a rate limit or a Retry-After in its responses, or neither. Three calls in eight
+// change nothing.
+func (s *soakRun) changeWorkerHeaders() {
+	worker := s.workers[s.headerRand.IntN(len(s.workers))]
+	switch s.headerRand.IntN(8) {
 	case 0, 1:
-		worker.SetHeaderLines(standin.LimitLine(0.5 + 20*w.words.Float64()))
+		worker.SetHeaderLines(standin.LimitLine(0.5 + 20*s.headerRand.Float64()))
 	case 2:
-		worker.SetHeaderLines(standin.RetryAfterLine(2 * w.words.Float64()))
+		worker.SetHeaderLines(standin.RetryAfterLine(2 * s.headerRand.Float64()))
 	case 3, 4:
 		worker.SetHeaderLines()
 	}
 }
 
-// disturb kills, stops, pauses or wakes a daemon.
-func (w *world) disturb(d *daemon) {
-	switch w.rand.IntN(4) {
+// disruptDaemon kills and restarts a daemon, stops it gracefully and restarts it, pauses it, or sends it SIGHUP.
+func (s *soakRun) disruptDaemon(d *daemon) {
+	switch s.faultRand.IntN(4) {
 	case 0:
 		d.kill()
-		d.start(w.t)
+		d.start(s.t)
 	case 1:
 		d.signal(syscall.SIGTERM)
-		if !d.stopped(8 * time.Second) {
-			w.t.Errorf("%s has not stopped 8 s after SIGTERM", d.name)
+		if !d.awaitExit(8 * time.Second) {
+			s.t.Errorf("%s has not stopped 8 s after SIGTERM", d.name)
 			d.kill()
 		}
-		d.start(w.t)
+		d.start(s.t)
 	case 2:
 		d.signal(syscall.SIGSTOP)
-		time.Sleep(time.Duration(w.rand.IntN(1500)) * time.Millisecond)
+		time.Sleep(time.Duration(s.faultRand.IntN(1500)) * time.Millisecond)
 		d.signal(syscall.SIGCONT)
 	case 3:
 		d.signal(syscall.SIGHUP)
 	}
 }
 
-// heal ends every fault. Connections that went silent stay dead.
-func (w *world) heal() {
-	w.store.SetFault(standin.StoreHealthy)
-	for _, worker := range w.workers {
+// clearFaults ends every fault. Connections that lost bytes stay open and deliver nothing.
+func (s *soakRun) clearFaults() {
+	s.store.SetFault(standin.StoreHealthy)
+	for _, worker := range s.workers {
 		worker.SetHeaderLines()
 	}
-	for _, all := range [][]*proxy{w.links, w.peers, w.ways} {
-		for _, p := range all {
-			p.set(passing, 0)
+	for _, links := range [][]*proxy{s.storeLinks, s.peerLinks, s.workerLinks} {
+		for _, p := range links {
+			p.setState(forwarding, 0)
 		}
 	}
 }
 
-func (w *world) end() {
-	for _, d := range w.daemons {
+// shutDown ends all processes, proxies and stand-ins.
+func (s *soakRun) shutDown() {
+	for _, d := range s.daemons {
 		d.kill()
 	}
-	for _, all := range [][]*proxy{w.links, w.peers, w.ways} {
-		for _, p := range all {
+	for _, links := range [][]*proxy{s.storeLinks, s.peerLinks, s.workerLinks} {
+		for _, p := range links {
 			p.close()
 		}
 	}
-	for _, worker := range w.workers {
+	for _, worker := range s.workers {
 		worker.Close()
 	}
-	w.store.Close()
+	s.store.Close()
 }
