--- a/test/e2e/chaos_test.go
+++ b/test/e2e/chaos_test.go
@@ -10,7 +10,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/faults"
 )
 
-// Faults of one target each, from which a seeded choice is made.
+// Faults that a seeded choice selects from, by kind of target.
 var (
 	engineFaults = []faults.Fault{
 		faults.Kill, faults.SilentConnections, faults.CloseConnections, faults.Cold, faults.Hang, faults.LoseAnswer, faults.NoEndMark,
@@ -22,52 +22,52 @@
 	platformFaults = []faults.Fault{faults.Kill, faults.Hang, faults.Slow, faults.CloseConnections, faults.SilentConnections}
 )
 
-// Faults come together and twice: engines, services, object API and instance list fail in turns, several at
-// a time, and an entry instance dies and is replaced. Requests may fail, in words; no answer is wrong or
-// short, no booking runs twice, nothing that ran is said not to have run, nothing hangs, and in the end all
-// serves and no memory is lost.
+// Engines, services, the object API and the instance list fail in rounds, four of them at a time, and an entry instance
+// is killed and replaced. Requests may fail with an explicit error. No answer may be wrong or incomplete, no booking may
+// run twice, no request that ran may be reported as not run, and none may hang. In the end the fleet serves all requests
+// and no engine holds memory.
 func TestFaultsTogether(t *testing.T) {
-	const rounds, atOnce, round = 8, 4, time.Second
-	f := start(t)
+	const rounds, faultsPerRound, roundDuration = 8, 4, time.Second
+	f := startFleet(t)
 	r := rand.New(rand.NewPCG(7, 7))
-	victim := f.started()[1]
+	killed := f.startedEntries()[1]
 	mayFail := func(o *outcome) bool {
-		return o.explicit() || o.entry == victim.row.ID && (o.unreached() || o.Err != nil)
+		return o.failedExplicitly() || o.entry == killed.row.ID && (o.notConnected() || o.Err != nil)
 	}
-	run(t, f, mayFail, func() {
+	runUnderLoad(t, f, mayFail, func() {
 		for n := range rounds {
-			played := f.playSome(r, atOnce)
+			started := f.startRandomFaults(r, faultsPerRound)
 			if n == rounds/2 {
-				victim.kill()
-				f.unlist(victim.row.ID)
-				f.startEntry("entry-new", victim.row.Domain)
+				killed.kill()
+				f.unlistInstance(killed.row.ID)
+				f.startEntry("entry-new", killed.row.Domain)
 			}
-			time.Sleep(round)
-			for target, fault := range played {
-				f.fault(target, fault, false)
+			time.Sleep(roundDuration)
+			for target, fault := range started {
+				f.setFault(target, fault, false)
 			}
 		}
 	})
 }
 
-// playSome turns a fault on at some of the targets, and gives them.
-func (f *fleet) playSome(r *rand.Rand, some int) map[string]faults.Fault {
+// startRandomFaults turns on one fault at each of count random targets, and returns the faults by target.
+func (f *fleet) startRandomFaults(r *rand.Rand, count int) map[string]faults.Fault {
 	targets := []string{cluster.TargetObjects, cluster.TargetInstances, "bookdesk-0", "bookdesk-1", "bookdesk-2"}
 	for _, domain := range domains {
 		targets = append(targets, "engine-"+domain+"-0", "engine-"+domain+"-1")
 	}
 	r.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
-	played := map[string]faults.Fault{}
-	for _, target := range targets[:some] {
-		list := engineFaults
+	started := map[string]faults.Fault{}
+	for _, target := range targets[:count] {
+		choices := engineFaults
 		switch {
 		case target == cluster.TargetObjects || target == cluster.TargetInstances:
-			list = platformFaults
+			choices = platformFaults
 		case strings.HasPrefix(target, bookdesk):
-			list = serviceFaults
+			choices = serviceFaults
 		}
-		played[target] = list[r.IntN(len(list))]
-		f.fault(target, played[target], true)
+		started[target] = choices[r.IntN(len(choices))]
+		f.setFault(target, started[target], true)
 	}
-	return played
+	return started
 }
--- a/test/e2e/e2e_test.go
+++ b/test/e2e/e2e_test.go
@@ -1,5 +1,5 @@
-// Package e2e_test runs the daemon and the stand-ins as processes of their own and checks what callers and
-// upstreams saw against the promises, with faults under load.
+// Package e2e_test runs the daemon and the stand-ins as processes of their own. It injects faults under load, and checks
+// what callers received and what upstreams ran against the promises of docs/PROMISES.md.
 package e2e_test
 
 import (
@@ -17,22 +17,22 @@
 )
 
 const (
-	before = 500 * time.Millisecond // load before a fault
-	during = 2 * time.Second        // load during it
-	shown  = 10                     // violations shown of one test
+	stepPause     = 500 * time.Millisecond // between the steps of a scenario, under load
+	faultPeriod   = 2 * time.Second        // of one fault under load
+	maxViolations = 10                     // a test stops after printing so many violations
 )
 
-// Targets that stand for the engines which started most requests so far: a fault of an engine that routing
-// leaves alone would show nothing.
+// Targets that stand for the engines that have run the most requests. A fault of an engine that receives no requests would
+// have no effect.
 const (
-	busiest = "busiest engine"
-	second  = "second busiest engine"
+	busiestEngine       = "busiest engine"
+	secondBusiestEngine = "second busiest engine"
 )
 
-// target gives the id that a target of the table stands for.
-func (f *fleet) target(name string) string {
+// resolveTarget returns the id that a target of faultCases stands for.
+func (f *fleet) resolveTarget(name string) string {
 	f.t.Helper()
-	if name != busiest && name != second {
+	if name != busiestEngine && name != secondBusiestEngine {
 		return name
 	}
 	engines := f.counters().Engines
@@ -40,30 +40,31 @@
 	slices.SortFunc(ids, func(a, b string) int {
 		return cmp.Or(cmp.Compare(len(engines[b].Runs), len(engines[a].Runs)), cmp.Compare(a, b))
 	})
-	if name == busiest {
+	if name == busiestEngine {
 		return ids[0]
 	}
 	return ids[1]
 }
 
-// all requests have to be answered whole.
-func all(*outcome) bool { return false }
+// noneMayFail requires that every request is answered completely.
+func noneMayFail(*outcome) bool { return false }
 
-// run loads the fleet, plays the story, and checks that no promise was broken: of no outcome, and no
-// request that may not fail did. In the end the fleet serves as before and no engine holds memory.
-func run(t *testing.T, f *fleet, mayFail func(*outcome) bool, story func()) {
+// runUnderLoad runs the scenario while callers load the fleet. It checks that every outcome keeps the promises and that
+// requests failed only where mayFail permits it. Afterwards the fleet must serve requests, and engines must be idle and
+// hold no memory.
+func runUnderLoad(t *testing.T, f *fleet, mayFail func(*outcome) bool, scenario func()) {
 	t.Helper()
-	c := f.startCrowd()
-	time.Sleep(before)
-	story()
-	outcomes := c.stop()
+	load := f.startLoad()
+	time.Sleep(stepPause)
+	scenario()
+	outcomes := load.stop()
 	f.awaitService()
-	f.await("engines are idle and hold no memory", f.idle)
-	saw := f.counters()
+	f.await("engines are idle and hold no memory", f.enginesIdle)
+	counters := f.counters()
 	violations, failed := 0, 0
 	for _, o := range outcomes {
-		err := check(o, saw)
-		if err == nil && !o.whole() {
+		err := checkOutcome(o, counters)
+		if err == nil && !o.complete() {
 			failed++
 			if !mayFail(o) {
 				t.Errorf("failed: %v", o)
@@ -74,16 +75,16 @@
 			t.Errorf("%v: %v", err, o)
 			violations++
 		}
-		if violations >= shown {
-			t.Fatal("and maybe more")
+		if violations >= maxViolations {
+			t.Fatal("too many violations; there may be more")
 		}
 	}
 	t.Logf("%d requests, %d failed", len(outcomes), failed)
 	is.New(t).True(len(outcomes) > 0)
 }
 
-// idle tells whether all engines that run are without work and memory in use.
-func (f *fleet) idle() bool {
+// enginesIdle reports whether no engine has requests in flight or memory in use.
+func (f *fleet) enginesIdle() bool {
 	for _, e := range f.counters().Engines {
 		if e.InFlight != 0 || e.HeldTokens != 0 {
 			return false
@@ -92,103 +93,107 @@
 	return true
 }
 
-// upstreamFaults are faults of one upstream or of the platform under load.
-var upstreamFaults = []struct {
+// faultCases are faults of upstreams or of the platform under load. mayFail reports whether a request may fail.
+var faultCases = []struct {
 	name    string
 	targets []string
 	fault   faults.Fault
 	mayFail func(*outcome) bool
 }{
-	// Nothing is wrong; every request is answered whole.
-	{"none", nil, "", all},
+	// Without a fault, every request is answered completely.
+	{"none", nil, "", noneMayFail},
 
-	// An engine sends parts twice, out of order, late or of another request's answer. Callers see none of
-	// that: entry instances take only the part that comes next and fetch what is missing elsewhere.
-	{"duplicate parts", []string{busiest}, faults.DuplicateParts, all},
-	{"reordered parts", []string{busiest}, faults.ReorderedParts, all},
-	{"late parts", []string{busiest}, faults.LateParts, all},
-	{"foreign parts", []string{busiest}, faults.ForeignParts, all},
+	// An engine sends parts twice, out of order, late or of another request's answer. Callers see no effect: entry
+	// instances accept only the next part in order, and get missing parts from another engine.
+	{"duplicate parts", []string{busiestEngine}, faults.DuplicateParts, noneMayFail},
+	{"reordered parts", []string{busiestEngine}, faults.ReorderedParts, noneMayFail},
+	{"late parts", []string{busiestEngine}, faults.LateParts, noneMayFail},
+	{"foreign parts", []string{busiestEngine}, faults.ForeignParts, noneMayFail},
 
-	// An engine's streams end early as if they were whole. Callers get the rest from another engine.
-	{"no end mark", []string{busiest}, faults.NoEndMark, all},
+	// An engine's streams end early as if they were complete. Callers receive the rest from another engine.
+	{"no end mark", []string{busiestEngine}, faults.NoEndMark, noneMayFail},
 
-	// Two engines do the work and lose the answers with their connections; prompts may run again.
-	{"lost answers", []string{busiest, second}, faults.LoseAnswer, budgeted},
+	// Two engines run requests and close the connections without an answer. Prompts may run again.
+	{"lost answers", []string{busiestEngine, secondBusiestEngine}, faults.LoseAnswer, promptsMayFail},
 
-	// All connections to two engines and a service break in mid-answer. Prompts go on elsewhere; a booking
-	// that was sent is of unknown outcome and is not sent again.
-	{"cut connections", []string{busiest, second, "bookdesk-0"}, faults.CloseConnections, served},
+	// All connections to two engines and a service instance close during answers. Prompts continue on other engines.
+	// The outcome of a booking that was sent is unknown, and it is not sent again.
+	{"cut connections", []string{busiestEngine, secondBusiestEngine, "bookdesk-0"}, faults.CloseConnections, serviceCallsMayFail},
 
-	// All connections open to an engine go silent for good while new ones work.
-	{"silent connections", []string{busiest, second}, faults.SilentConnections, all},
+	// All open connections to two engines become silent for good, and new ones work.
+	{"silent connections", []string{busiestEngine, secondBusiestEngine}, faults.SilentConnections, noneMayFail},
 
-	// An engine dies under load and comes back cold.
-	{"engine killed", []string{busiest}, faults.Kill, all},
+	// An engine is killed under load and restarts cold.
+	{"engine killed", []string{busiestEngine}, faults.Kill, noneMayFail},
 
-	// An engine turns cold without a word and falls over under what it bore before; its work goes on
-	// elsewhere.
-	{"engine turns cold", []string{busiest}, faults.Cold, all},
+	// An engine becomes cold without a notice and collapses under the load that it carried before. Its requests
+	// continue on other engines.
+	{"engine turns cold", []string{busiestEngine}, faults.Cold, noneMayFail},
 
-	// An engine is leaving: it refuses new work and finishes what it has.
-	{"engine leaving", []string{busiest}, faults.Leaving, all},
+	// An engine is leaving: it refuses new requests and finishes those in flight.
+	{"engine leaving", []string{busiestEngine}, faults.Leaving, noneMayFail},
 
-	// An engine is overloaded: it takes requests and connections and answers nothing at all.
-	{"engine hangs", []string{busiest}, faults.Hang, all},
+	// An engine is overloaded: it accepts connections and requests, but answers none.
+	{"engine hangs", []string{busiestEngine}, faults.Hang, noneMayFail},
 
-	// First tokens of two engines are late by half a second.
-	{"slow first byte", []string{busiest, second}, faults.SlowFirstByte, all},
+	// The first tokens of two engines are delayed by half a second.
+	{"slow first byte", []string{busiestEngine, secondBusiestEngine}, faults.SlowFirstByte, noneMayFail},
 
-	// A service instance takes calls and answers nothing. Reads go elsewhere, bookings end as unknown.
-	{"service hangs", []string{"bookdesk-0"}, faults.Hang, served},
+	// A service instance accepts requests, but answers none. Reads are sent to another instance; the outcome of
+	// bookings is unknown.
+	{"service hangs", []string{"bookdesk-0"}, faults.Hang, serviceCallsMayFail},
 
-	// A service instance refuses bookings that it did not start; another one takes them.
-	{"service refuses", []string{"bookdesk-0"}, faults.RefuseStart, all},
+	// A service instance refuses requests as not started. Another instance runs them.
+	{"service refuses", []string{"bookdesk-0"}, faults.RefuseStart, noneMayFail},
 
-	// A service instance runs bookings and loses the answers, or dies before or after the run. The outcome
-	// is unknown to the caller, and no booking runs twice.
-	{"service loses answers", []string{"bookdesk-0", "bookdesk-1"}, faults.LoseAnswer, served},
-	{"service dies before the run", []string{"bookdesk-0"}, faults.CrashBeforeRun, served},
-	{"service dies after the run", []string{"bookdesk-0"}, faults.CrashAfterRun, served},
+	// Service instances run bookings and lose the answers, or crash before or after the run. The outcome is unknown to
+	// the caller, and no booking runs twice.
+	{"service loses answers", []string{"bookdesk-0", "bookdesk-1"}, faults.LoseAnswer, serviceCallsMayFail},
+	{"service dies before the run", []string{"bookdesk-0"}, faults.CrashBeforeRun, serviceCallsMayFail},
+	{"service dies after the run", []string{"bookdesk-0"}, faults.CrashAfterRun, serviceCallsMayFail},
 
-	// The object API refuses, hangs or loses answers to writes; prompts, reads and bookings without a key
-	// don't need it.
-	{"store down", []string{cluster.TargetObjects}, faults.Kill, all},
-	{"store hangs", []string{cluster.TargetObjects}, faults.Hang, all},
-	{"store slow", []string{cluster.TargetObjects}, faults.Slow, all},
-	{"store loses answers", []string{cluster.TargetObjects}, faults.LoseAnswer, all},
+	// The object API is down, hangs, is slow or loses answers to writes. Prompts, reads and bookings without an
+	// idempotency key don't need it.
+	{"store down", []string{cluster.TargetObjects}, faults.Kill, noneMayFail},
+	{"store hangs", []string{cluster.TargetObjects}, faults.Hang, noneMayFail},
+	{"store slow", []string{cluster.TargetObjects}, faults.Slow, noneMayFail},
+	{"store loses answers", []string{cluster.TargetObjects}, faults.LoseAnswer, noneMayFail},
 
-	// The instance list is down or stands still.
-	{"instance list down", []string{cluster.TargetInstances}, faults.Kill, all},
-	{"instance list stands still", []string{cluster.TargetInstances}, faults.StaleInstanceList, all},
+	// The instance list is down or no longer changes.
+	{"instance list down", []string{cluster.TargetInstances}, faults.Kill, noneMayFail},
+	{"instance list stands still", []string{cluster.TargetInstances}, faults.StaleInstanceList, noneMayFail},
 }
 
-// budgeted lets prompts fail, in words, that met a fault which hits every request on an engine: retries have a
-// budget, so that they don't multiply the load of a failing fleet.
-func budgeted(o *outcome) bool { return o.kind == "prompt" && o.explicit() && !o.notRun() }
+// promptsMayFail permits explicit failures of prompts that may have run. It applies to a fault that affects every request
+// on an engine: the retry budget, which keeps retries from multiplying the load of a failing fleet, can be exhausted.
+func promptsMayFail(o *outcome) bool {
+	return o.kind == "prompt" && o.failedExplicitly() && !o.reportedNotRun()
+}
 
-// served lets calls of a plain service fail, in words, while instances of it are failing: a booking that was
-// sent ends as unknown, and what finds the healthy instances at their limit is told when to come back.
-func served(o *outcome) bool {
-	return o.kind != "prompt" && o.explicit() && (!o.notRun() || o.Header[fasthttp.HeaderRetryAfter] != "")
+// serviceCallsMayFail permits explicit failures of calls of the plain service while instances of it fail. The outcome of a
+// booking that was sent is unknown. A call that did not run, because the healthy instances were at their limit, has a
+// Retry-After.
+func serviceCallsMayFail(o *outcome) bool {
+	return o.kind != "prompt" && o.failedExplicitly() && (!o.reportedNotRun() || o.Header[fasthttp.HeaderRetryAfter] != "")
 }
 
 func TestFaultsOfUpstreamsAndPlatform(t *testing.T) {
-	for _, c := range upstreamFaults {
+	for _, c := range faultCases {
 		t.Run(c.name, func(t *testing.T) {
-			f := start(t)
-			run(t, f, c.mayFail, func() {
+			f := startFleet(t)
+			runUnderLoad(t, f, c.mayFail, func() {
 				var targets []string
 				for _, name := range c.targets {
-					targets = append(targets, f.target(name))
+					targets = append(targets, f.resolveTarget(name))
 				}
 				for _, target := range targets {
-					f.fault(target, c.fault, true)
+					f.setFault(target, c.fault, true)
 				}
-				time.Sleep(during)
+				time.Sleep(faultPeriod)
 				for _, target := range targets {
-					f.fault(target, c.fault, false)
+					f.setFault(target, c.fault, false)
 				}
-				time.Sleep(before)
+				time.Sleep(stepPause)
 			})
 		})
 	}
--- a/test/e2e/engines_test.go
+++ b/test/e2e/engines_test.go
@@ -13,139 +13,139 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// An engine restarts under load and is cold: together, the entry instances send it no more at once than it
-// bears, so that it never falls over, and it is in full use again in the end.
+// An engine restarts cold under load. All entry instances together keep no more requests in flight on it than it can bear,
+// so that it never collapses, and it becomes warm again.
 func TestColdEngineIsNotOverloaded(t *testing.T) {
 	is := is.New(t)
-	f := start(t)
+	f := startFleet(t)
 	cold := ""
-	run(t, f, all, func() {
-		cold = f.target(busiest)
-		f.fault(cold, faults.Kill, true)
-		time.Sleep(before)
-		f.fault(cold, faults.Kill, false)
+	runUnderLoad(t, f, noneMayFail, func() {
+		cold = f.resolveTarget(busiestEngine)
+		f.setFault(cold, faults.Kill, true)
+		time.Sleep(stepPause)
+		f.setFault(cold, faults.Kill, false)
 		f.await("the engine is warm again", func() bool { return !f.counters().Engines[cold].Cold })
-		time.Sleep(before)
+		time.Sleep(stepPause)
 	})
-	saw := f.counters().Engines[cold]
-	is.Equal(saw.Collapses, 0)
-	is.True(saw.MaxInFlightCold > 0) // it was tried while it was cold
-	is.True(saw.MaxInFlightCold <= coldLimit)
+	counters := f.counters().Engines[cold]
+	is.Equal(counters.Collapses, 0)
+	is.True(counters.MaxInFlightCold > 0) // it received requests while it was cold
+	is.True(counters.MaxInFlightCold <= coldLimit)
 }
 
-// huge is a prompt of more than twice an engine's memory, in tokens.
-const huge = 900_000
+// hugePromptTokens is the length of a prompt that needs more than twice an engine's memory.
+const hugePromptTokens = 900_000
 
-// An analyst asks over an entire dossier, which is larger than one engine's memory, while others ask short
-// questions. All get their whole answers, and the engines' memory is free afterwards.
+// A prompt larger than one engine's memory runs under the usual load. All requests are answered completely, and the
+// engines' memory is free afterwards.
 func TestPromptLargerThanOneEngine(t *testing.T) {
 	is := is.New(t)
-	f := start(t)
-	run(t, f, all, func() {
-		id := newID("dossier")
-		call := patient(prompt(id, huge, 50, true))
-		is.NoErr(call.Do(f.started()[0].row.Addr).CheckStream(id, 50))
+	f := startFleet(t)
+	runUnderLoad(t, f, noneMayFail, func() {
+		id := newRequestID("dossier")
+		call := withLongTimeout(promptCall(id, hugePromptTokens, 50, true))
+		is.NoErr(call.Do(f.startedEntries()[0].row.Addr).CheckStream(id, 50))
 	})
 }
 
-// An entry instance dies while its dossier prompt holds memory on several engines. Nobody releases it; the
-// engines get their memory back all the same.
+// An entry instance is killed while its prompt has memory reserved on several engines, and so can't release it. The
+// engines' memory becomes free nevertheless.
 func TestMemoryOfADeadEntryIsFreed(t *testing.T) {
-	f := start(t)
-	old := f.started()[0]
-	call := patient(prompt(newID("dossier"), huge, 10_000, true))
-	gone := background(call, old)
+	f := startFleet(t)
+	old := f.startedEntries()[0]
+	call := withLongTimeout(promptCall(newRequestID("dossier"), hugePromptTokens, 10_000, true))
+	result := doAsync(call, old)
 	f.await("memory is reserved", func() bool {
-		held := int64(0)
+		heldTokens := int64(0)
 		for _, e := range f.counters().Engines {
-			held += e.HeldTokens
+			heldTokens += e.HeldTokens
 		}
-		return held >= huge
+		return heldTokens >= hugePromptTokens
 	})
 	old.kill()
-	f.unlist(old.row.ID)
-	<-gone
-	f.await("engines are idle and hold no memory", f.idle)
+	f.unlistInstance(old.row.ID)
+	<-result
+	f.await("engines are idle and hold no memory", f.enginesIdle)
 }
 
-// keyed is a booking with an idempotency key, under a request id of its own.
-func keyed(key string) rawhttp.Call {
-	return booking(key).WithHeader(wire.HeaderRequestID, newID("keyed")).WithHeader(wire.HeaderIdempotencyKey, key)
+// keyedBooking returns a booking with an idempotency key and a new request id.
+func keyedBooking(key string) rawhttp.Call {
+	return bookingCall(key).WithHeader(wire.HeaderRequestID, newRequestID("keyed")).WithHeader(wire.HeaderIdempotencyKey, key)
 }
 
-// Guides confirm rentals with a key, and ask again through another entry instance until they are certain,
-// while services lose answers, the object API loses answers and stands still, and an entry instance dies. No
-// key runs twice; whoever was told that its booking is confirmed hears the same booking whenever it asks.
+// Callers send bookings with an idempotency key, and repeat them through other entry instances until they are confirmed.
+// Meanwhile service instances lose answers and crash, the object API loses answers, hangs and is down, and an entry
+// instance is killed. No key runs twice. Repeating a confirmed booking returns the same confirmation.
 func TestKeyedBookingsRunAtMostOnce(t *testing.T) {
 	is := is.New(t)
-	f := start(t)
-	const guides, each = 6, 15
-	type told struct{ key, body string }
-	confirmed := make(chan []told, guides)
-	for g := range guides {
+	f := startFleet(t)
+	const callerCount, keysPerCaller = 6, 15
+	type confirmation struct{ key, body string }
+	confirmed := make(chan []confirmation, callerCount)
+	for g := range callerCount {
 		go func() {
-			var mine []told
-			for n := range each {
+			var own []confirmation
+			for n := range keysPerCaller {
 				key := fmt.Sprintf("key-%d-%d", g, n)
-				if body := f.insist(key, g+n); body != "" {
-					mine = append(mine, told{key, body})
+				if body := f.bookUntilConfirmed(key, g+n); body != "" {
+					own = append(own, confirmation{key, body})
 				}
 			}
-			confirmed <- mine
+			confirmed <- own
 		}()
 	}
-	play := func(target string, fault faults.Fault) {
-		f.fault(target, fault, true)
-		time.Sleep(before)
-		f.fault(target, fault, false)
-		time.Sleep(before)
+	injectFault := func(target string, fault faults.Fault) {
+		f.setFault(target, fault, true)
+		time.Sleep(stepPause)
+		f.setFault(target, fault, false)
+		time.Sleep(stepPause)
 	}
-	play("bookdesk-0", faults.LoseAnswer)
-	play("objects", faults.LoseAnswer)
-	f.started()[0].kill()
-	play("objects", faults.Hang)
-	play("bookdesk-1", faults.CrashBeforeRun)
-	play("objects", faults.Kill)
-	var all []told
-	for range guides {
-		all = append(all, <-confirmed...)
+	injectFault("bookdesk-0", faults.LoseAnswer)
+	injectFault("objects", faults.LoseAnswer)
+	f.startedEntries()[0].kill()
+	injectFault("objects", faults.Hang)
+	injectFault("bookdesk-1", faults.CrashBeforeRun)
+	injectFault("objects", faults.Kill)
+	var allConfirmed []confirmation
+	for range callerCount {
+		allConfirmed = append(allConfirmed, <-confirmed...)
 	}
-	is.True(len(all) > 0)
+	is.True(len(allConfirmed) > 0)
 	for key, n := range f.counters().RunsByKey {
 		if n > 1 {
 			t.Errorf("%s ran %d times", key, n)
 		}
 	}
-	for _, b := range all {
-		again := f.repeat(b.key)
-		is.Equal(again.Status, fasthttp.StatusCreated)
-		is.Equal(string(again.Body), b.body)
-		is.Equal(again.Header[wire.HeaderReplayed], "true")
+	for _, b := range allConfirmed {
+		repeated := f.repeatBooking(b.key)
+		is.Equal(repeated.Status, fasthttp.StatusCreated)
+		is.Equal(string(repeated.Body), b.body)
+		is.Equal(repeated.Header[wire.HeaderReplayed], "true")
 	}
-	t.Logf("%d of %d bookings confirmed", len(all), guides*each)
+	t.Logf("%d of %d bookings confirmed", len(allConfirmed), callerCount*keysPerCaller)
 }
 
-// repeat asks again with a key. An instance that still waits out its back-off after the store's outage
-// refuses at once, as not run; of an outcome that waited out the outage in an instance's memory the answer is
-// "in progress" until it is written. Both say when to come back, and a caller does come back.
-func (f *fleet) repeat(key string) *rawhttp.Result {
+// repeatBooking repeats a booking with its key until the response is final. After an outage of the store, an instance may
+// first respond with a Retry-After: it refuses bookings as not run during its backoff, and reports an outcome that it has
+// not written to the store yet as in progress.
+func (f *fleet) repeatBooking(key string) *rawhttp.Result {
 	var r *rawhttp.Result
-	f.await("the store is in use again", func() bool {
-		r = keyed(key).Do(f.started()[1].row.Addr)
+	f.await("a repeated booking gets a final response", func() bool {
+		r = keyedBooking(key).Do(f.startedEntries()[1].row.Addr)
 		refused := r.Status == fasthttp.StatusServiceUnavailable && r.Header[wire.HeaderRun] == "no"
-		later := refused || r.Status == fasthttp.StatusConflict
-		return !later || r.Header[fasthttp.HeaderRetryAfter] == ""
+		retryable := refused || r.Status == fasthttp.StatusConflict
+		return !retryable || r.Header[fasthttp.HeaderRetryAfter] == ""
 	})
 	return r
 }
 
-// insist books with a key through one entry instance after the other until it is confirmed, and gives the
-// confirmation. A booking whose outcome stays unknown is given up.
-func (f *fleet) insist(key string, first int) string {
-	const tries = 40
-	entries := f.started()
-	for n := range tries {
-		r := keyed(key).Do(entries[(first+n)%len(entries)].row.Addr)
+// bookUntilConfirmed sends a booking through each entry instance in turn, beginning with the one at index first, until it
+// is confirmed. It returns the confirmation, or an empty string if no attempt was confirmed.
+func (f *fleet) bookUntilConfirmed(key string, first int) string {
+	const maxAttempts = 40
+	entries := f.startedEntries()
+	for n := range maxAttempts {
+		r := keyedBooking(key).Do(entries[(first+n)%len(entries)].row.Addr)
 		if r.Status == fasthttp.StatusCreated {
 			return string(r.Body)
 		}
--- a/test/e2e/entries_test.go
+++ b/test/e2e/entries_test.go
@@ -16,194 +16,193 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// background makes a call whose result is taken later.
-func background(call rawhttp.Call, e *entry) <-chan *rawhttp.Result {
+// doAsync starts a call and returns a channel that receives its result.
+func doAsync(call rawhttp.Call, e *entry) <-chan *rawhttp.Result {
 	done := make(chan *rawhttp.Result, 1)
 	go func() { done <- call.Do(e.row.Addr) }()
 	return done
 }
 
-// Operators replace an entry instance under load. It says that it is not ready, serves what the balancer
-// still sends, finishes what it has, long answers and slow bookings too, and ends; a new one takes its
-// place. No caller sees any of it.
+// Operators replace an entry instance under load. It reports that it is not ready, serves the requests that the balancer
+// still sends, finishes those in flight, including long answers and slow bookings, and exits. A new instance replaces it.
+// No request fails.
 func TestGracefulStop(t *testing.T) {
 	is := is.New(t)
-	f := start(t)
-	old := f.started()[0]
-	run(t, f, all, func() {
-		long, id := 3000, newID("long") // some three seconds
-		answer := background(prompt(id, 100, long, true), old)
-		slow := booking(newID("slow"))
+	f := startFleet(t)
+	old := f.startedEntries()[0]
+	runUnderLoad(t, f, noneMayFail, func() {
+		answerTokens, id := 3000, newRequestID("long") // takes about three seconds
+		answer := doAsync(promptCall(id, 100, answerTokens, true), old)
+		slow := bookingCall(newRequestID("slow"))
 		slow.Path = "/services/" + bookdesk + "/slow?ms=2000"
-		booked := background(slow, old)
-		f.await("both run", func() bool {
-			saw := f.counters()
-			return runs(id, saw) > 0 && runs(slow.Headers[wire.HeaderRequestID], saw) > 0
+		booked := doAsync(slow, old)
+		f.await("the prompt and the slow booking run", func() bool {
+			counters := f.counters()
+			return runCount(id, counters) > 0 && runCount(slow.Headers[wire.HeaderRequestID], counters) > 0
 		})
 		f.signal(old, syscall.SIGTERM)
-		time.Sleep(before)
-		f.signal(old, syscall.SIGTERM) // a platform may send it twice
-		is.NoErr((<-answer).CheckStream(id, long))
+		time.Sleep(stepPause)
+		f.signal(old, syscall.SIGTERM) // the platform may send it twice
+		is.NoErr((<-answer).CheckStream(id, answerTokens))
 		is.Equal((<-booked).Status, 201)
 		is.Equal(f.awaitExit(old), 0)
-		f.unlist(old.row.ID)
+		f.unlistInstance(old.row.ID)
 		f.awaitReady(f.startEntry("entry-new", old.row.Domain))
-		time.Sleep(before)
+		time.Sleep(stepPause)
 	})
 }
 
-// An entry instance dies under load and is replaced. Its own callers lose their connections; no other
-// request fails, no booking runs twice, and no engine keeps memory for the dead one.
+// An entry instance is killed under load and replaced. Its callers lose their connections. No other request fails, no
+// booking runs twice, and no engine keeps memory reserved for the killed instance.
 func TestKilledEntry(t *testing.T) {
-	f := start(t)
-	old := f.started()[0]
-	through := func(o *outcome) bool { return o.entry == old.row.ID && (o.unreached() || o.Err != nil) }
-	run(t, f, through, func() {
+	f := startFleet(t)
+	old := f.startedEntries()[0]
+	mayFail := func(o *outcome) bool { return o.entry == old.row.ID && (o.notConnected() || o.Err != nil) }
+	runUnderLoad(t, f, mayFail, func() {
 		old.kill()
-		f.unlist(old.row.ID)
+		f.unlistInstance(old.row.ID)
 		f.awaitReady(f.startEntry("entry-new", old.row.Domain))
-		time.Sleep(during)
+		time.Sleep(faultPeriod)
 	})
 }
 
-// An entry instance is paused under load and goes on, believing that no time has passed. Its own callers
-// may get a failure; no other request fails.
+// An entry instance is paused under load and resumes as if no time had passed. Its callers may receive errors. No other
+// request fails.
 func TestPausedEntry(t *testing.T) {
-	f := start(t)
-	paused := f.started()[0]
-	through := func(o *outcome) bool { return o.entry == paused.row.ID && (o.explicit() || o.Err != nil) }
-	run(t, f, through, func() {
+	f := startFleet(t)
+	paused := f.startedEntries()[0]
+	mayFail := func(o *outcome) bool { return o.entry == paused.row.ID && (o.failedExplicitly() || o.Err != nil) }
+	runUnderLoad(t, f, mayFail, func() {
 		f.signal(paused, syscall.SIGSTOP)
-		time.Sleep(during)
+		time.Sleep(faultPeriod)
 		f.signal(paused, syscall.SIGCONT)
-		time.Sleep(before)
+		time.Sleep(stepPause)
 	})
 }
 
-// All entry instances stand still at once for longer than knowledge is trusted, as on a machine that is
-// suspended or starved. They trust one another again a moment later; no request is turned away in between.
+// All entry instances are paused at once for longer than their state is trusted, as on a machine that is suspended or
+// starved. They trust their state again shortly after they resume, and no request is refused in between.
 func TestAllEntriesStandStill(t *testing.T) {
-	f := start(t)
-	run(t, f, all, func() {
-		for _, e := range f.started() {
+	f := startFleet(t)
+	runUnderLoad(t, f, noneMayFail, func() {
+		for _, e := range f.startedEntries() {
 			f.signal(e, syscall.SIGSTOP)
 		}
-		time.Sleep(during)
-		for _, e := range f.started() {
+		time.Sleep(faultPeriod)
+		for _, e := range f.startedEntries() {
 			f.signal(e, syscall.SIGCONT)
 		}
-		time.Sleep(before)
+		time.Sleep(stepPause)
 	})
 }
 
-// A whole failure domain is lost at once: its entry instance, its engines and its service instance. The
-// instance list shows them all as live. Callers of the others see nothing but bookings of unknown outcome and
-// calls of the service that are told to come back. Then all comes back.
+// A whole failure domain fails at once: its entry instance, its engines and its service instance. The instance list still
+// shows them as live. Through the other entry instances no request fails, except that bookings may end with an unknown
+// outcome and calls of the plain service with a Retry-After. Then the failure domain recovers.
 func TestLostDomain(t *testing.T) {
-	f := start(t)
-	lost := f.started()[0]
+	f := startFleet(t)
+	lost := f.startedEntries()[0]
 	targets := []string{"engine-north-ice-0", "engine-north-ice-1", "bookdesk-0"}
 	mayFail := func(o *outcome) bool {
-		return o.entry == lost.row.ID && (o.unreached() || o.Err != nil) || served(o)
+		return o.entry == lost.row.ID && (o.notConnected() || o.Err != nil) || serviceCallsMayFail(o)
 	}
-	run(t, f, mayFail, func() {
+	runUnderLoad(t, f, mayFail, func() {
 		lost.kill()
 		for _, target := range targets {
-			f.fault(target, faults.Kill, true)
+			f.setFault(target, faults.Kill, true)
 		}
-		time.Sleep(during)
+		time.Sleep(faultPeriod)
 		for _, target := range targets {
-			f.fault(target, faults.Kill, false)
+			f.setFault(target, faults.Kill, false)
 		}
 		f.awaitReady(f.startEntry("entry-new", lost.row.Domain))
-		time.Sleep(before)
+		time.Sleep(stepPause)
 	})
 }
 
-// Callers go away while they wait for their first token, or in the middle of a stream. Engines stop that
-// work and hold no memory for it.
-func TestCallersGoAway(t *testing.T) {
+// Callers disconnect while they wait for their first token, or in the middle of a stream. Engines stop those requests and
+// hold no memory for them.
+func TestAbandonedRequestsStopOnEngines(t *testing.T) {
 	is := is.New(t)
-	f := start(t)
-	const callers, endless = 12, 16_000 // tokens, which take longer than any of them stays
+	f := startFleet(t)
+	const callers, endlessTokens = 12, 16_000 // answer tokens, which take longer than any caller stays connected
 	results := make([]<-chan *rawhttp.Result, callers)
 	ids := make([]string, callers)
 	for n := range callers {
-		ids[n] = newID("leaver")
-		call := patient(prompt(ids[n], 100, endless, true))
+		ids[n] = newRequestID("leaver")
+		call := withLongTimeout(promptCall(ids[n], 100, endlessTokens, true))
 		parts := 0
 		call.OnPart = func(wire.Part) bool { parts++; return parts < 5 }
 		if n%2 == 0 {
-			call = patient(prompt(ids[n], 300_000, endless, true))
-			call.Timeout = 300 * time.Millisecond // goes away before the first token
+			call = withLongTimeout(promptCall(ids[n], 300_000, endlessTokens, true))
+			call.Timeout = 300 * time.Millisecond // disconnects before the first token
 		}
-		results[n] = background(call, f.started()[n%len(domains)])
+		results[n] = doAsync(call, f.startedEntries()[n%len(domains)])
 	}
 	for _, r := range results {
 		is.True(!(<-r).Done)
 	}
-	f.await("engines are idle and hold no memory", f.idle)
-	saw, started, finished := f.counters(), 0, 0
+	f.await("engines are idle and hold no memory", f.enginesIdle)
+	counters, started, finished := f.counters(), 0, 0
 	for _, id := range ids {
-		started += runs(id, saw)
-		for _, e := range saw.Engines {
+		started += runCount(id, counters)
+		for _, e := range counters.Engines {
 			finished += e.Finished[id]
 		}
 	}
 	is.True(started > 0)
-	is.Equal(finished, 0) // none ran to its end for nobody
+	is.Equal(finished, 0) // no request ran to its end without a caller
 	f.awaitService()
 }
 
-// A new entry instance starts while the object API is down. It learns the configuration from its peers and
-// serves; it does not bring work to a failure domain that operators have taken out.
+// A new entry instance starts while the object API is down. It receives the configuration from its peers and serves
+// requests. It sends none to a failure domain that operators have drained.
 func TestNewEntryDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
-	f := start(t)
-	f.drain(domains[0], f.started()[1])
-	time.Sleep(drainLag)
-	f.fault(cluster.TargetObjects, faults.Kill, true)
+	f := startFleet(t)
+	f.drainDomain(domains[0], f.startedEntries()[1])
+	time.Sleep(drainGrace)
+	f.setFault(cluster.TargetObjects, faults.Kill, true)
 	fresh := f.startEntry("entry-new", domains[1])
 	f.awaitReady(fresh)
-	was := f.domainRuns(domains[0])
+	runsBefore := f.countDomainRuns(domains[0])
 	for range 30 {
-		id := newID("prompt")
-		is.NoErr(prompt(id, 100, 20, true).Do(fresh.row.Addr).CheckStream(id, 20))
+		id := newRequestID("prompt")
+		is.NoErr(promptCall(id, 100, 20, true).Do(fresh.row.Addr).CheckStream(id, 20))
 	}
-	is.Equal(f.domainRuns(domains[0]), was)
-	f.fault(cluster.TargetObjects, faults.Kill, false)
+	is.Equal(f.countDomainRuns(domains[0]), runsBefore)
+	f.setFault(cluster.TargetObjects, faults.Kill, false)
 }
 
-// The platform's balancer keeps connections to an entry instance open and sends one request after the other
-// on them. While the instance stops, each request is answered, or the answer before it said that the
-// connection closes; none is cut off.
+// The platform's balancer sends requests in sequence over connections that it keeps open. While the entry instance stops,
+// it answers every request on them, until an answer announces by "Connection: close" that the connection closes.
 func TestGracefulStopOfKeptConnections(t *testing.T) {
 	is := is.New(t)
-	f := start(t)
-	old := f.started()[0]
-	const kept = 16
-	cut := make(chan error, kept)
-	for range kept {
+	f := startFleet(t)
+	old := f.startedEntries()[0]
+	const connCount = 16
+	results := make(chan error, connCount)
+	for range connCount {
 		conn, err := net.Dial("tcp", old.row.Addr)
 		is.NoErr(err)
-		go func() { cut <- useUp(conn) }()
+		go func() { results <- sendUntilClosed(conn) }()
 	}
-	time.Sleep(before)
+	time.Sleep(stepPause)
 	f.signal(old, syscall.SIGTERM)
-	for range kept {
-		is.NoErr(<-cut)
+	for range connCount {
+		is.NoErr(<-results)
 	}
 	is.Equal(f.awaitExit(old), 0)
 }
 
-// useUp sends requests over a connection until an answer says that it closes; an error is a request without
-// an answer.
-func useUp(conn net.Conn) error {
+// sendUntilClosed sends requests over a connection until a response announces that the connection closes. It returns an
+// error if a request gets no response.
+func sendUntilClosed(conn net.Conn) error {
 	defer conn.Close()
 	for n := 0; ; n++ {
-		r := read().DoConn(conn)
+		r := readCall().DoConn(conn)
 		if r.Err != nil || r.Status == 0 {
-			return fmt.Errorf("request %d on a kept connection was cut off: %w", n, r.Err)
+			return fmt.Errorf("request %d on a kept-alive connection got no response: %w", n, r.Err)
 		}
 		if strings.EqualFold(r.Header["Connection"], "close") {
 			return nil
--- a/test/e2e/race_test.go
+++ b/test/e2e/race_test.go
@@ -2,5 +2,5 @@
 
 package e2e_test
 
-// buildFlags: the processes are checked for races where the test is.
+// buildFlags builds the processes with the race detector if the test has it.
 var buildFlags = []string{"-race"}
