--- a/internal/decide/dispatch/bounds_test.go
+++ b/internal/decide/dispatch/bounds_test.go
@@ -15,10 +15,10 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/dispatch"
 )
 
-// Guards against long prompts that are answered late or refused although engines have time, a fifth of their worth
-// while the mix is long: each long answer occupied an engine's passes alone, and prefill beside streams kept their
-// slots in use. More of them are on time, for both workloads, if they are answered on engines that have streams,
-// prefilled on engines without, and held back while engines have a backlog.
+// Guards against long prompts that are answered late or refused although engines have time, which costs a fifth of
+// their worth while the mix is long. Without sharing, each long answer occupies an engine's passes alone, and prefill
+// beside streams keeps the slots of these streams in use. More long prompts are on time, for both workloads, if they
+// are answered on engines that have streams, prefilled on engines without, and held back while engines have a backlog.
 func TestLongAnswersShareEngines(t *testing.T) {
 	is := is.New(t)
 	withoutSharing := dispatch.DefaultParams()
--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -19,7 +19,7 @@
 	queue       []*Job
 	runs        map[fleet.RequestID]*run
 
-	fairness      [2]fairness             // between workspaces; 0: short prompts and plain requests, 1: long prompts
+	fairness      [2]fairness             // load by workspace; index 0: short prompts and plain requests, 1: long prompts
 	prefilling    map[*run]bool           // runs whose prefill is counted in their engines' pendingMs
 	answerLatency answerLatency           // of a plain service
 	lastAnswer    map[link]decide.Instant // time of the last answer, or first event of one, over the link
@@ -28,7 +28,7 @@
 
 	jobsAhead int // jobs of the current step that stay queued ahead of the one being decided
 
-	lastProgress decide.Instant // time of the last placement, or at which only long prompts or no jobs waited
+	lastProgress decide.Instant // last time at which a job was placed, or none waited that one upstream could take
 	lastProbe    decide.Instant // time at which partitioned links were last opened to a probe
 	probeLinks   map[link]bool  // partitioned links that one job may try
 	// probeEngine is an unreachable engine that one job may try; nil: none.
@@ -37,7 +37,7 @@
 	// Results of the survey at the beginning of a step.
 	unreachableCounts map[link]int                   // upstreams unreachable since the link's last answer
 	meanPassMs        float64                        // of the engines that answer something
-	limitTotals       limitTotals                    // over the upstreams that may receive jobs
+	limitTotals       limitTotals                    // sums over the upstreams that may receive jobs
 	longWaiting       int                            // queued long prompts, without oversized ones
 	unplacedLong      int                            // long prompts that could not be placed in this step
 	unplacedShort     map[fleet.DomainID]requirement // by domain, the last short prompt that found no engine in this step
@@ -123,8 +123,8 @@
 	return e
 }
 
-// Ask queues a job. It replaces a queued or running job with the same ID: an instance asks again when it does not know
-// what became of its request.
+// Ask queues a job. It replaces a queued or running job with the same ID, because an instance repeats a request when it
+// does not know whether the request is still queued or placed.
 func (s *State) Ask(j *Job) {
 	s.Cancel(j.ID)
 	j.excess = s.exceedsShare(j)
@@ -139,8 +139,9 @@
 	}
 }
 
-// Began records that the answer of a run, or the first event of it, arrived. Its prefill is done, and the failures
-// that are recorded for its engines and for the link to the answering one are cleared.
+// Began records that the first event of a run's answer, or the whole of a plain answer, arrived. The run's prefill
+// counts as done, and the failures that are recorded for its engines and for the link to the answering engine are
+// cleared.
 func (s *State) Began(now decide.Instant, id fleet.RequestID) {
 	r := s.runs[id]
 	if r == nil || r.decoding {
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -15,6 +15,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
+// newUpstreams returns n warm upstreams of one failure domain, with 16 slots each.
 func newUpstreams(n int, domain fleet.DomainID) []dispatch.Upstream {
 	var all []dispatch.Upstream
 	for i := range n {
@@ -23,12 +24,14 @@
 	return all
 }
 
+// newPlainState returns the state of a plain service with n upstreams.
 func newPlainState(n int) *dispatch.State {
 	s := dispatch.New(nil, dispatch.DefaultParams())
 	s.SetUpstreams(newUpstreams(n, "a"))
 	return s
 }
 
+// newEngineState returns the state of a service with n engines of the Coteau workload's model.
 func newEngineState(n int) *dispatch.State {
 	m := coteau
 	s := dispatch.New(&m, dispatch.DefaultParams())
@@ -36,6 +39,7 @@
 	return s
 }
 
+// newJob returns a job that arrived at time 0, with the given prompt tokens and the tests' usual target and deadlines.
 func newJob(id string, prompt int) *dispatch.Job {
 	return &dispatch.Job{
 		ID: fleet.RequestID(id), Instance: "entry", Domain: "a", PromptTokens: prompt, MaxOutputTokens: 800,
@@ -43,7 +47,7 @@
 	}
 }
 
-// decideOne queues a job and returns the decision of the next step, which has to be the only one.
+// decideOne queues a job, runs a step at now, in ms, and returns its decision, which has to be the only one.
 func decideOne(t *testing.T, s *dispatch.State, now float64, j *dispatch.Job) dispatch.Decision {
 	t.Helper()
 	s.Ask(j)
@@ -124,8 +128,8 @@
 	for i := range 4 { // those on b00, b01, c00 and c01
 		s.Done(at(2), fleet.RequestID(fmt.Sprint("j", i/2*4+i%2)), dispatch.Unreachable, "")
 	}
-	cut := newJob("cut", 0)
-	s.Ask(cut)
+	blocked := newJob("cut", 0)
+	s.Ask(blocked)
 	is.Equal(len(s.Step(at(3))), 0) // both links count as partitioned
 	s.Began(at(4), "j2")            // on b02
 	d := s.Step(at(5))
@@ -184,14 +188,14 @@
 	p.ColdRequestsPerSecond = 10
 	s := dispatch.New(nil, p)
 	s.SetUpstreams([]dispatch.Upstream{{ID: "cold", Domain: "a", Slots: 100, ColdUntil: at(60_000)}})
-	given := 0
+	placed := 0
 	for i := range 50 {
 		s.Ask(newJob(fmt.Sprint("j", i), 0))
 	}
 	for now := 0.0; now < 1000; now += 10 {
-		given += len(s.Step(at(now)))
+		placed += len(s.Step(at(now)))
 	}
-	is.Equal(given, 10)
+	is.Equal(placed, 10)
 	is.Equal(len(s.Step(at(1001))), 10) // of the next second
 }
 
@@ -220,13 +224,13 @@
 	big.FirstEventTarget = at(6000)
 	d := decideOne(t, s, 0, big)
 	is.True(d.Upstream != "")
-	held := 0
+	reserved := 0
 	for _, h := range d.Reservations {
 		is.True(h.Upstream != d.Upstream)
-		held += h.Tokens
+		reserved += h.Tokens
 	}
-	is.True(900_000+800-held <= coteau.KVCacheTokens)
-	is.True(held > 0)
+	is.True(900_000+800-reserved <= coteau.KVCacheTokens)
+	is.True(reserved > 0)
 }
 
 // Guards against a refusal of the largest prompts even while all engines are idle, because the whole fleet needs
@@ -336,17 +340,17 @@
 	})
 }
 
-// checkPasses adds up the planned pass of each engine of a new decision. An engine without any other run may prefill
-// for any time.
+// checkPasses fails the test if the planned pass of an engine of the new decision is longer than the shortest MaxGap of
+// the engine's streams. An engine without any other run may prefill for any time.
 func checkPasses(t *rapid.T, d dispatch.Decision, running map[fleet.RequestID]dispatch.Decision, decoding map[fleet.RequestID]bool) {
 	for _, id := range append([]fleet.UpstreamID{d.Upstream}, d.Helpers...) {
-		runs, context, reading, gap, others := 0, 0, 0.0, time.Duration(0), 0
+		runs, context, prefillMs, gap, others := 0, 0, 0.0, time.Duration(0), 0
 		for jobID, l := range running {
 			n := float64(l.Job.PromptTokens)
 			part := (n/coteau.PrefillTokensPerMs + n*n/2/1e6*coteau.MsPerMillionPairs) / float64(len(l.Helpers)+1)
 			if l.Upstream == id || slices.Contains(l.Helpers, id) {
 				if !decoding[jobID] {
-					reading += part
+					prefillMs += part
 				}
 			}
 			if l.Upstream != id {
@@ -364,15 +368,15 @@
 		if runs > coteau.Slots {
 			t.Fatalf("%s has %d runs", id, runs)
 		}
-		pass := float64(coteau.StepsPerPass)*(coteau.StepMs+coteau.PerDecodeMs*float64(runs)+coteau.Per1000ContextMs*float64(context)/1000) + reading
+		pass := float64(coteau.StepsPerPass)*(coteau.StepMs+coteau.PerDecodeMs*float64(runs)+coteau.Per1000ContextMs*float64(context)/1000) + prefillMs
 		if others > 0 && pass > float64(gap)/float64(time.Millisecond) {
-			t.Fatalf("%s: a pass of %.0f ms beside %d streams with a longest gap of %s", id, pass, others, gap)
+			t.Fatalf("%s: a pass of %.0f ms beside %d streams with a MaxGap of %s", id, pass, others, gap)
 		}
 	}
 }
 
-// Guards against a caller that never receives the last few events of an answer. Its engine broke off the stream, and
-// the dispatcher judged the rest by the target of the first event, which was long over, and let it wait for slack as a
+// Guards against a caller that never receives the last few events of an answer. Its engine breaks off the stream. If
+// the dispatcher judges the rest by the target of the first event, which has long passed, the rest waits for slack as a
 // late job. A resumed stream is placed before jobs that have not started, and never held back as late.
 func TestResumedStreamIsPlacedFirst(t *testing.T) {
 	is := is.New(t)
@@ -489,9 +493,9 @@
 }
 
 // Guards against long prompts that are refused one after the other while most engines are free. Some engines are
-// leaving, and the store is down, so that the dispatcher does not know: they still answer prompts of their own, but
-// refuse to prefill parts of others'. Without a holdoff each was asked again a moment later, and each long prompt met
-// another one of them at each of its attempts.
+// leaving, and the dispatcher does not know it because the store is down. They still answer prompts of their own, but
+// refuse to prefill parts of other engines' prompts. Without a holdoff each of them is asked again a moment later, and
+// every attempt of a long prompt meets another one.
 func TestEngineThatRefusesToHelpIsNotAskedAgain(t *testing.T) {
 	is := is.New(t)
 	s := newEngineState(17)
--- a/internal/decide/dispatch/fair.go
+++ b/internal/decide/dispatch/fair.go
@@ -23,7 +23,8 @@
 	// recentTimeMs and usualTimeMs are the time constants of a workspace's current and usual load.
 	recentTimeMs = 1000.0
 	usualTimeMs  = 20_000.0
-	// learnTimeMs is the time after a workspace's first job before any of its jobs counts as excess.
+	// learnTimeMs is the time after a workspace's first job before any of its jobs counts as excess. Until then the
+	// mean of its usual load covers too little time.
 	learnTimeMs = 5000.0
 	// usualFactor is the multiple of its usual load that a workspace may send.
 	usualFactor = 1.5
@@ -32,33 +33,35 @@
 	excessLearnDivisor = 16.0
 	// excessSlotShare is the share of an upstream's slots that excess may use.
 	excessSlotShare = 0.5
-	// burstTimeMs bounds a burst, as the time in which the share allows as much load.
+	// burstTimeMs bounds a burst to the load that the share allows in this time.
 	burstTimeMs = 500.0
 )
 
 // average holds exponentially weighted means of the load, in work per ms.
 type average struct{ recent, usual float64 }
 
+// decay reduces both means for the time since the last update, in ms.
 func (a *average) decay(ms float64) {
 	a.recent *= math.Exp(-ms / recentTimeMs)
 	a.usual *= math.Exp(-ms / usualTimeMs)
 }
 
-// demand is the load of a workspace.
+// demand is the load of a workspace, with the token bucket that bounds its bursts.
 type demand struct {
 	average
 	firstSeen, updatedAt decide.Instant
 	bucket               float64 // work that it may still send at once
 }
 
-// fairness is the load of all workspaces of a service.
+// fairness is the load of all workspaces of a service, for one group of prompt lengths.
 type fairness struct {
 	all        average
 	updatedAt  decide.Instant
 	workspaces map[fleet.WorkspaceID]*demand
 }
 
-// exceedsShare counts a new job, and reports whether it exceeds its workspace's share.
+// exceedsShare adds a new job to the load of its workspace, and reports whether it exceeds the workspace's share. A
+// resumed job is not added and never exceeds the share.
 func (s *State) exceedsShare(j *Job) bool {
 	switch {
 	case j.Resumed:
@@ -72,7 +75,8 @@
 	}
 }
 
-// countDemand adds the work of a job to its workspace's load, and reports whether it exceeds the share.
+// countDemand adds the work of a job, in ms of prefill or as a number of requests, to its workspace's load. It reports
+// whether the job exceeds the workspace's share.
 func (f *fairness) countDemand(j *Job, work float64) bool {
 	now := max(f.updatedAt, j.Arrived)
 	f.all.decay(toMs(now.Sub(f.updatedAt)))
--- a/internal/decide/dispatch/job.go
+++ b/internal/decide/dispatch/job.go
@@ -13,7 +13,7 @@
 	Instance           fleet.InstanceID // serves the caller
 	Domain             fleet.DomainID   // failure domain of Instance
 	Workspace          fleet.WorkspaceID
-	Priority           int
+	Priority           int            // jobs with a lower value are placed first
 	PromptTokens       int            // length of the prompt
 	MaxOutputTokens    int            // upper bound of the answer's length
 	Arrived            decide.Instant // at the instance
@@ -22,8 +22,8 @@
 	Deadline           decide.Instant
 	MaxGap             time.Duration // longest time between two events that is on time; 0: no bound
 	Attempt            int
-	Resumed            bool // continues an interrupted stream; Arrived and FirstEventTarget count from its last event
-	Avoid              []fleet.UpstreamID
+	Resumed            bool               // continues a stream; Arrived and FirstEventTarget count from its last event
+	Avoid              []fleet.UpstreamID // upstreams that must not answer or prefill it
 
 	excess bool // exceeds its workspace's share
 }
@@ -32,8 +32,8 @@
 type Upstream struct {
 	ID     fleet.UpstreamID
 	Domain fleet.DomainID
-	Slots  int
-	Born   int64
+	Slots  int   // requests that it processes at once; 0: as many as the model states
+	Born   int64 // start time of its process
 	// ColdUntil is the end of the upstream's cold start, in the past if it is warm.
 	ColdUntil decide.Instant
 }
@@ -79,7 +79,7 @@
 	GapShare              float64       // share of a stream's longest event gap that a planned pass may take
 	ShortPrefillMs        float64       // a prompt with a prefill up to this is short and is packed
 	MinGainPerHelperMs    float64       // prefill time that each helper must save
-	MaxBacklogMs          float64       // an engine with more prefill pending receives no part of another long prompt
+	MaxBacklogMs          float64       // an engine with more prefill pending receives no part of a long prompt
 	StreamPenaltyMs       float64       // added to the delay of an engine with streams when it may help
 	CoLocationBonusMs     float64       // subtracted from the delay of an engine with streams when it may answer
 	MemoryShare           float64       // share of an engine's KV cache that placements may use
@@ -98,11 +98,11 @@
 		GapShare:           0.9, // the rest is for the network
 		ShortPrefillMs:     100, // about 19,000 tokens
 		MinGainPerHelperMs: 5,   // a few round trips between instance and engine
-		MaxBacklogMs:       200,
+		MaxBacklogMs:       200, // this and the next two are a few passes of a busy engine
 		StreamPenaltyMs:    150,
 		CoLocationBonusMs:  200,
-		MemoryShare:        0.95, // only the upper bound of an answer's length is known
-		LateWaitShare:      0.3,
+		MemoryShare:        0.95,                  // only the upper bound of an answer's length is known
+		LateWaitShare:      0.3,                   // the rest leaves the caller time to retry
 		SlackShare:         0.5,                   // an oversized prompt occupies all engines for a second
 		MaxSlackEngines:    25,                    // the engines of one prefill and half as many
 		MaxQueue:           4096,                  // far more jobs than can be served before their deadlines
--- a/internal/decide/dispatch/limit.go
+++ b/internal/decide/dispatch/limit.go
@@ -12,18 +12,18 @@
 	// ProbeRate is the least rate that a rate-limited upstream receives, in requests per second. Only an answer can
 	// show that it accepts more again.
 	ProbeRate = 0.2
-	// limitBurstSeconds bounds a burst, as the time in which the rate allows as many requests.
+	// limitBurstSeconds bounds a burst to the requests that the rate allows in this time, at least one.
 	limitBurstSeconds = 0.25
-	// rateDoublingTime is the time in which the rate of an upstream doubles after it no longer advertises a limit. It
-	// has just been overloaded, and being idle beside busy ones it would receive as many requests at once as it has
-	// slots.
+	// rateDoublingTime is the time in which the rate of an upstream doubles after it stops advertising a limit. The
+	// upstream has just been overloaded. Without the ramp it would receive as many requests at once as it has slots,
+	// because it is idle while others are busy.
 	rateDoublingTime = time.Second
-	// rampEndRate is the rate, in requests per second, from which such an upstream has no limit any more.
+	// rampEndRate is the rate, in requests per second, at which the ramp ends and the limit is removed.
 	rampEndRate = 100
 )
 
-// limit is a token bucket for an upstream that advertises a rate limit. It starts empty: what the upstream received
-// before is not known, and another dispatcher may just have used up its share.
+// limit is a token bucket for an upstream that advertises a rate limit. It starts empty, because it is not known what
+// the upstream received before: another dispatcher may just have used up the same rate.
 type limit struct {
 	rate       float64 // requests a second
 	tokens     float64 // requests that may be placed now
@@ -40,8 +40,9 @@
 	}
 }
 
+// setLimit sets the engine's limit to the given rate. If limited is false, the engine advertises no limit any more, and
+// the rate of its last one, if there is any, ramps up.
 func (e *engine) setLimit(now decide.Instant, rate float64, limited bool) {
-	// The rate of a limit that the upstream no longer advertises ramps up from its last value.
 	switch {
 	case limited && e.limit == nil:
 		e.limit = &limit{rate: rate, refilledAt: now}
@@ -54,8 +55,8 @@
 	}
 }
 
+// refill adds the tokens for the time since the last refill, after it has raised the rate of a ramping limit.
 func (l *limit) refill(now decide.Instant) {
-	// Adds the tokens since the last refill, and raises the rate of a ramping limit.
 	elapsed := now.Sub(l.refilledAt)
 	l.refilledAt = now
 	if l.ramping {
--- a/internal/decide/dispatch/model.go
+++ b/internal/decide/dispatch/model.go
@@ -24,7 +24,7 @@
 	StepMs             float64 // base time of a step
 	PerDecodeMs        float64 // added to a step for each decoding request
 	Per1000ContextMs   float64 // added to a step for each 1,000 tokens of the decoding requests' contexts
-	PrefillTokensPerMs float64 // prompt tokens
+	PrefillTokensPerMs float64 // prompt tokens prefilled in a ms, apart from attention
 	MsPerMillionPairs  float64 // attention time of prefill for a million pairs of a token and an earlier one
 	ChunkTokens        int     // most prompt tokens that are prefilled in a step; 0: no bound
 }
@@ -45,7 +45,7 @@
 }
 
 // passMs returns the time of a pass with the given number of decoding requests and tokens of their contexts, without
-// any prefill.
+// any prefill. A pass without decoding requests is a single step.
 func (m *Model) passMs(decoding, contextTokens int) float64 {
 	if decoding == 0 {
 		return m.StepMs
--- a/internal/decide/dispatch/overdue.go
+++ b/internal/decide/dispatch/overdue.go
@@ -31,6 +31,7 @@
 	meanMs, deviationMs float64 // of the recent answers
 }
 
+// add updates the mean and the mean deviation with the latency of a new answer.
 func (a *answerLatency) add(latency time.Duration) {
 	ms := toMs(latency)
 	if !a.measured {
--- a/internal/decide/dispatch/overdue_test.go
+++ b/internal/decide/dispatch/overdue_test.go
@@ -11,9 +11,9 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// Guards against short prompts that are refused for ten seconds while most engines are idle. An engine lost the answer
-// to a long prompt that fifteen others had helped to prefill. As its caller still waited, the dispatcher counted the
-// prefill as pending, and engines with seconds of pending prefill take no short prompt.
+// Guards against short prompts that are refused for ten seconds while most engines are idle. An engine loses the answer
+// to a long prompt that fifteen others have helped to prefill. If the dispatcher counts the prefill as pending for as
+// long as the caller waits, these engines have seconds of pending prefill and receive no short prompt.
 func TestOverduePrefillFreesEngines(t *testing.T) {
 	is := is.New(t)
 	s := newEngineState(2)
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// failureHoldoff is how long an upstream receives no new jobs after a failure. It doubles with each consecutive
-	// failure, up to maxFailureHoldoff.
+	// failureHoldoff is how long an upstream receives no new jobs after its first failure. The time doubles with each
+	// consecutive failure, up to maxFailureHoldoff.
 	failureHoldoff    = 200 * time.Millisecond
 	maxFailureHoldoff = 3 * time.Second
-	// helpHoldoff is how long an engine that refused to prefill for another one is not asked to. It doubles with each
-	// consecutive refusal, up to maxHelpHoldoff. An engine that is leaving refuses until it exits, but still answers
-	// prompts of its own. With the store down the refusals are the only sign of that, and each costs a prompt an
-	// attempt.
+	// helpHoldoff is how long an engine that refused to prefill for another one is not asked again. The time doubles
+	// with each consecutive refusal, up to maxHelpHoldoff. A leaving engine refuses until it exits, but still answers
+	// prompts of its own. While the store is down, refusals are the only sign that an engine is leaving, and each
+	// refusal costs a prompt one attempt.
 	helpHoldoff    = 2 * time.Second
 	maxHelpHoldoff = 16 * time.Second
 	// fullHoldoff is how long an upstream that reported no capacity is not used. It has work that the dispatcher does
@@ -31,12 +31,13 @@
 	// passesToFirstEvent is the number of passes until the first event of a request on a busy engine: half of the
 	// current pass on average, and the request's own.
 	passesToFirstEvent = 1.5
-	// maxUnplacedLong bounds the long prompts that are tried without success in one step. Those behind them in the
-	// queue are longer and even less likely to be placed.
+	// maxUnplacedLong bounds the failed attempts to place long prompts in one step. Prompts further back in the queue
+	// are longer and even less likely to be placed.
 	maxUnplacedLong = 16
 	// idleBelowMs is the pending prefill below which an engine counts as having none: sums of parts leave fractions.
 	idleBelowMs = 1.0
-	// minFreeToReserve is the least free memory, in tokens, of an engine on which a reservation is made.
+	// minFreeToReserve is the least free KV cache, in tokens, of an engine on which a reservation is made, about the
+	// length of the longest short prompt.
 	minFreeToReserve = 20_000
 	// minRetryAfter and maxRetryAfter bound the RetryAfter of refusals.
 	minRetryAfter = 200 * time.Millisecond
@@ -79,9 +80,10 @@
 	return out
 }
 
+// missesTarget reports whether the job is late even if as many engines as possible prefill its prompt from now on. The
+// estimate includes the usual passes of a busy engine after the prefill. Resumed jobs and jobs without a target are
+// never late.
 func (s *State) missesTarget(now decide.Instant, j *Job) bool {
-	// True if the job is late even if as many engines as possible prefill its prompt from now on, and it then waits
-	// for the usual passes of a busy engine. Resumed jobs and jobs without a target are never late.
 	return !j.Resumed && j.FirstEventTarget != 0 && now.Add(s.minPrefill(j)+fromMs(passesToFirstEvent*s.meanPassMs)) > j.FirstEventTarget
 }
 
@@ -153,8 +155,8 @@
 	return s.spread(now, j)
 }
 
-// waitedTooLong reports whether a job that misses its target has waited for its share of the time to its
-// FirstEventDeadline. It is then refused, so that the caller can retry.
+// waitedTooLong reports whether a job that misses its target has waited for more than LateWaitShare of the time from
+// its arrival to its FirstEventDeadline. It is then refused, so that the caller can retry.
 func (s *State) waitedTooLong(now decide.Instant, j *Job) bool {
 	allowed := j.FirstEventDeadline.Sub(j.Arrived)
 	return s.missesTarget(now, j) && toMs(now.Sub(j.Arrived)) > s.params.LateWaitShare*toMs(allowed)
@@ -176,8 +178,8 @@
 	return Decision{Job: r.job, Upstream: r.engine.ID, Reason: reason, OverdueAfter: s.overdueAfter(r)}
 }
 
+// refuse returns the decision that refuses the job, with the delay after which the caller may retry.
 func (s *State) refuse(j *Job, reason decide.Reason) Decision {
-	// A refusal states the delay after which the caller may retry.
 	switch reason {
 	case RateLimited:
 		// Queued jobs are placed before a caller that retries.
@@ -189,8 +191,8 @@
 	return Decision{Job: j, Reason: reason, RetryAfter: s.retryAfter()}
 }
 
-// retryAfter returns the time in which the engines complete the prefill of all queued and placed jobs, within its
-// bounds.
+// retryAfter returns the time in which the engines complete the prefill of all queued and placed jobs, bounded by
+// minRetryAfter and maxRetryAfter.
 func (s *State) retryAfter() time.Duration {
 	if s.model == nil || len(s.enginesByID) == 0 {
 		return minRetryAfter
@@ -220,8 +222,8 @@
 	return max(1, int(excessSlotShare*float64(e.slots(m))))
 }
 
+// slots returns the number of requests that the engine processes at once: its own figure, else the model's, else 1.
 func (e *engine) slots(m *Model) int {
-	// The upstream's own number of slots takes precedence over the model's.
 	switch {
 	case e.Slots > 0:
 		return e.Slots
@@ -264,10 +266,12 @@
 	return s.placement(s.startRun(now, j, best, nil, nil), LeastWork), true
 }
 
+// load returns the engine's runs per slot.
 func (e *engine) load(m *Model) float64 { return float64(len(e.runs)) / float64(e.slots(m)) }
 
-// prefillRoomMs returns how much more prefill the engine can take into its next passes: as much as the event gaps of
-// its streams and maxGap leave, or infinitely much on an engine without streams. A maxGap of 0 sets no bound.
+// prefillRoomMs returns how much more prefill, in ms, the engine can do in its next pass without exceeding the event
+// gaps of its streams and maxGap. A maxGap of 0 sets no bound. It is
+// infinite for an engine without streams, and if no gap bounds it.
 func (s *State) prefillRoomMs(e *engine, maxGap time.Duration) float64 {
 	slowdown := e.slowdown(s.now)
 	if e.shortestGap > 0 && (maxGap == 0 || e.shortestGap < maxGap) {
@@ -313,9 +317,9 @@
 	return s.placement(s.startRun(now, j, best, nil, nil), Packed), true
 }
 
-// cannotBePacked reports whether a prompt that needs no more than this one was not placed in this step. Under overload
-// hundreds of jobs wait, and searching all engines for each of them would saturate the dispatcher's processor. The
-// result holds for the whole step, as a step only occupies capacity and never frees any.
+// cannotBePacked reports whether packing already failed in this step for a prompt that needs no more than this one.
+// Under overload hundreds of jobs wait, and searching all engines for each of them would saturate the dispatcher's
+// processor. The result holds for the whole step, as a step only occupies capacity and never frees any.
 func (s *State) cannotBePacked(j *Job) bool {
 	unplaced, ok := s.unplacedShort[j.Domain]
 	return ok && j.PromptTokens >= unplaced.promptTokens && j.MaxGap <= unplaced.maxGap
--- a/internal/decide/dispatch/runs.go
+++ b/internal/decide/dispatch/runs.go
@@ -12,10 +12,10 @@
 type run struct {
 	job           *Job
 	engine        *engine
-	helpers       []*engine // prefill parts, engines with a reservation included
+	helpers       []*engine // engines that prefill parts, those with a reservation included
 	reservations  []reservation
 	contextTokens int     // KV cache on the answering engine
-	partMs        float64 // prefill of each engine
+	partMs        float64 // prefill time of each engine's part
 	startedAt     decide.Instant
 	plannedMs     float64 // planned time from startedAt to the first event
 	slowdown      float64 // of the slowest of its engines at startedAt
@@ -27,6 +27,7 @@
 	return slices.ContainsFunc(r.reservations, func(h reservation) bool { return h.engine == e })
 }
 
+// reservation is KV cache, in tokens, that an engine reserves for a run that another engine answers.
 type reservation struct {
 	engine *engine
 	tokens int
@@ -55,7 +56,7 @@
 	lastUnreachable map[fleet.DomainID]decide.Instant
 }
 
-// addPrefill adds the prefill of a run to the pending time of its engines.
+// addPrefill adds the prefill of a run, in even parts, to the pending time of its engines.
 func (s *State) addPrefill(r *run) {
 	s.prefilling[r] = true
 	r.partMs = s.model.prefillMs(r.job.PromptTokens) / float64(len(r.helpers)+1)
@@ -65,8 +66,9 @@
 	}
 }
 
+// recordFailure records that the engine failed a run, or is unreachable from several failure domains. It starts a
+// holdoff, during which the engine receives no new jobs.
 func (e *engine) recordFailure(now decide.Instant) {
-	// The engine receives no new jobs until its holdoff ends.
 	e.lastFailure = now
 	e.failures++
 }
@@ -141,7 +143,7 @@
 	}
 }
 
-// release removes a run from its engines, and a closed engine with its last run.
+// release ends a run and removes it from its engines. A closed engine is removed together with its last run.
 func (s *State) release(r *run) {
 	s.removePrefill(r)
 	delete(s.runs, r.job.ID)
--- a/internal/decide/dispatch/sim_test.go
+++ b/internal/decide/dispatch/sim_test.go
@@ -14,6 +14,7 @@
 // coteau is the engine model of the Coteau workload.
 var coteau = passes.Coteau.Model
 
+// at returns the instant of the given time in ms.
 func at(ms float64) decide.Instant { return decide.Instant(ms * float64(time.Millisecond)) }
 
 // meanInTime runs four seeds of the flipping mix and returns, by kind of prompt, the mean share of its worth that is
@@ -38,10 +39,10 @@
 // With each prefill on one engine, long prompts take seconds longer, and their engines accept no short ones.
 func TestSpreadPrefillServesMoreLongPrompts(t *testing.T) {
 	is := is.New(t)
-	alone := dispatch.DefaultParams()
-	alone.MaxHelpers = 0
-	one, many := meanInTime(alone, 0.85), meanInTime(dispatch.DefaultParams(), 0.85)
-	t.Logf("long in time: read by one engine %.3f, by many %.3f", one["long"], many["long"])
+	noHelpers := dispatch.DefaultParams()
+	noHelpers.MaxHelpers = 0
+	one, many := meanInTime(noHelpers, 0.85), meanInTime(dispatch.DefaultParams(), 0.85)
+	t.Logf("long in time: prefilled by one engine %.3f, by many %.3f", one["long"], many["long"])
 	is.True(many["long"] > one["long"]+0.15)
 }
 
--- a/internal/decide/dispatch/slowdown.go
+++ b/internal/decide/dispatch/slowdown.go
@@ -11,7 +11,7 @@
 	// roundTripMs is the time of a request from the dispatcher over its instance to the engine, and of the report
 	// back.
 	roundTripMs = 10.0
-	// slowRatioWeight is the weight of the newest run.
+	// slowRatioWeight is the weight of the newest run in an engine's ratio of actual to planned time.
 	slowRatioWeight = 0.3
 	// slowThreshold is the ratio of actual to planned time from which an engine counts as slow; smaller ratios are
 	// usual variation.
--- a/internal/decide/dispatch/spread.go
+++ b/internal/decide/dispatch/spread.go
@@ -210,14 +210,14 @@
 	return int(float64(s.model.KVCacheTokens)*s.params.MemoryShare) - e.contextTokens
 }
 
-// delayMs returns the time until the engine starts another part of a prefill.
+// delayMs returns the time in ms until the engine starts another part of a prefill.
 func (s *State) delayMs(e *engine) float64 {
 	return (e.pendingMs + s.model.passMs(len(e.runs), e.contextTokens)) * e.slowdown(s.now)
 }
 
 // chooseHelpers returns the engines that prefill parts besides the answering one: all required ones, and as many of
-// the candidates as let the last part complete soonest. It also returns the time of that in ms, infinite if no number
-// of helpers is possible.
+// the candidates as let the last part complete soonest. It also returns the time until then in ms, which is infinite if
+// no number of helpers is possible.
 func (s *State) chooseHelpers(answering *engine, required, candidates []*engine, prefillMs float64, maxGap time.Duration) ([]*engine, float64) {
 	all := slices.Concat(required, candidates)
 	helpers, firstEventMs := 0, math.Inf(1)
--- a/internal/decide/dispatch/stall.go
+++ b/internal/decide/dispatch/stall.go
@@ -10,7 +10,7 @@
 // Jobs can wait beside idle upstreams because the dispatcher wrongly takes these for unusable. It shows as a queue from
 // which nothing is placed although an upstream has no work.
 
-// stallThreshold is how long that may last, a few passes. One job then probes each partitioned link.
+// stallThreshold is how long that may last before jobs probe partitioned links and unreachable upstreams: a few passes.
 const stallThreshold = 300 * time.Millisecond
 
 // Stall counts what keeps queued jobs from idle upstreams, for jobs that need a single upstream.
@@ -19,6 +19,7 @@
 	Waiting  int
 	Idle     int // upstreams without work that may receive jobs
 	// Idle upstreams by the reason for which the first waiting job cannot use them; one can count for several reasons.
+	// Paused ones are in the holdoff after a failure.
 	Paused, Full, Cold, Unreachable, Partitioned, Limited int
 }
 
@@ -45,6 +46,7 @@
 	return st, st.Idle > 0
 }
 
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int {
 	if b {
 		return 1
--- a/internal/decide/dispatch/step_test.go
+++ b/internal/decide/dispatch/step_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// newBusyState returns the state of a service with engines of which the given share of the slots is taken by streams.
+// newBusyState returns the state of a service whose engines have the given share of their slots in use by streams.
 func newBusyState(engines int, share float64) *dispatch.State {
 	m := passes.CoteauShifted.Model
 	s := dispatch.New(&m, dispatch.DefaultParams())
