--- a/internal/decide/pace/pace_test.go
+++ b/internal/decide/pace/pace_test.go
@@ -36,7 +36,7 @@
 	return calls, totalAge / time.Duration(steps)
 }
 
-// Calls after each renewal take two fifths of the calls that polling every 200 ms does, and the reports are fresher.
+// Calling after each renewal needs two fifths of the calls of polling every 200 ms, and the reports are fresher.
 func TestScheduleNeedsFewerCallsForFresherReports(t *testing.T) {
 	is := is.New(t)
 	fixedCalls, fixedAge := pollEngine(renewalPeriod, func(uint64, decide.Instant, decide.Instant) time.Duration { return fallback })
