--- a/internal/decide/pause/pause.go
+++ b/internal/decide/pause/pause.go
@@ -20,16 +20,16 @@
 
 // Guard compares the current time with its owner's last tick. It guards against an instance that resumes after a pause
 // and acts on outdated state as if no time had passed, which shows as work for an upstream that has left, or as use of
-// a lease after its end. It works because the monotonic clock advances while the process is paused, and because the
-// code that acts calls Check with its own time, so that no tick has to run first.
+// a lease after its end. The guard holds because the monotonic clock advances while the process is paused, and because
+// the code that acts calls Check with the current time, so that no tick has to run first.
 //
 // Check and Tick may be called from several goroutines.
 type Guard struct {
 	threshold time.Duration
-	lastTick  atomic.Int64
+	lastTick  atomic.Int64 // a decide.Instant
 }
 
-// New returns a guard whose owner ticks more often than threshold.
+// New returns a guard whose owner calls Tick at intervals shorter than threshold.
 func New(now decide.Instant, threshold time.Duration) *Guard {
 	g := &Guard{threshold: threshold}
 	g.Tick(now)
