--- a/internal/decide/advertised/limits.go
+++ b/internal/decide/advertised/limits.go
@@ -15,13 +15,13 @@
 
 const (
 	// settleTime is how long after a limit was last advertised a request must be sent for its answer to end the limit.
-	// An answer that was made earlier can arrive after one that advertises the limit, and the ages in the other
-	// instances' messages are off by the time in transit.
+	// An answer that was made before the limit began can arrive after one that advertises it, and the times in the
+	// other instances' messages are off by the time in transit.
 	settleTime = 500 * time.Millisecond
-	// renewInterval is how often the other instances are told that a limit is still advertised, or still ended.
+	// renewInterval is how often the other instances are notified that a limit is still advertised, or has still ended.
 	renewInterval = time.Second
-	// endRepeatTime is how long after a limit was last advertised its end is sent again. An instance that received the
-	// limit just before ignores the end, and would keep the limit forever.
+	// endRepeatTime is how long after a limit was last advertised its end is sent repeatedly. An instance that received
+	// the limit just before its end ignores the end (see settleTime), and would otherwise keep the limit forever.
 	endRepeatTime = time.Minute
 	// maxProcesses bounds the limits that are kept. The one whose latest observation is oldest is evicted first.
 	maxProcesses = 10_000
@@ -38,10 +38,11 @@
 	ReceivedBy fleet.InstanceID // received the answer
 }
 
-// Reasons of this package: what an observation changed. Unchanged ones need not be sent to the other instances.
+// Reasons of this package: what an observation changed. An observation with the result Unchanged need not be sent to
+// the other instances.
 const (
 	Unchanged decide.Reason = ""
-	Named     decide.Reason = "limit_named"
+	Named     decide.Reason = "limit_named" // a limit begins
 	Changed   decide.Reason = "limit_changed"
 	Renewed   decide.Reason = "limit_renewed" // unchanged, but not sent to the other instances for a while
 	Ended     decide.Reason = "limit_ended"
@@ -56,8 +57,9 @@
 	inForce int
 }
 
+// limit is the latest rate limit of one process, in force or ended.
 type limit struct {
-	lastAdvertised Observation    // that advertised the limit
+	lastAdvertised Observation    // latest observation of the limit
 	endedAt        decide.Instant // latest SentAt of an observation that ended the limit or confirmed its end
 	sharedAt       decide.Instant // when an observation was last sent to the other instances
 	ended          bool
@@ -89,8 +91,8 @@
 	return l.applyNoLimit(o)
 }
 
+// applyLimit applies an observation of a limit: it begins, changes or renews the limit of its process.
 func (l *Limits) applyLimit(o Observation) decide.Reason {
-	// The answer advertised a limit: it starts, changes or renews the limit of its process.
 	lim := l.limits[o.Process]
 	switch {
 	case lim == nil:
@@ -121,8 +123,9 @@
 	return change
 }
 
+// applyNoLimit applies an observation without a limit: it ends the limit of its process, or renews the end for the other
+// instances.
 func (l *Limits) applyNoLimit(o Observation) decide.Reason {
-	// The answer advertised no limit: it ends the limit of its process, or repeats the end for other instances.
 	lim := l.limits[o.Process]
 	switch {
 	case lim == nil:
@@ -159,8 +162,8 @@
 	delete(l.limits, oldest.lastAdvertised.Process)
 }
 
+// lastReceived returns the time of the latest observation of the limit or of its end.
 func (lim *limit) lastReceived() decide.Instant {
-	// Time of the latest observation, with or without a limit.
 	return max(lim.lastAdvertised.ReceivedAt, lim.endedAt)
 }
 
--- a/internal/decide/advertised/limits_test.go
+++ b/internal/decide/advertised/limits_test.go
@@ -17,10 +17,12 @@
 
 var process = fleet.Process{ID: "u", StartTime: 7}
 
+// limited returns an observation of a limit, received at the given time in ms.
 func limited(rate float64, receivedMs int) advertised.Observation {
 	return advertised.Observation{Process: process, Limited: true, Rate: rate, SentAt: at(receivedMs - 10), ReceivedAt: at(receivedMs), ReceivedBy: "i"}
 }
 
+// unlimited returns an observation without a limit, with the given times in ms.
 func unlimited(sentMs, receivedMs int) advertised.Observation {
 	return advertised.Observation{Process: process, SentAt: at(sentMs), ReceivedAt: at(receivedMs), ReceivedBy: "i"}
 }
