--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -1,5 +1,5 @@
-// Package limit enforces a workspace's limit of concurrent requests over the whole fleet without messages between the
-// instances: each enforces its own share.
+// Package limit enforces a workspace's fleet-wide limit of concurrent requests. The instances exchange no messages for
+// this: each enforces its own share.
 package limit
 
 import (
@@ -16,7 +16,7 @@
 // Reasons lists every reason of this package.
 var Reasons = []decide.Reason{OverLimit}
 
-// Unlimited is the limit of a workspace without one.
+// Unlimited as a limit or a share means that there is none.
 const Unlimited = 0
 
 // Share returns one instance's share of a fleet-wide limit: the limit divided by the number of instances, rounded up.
@@ -48,7 +48,7 @@
 	return true
 }
 
-// Release uncounts a request. It is called once for each Acquire that returned true.
+// Release removes a request from the count. It is called once for each Acquire that returned true.
 func (f *InFlight) Release() { f.count.Add(-1) }
 
 // Count returns the number of requests in flight.
