--- a/internal/decide/pick/estimate.go
+++ b/internal/decide/pick/estimate.go
@@ -99,8 +99,8 @@
 	return sum
 }
 
-// scaleToFleet scales a figure of this instance's dispatches up to those of all instances. The other instances see the
-// same load reports and choose alike, but not at the same moments, so each of them counts with weight PeerWeight.
+// scaleToFleet scales a figure of this instance's dispatches up to the dispatches of all instances. The other instances
+// see the same load reports and choose alike, but not at the same moments, so each counts with weight PeerWeight.
 func (q *Query) scaleToFleet(own int64) int64 {
 	return int64(float64(own) * (1 + float64(q.Instances-1)*q.Profile.PeerWeight))
 }
--- a/internal/decide/pick/parts.go
+++ b/internal/decide/pick/parts.go
@@ -12,9 +12,9 @@
 const (
 	// maxParts is the largest number of engines in a group.
 	maxParts = 8
-	// minPartTokens is the smallest free memory for which an engine joins a group, in tokens.
+	// minPartTokens is the smallest free memory with which an engine may join a group, in tokens.
 	minPartTokens = 32 * 1024
-	// groupOverhead is the extra work of a group's engines for exchanging KV cache, as a share of their work.
+	// groupOverhead is the extra work of a group's engines for exchanging KV cache, as a share of their prefill work.
 	groupOverhead = 0.25
 )
 
@@ -113,8 +113,9 @@
 	return Plan{Parts: parts, Estimate: groupEstimate(q, pair, parts), Reason: Split}
 }
 
+// collectOffers returns the offers of the engines in the pool. It leaves out engines that a gate removes, that have no
+// recent load report, or that were tried for this request.
 func collectOffers(q *Query, pool []Candidate, gates []Filter) []offer {
-	// Engines that fail a gate, lack a recent load report or were tried for this request make no offer.
 	offers := make([]offer, 0, len(pool))
 	for i := range pool {
 		c := &pool[i]
@@ -169,8 +170,9 @@
 	return parts
 }
 
+// groupEstimate returns the estimate for a prompt divided into parts among the engines of the offers. The first token
+// comes when the slowest engine has computed its part.
 func groupEstimate(q *Query, offers []offer, parts []Part) Estimate {
-	// The first token comes when the slowest engine has computed its part.
 	e := Estimate{Cost: q.Prompt.Tokens}
 	for _, o := range offers {
 		i := slices.IndexFunc(parts, func(p Part) bool { return p.Engine == o.engine })
--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -21,7 +21,7 @@
 // Reasons lists all reasons for a Choice.
 var Reasons = []decide.Reason{BestPredicted, CachedPrefix, OnlyCandidate, NoEngine, NoMemory, StaleReports, RejectedByGate}
 
-// Filter removes engines from a choice. Reason is the reason for a failed choice in which this filter removed engines.
+// Filter removes engines from a choice. If no engine is left and this filter removed one, Reason is the reason for that.
 type Filter struct {
 	Reason decide.Reason
 	Keep   func(q *Query, c *Candidate) bool
@@ -73,8 +73,9 @@
 	return best
 }
 
+// considerUntilFirstPasses considers the engines of the pool in turn until one passes the filters, and stores that one
+// in best. It starts at a random position, so that no engine is preferred.
 func (p *Pipeline) considerUntilFirstPasses(q *Query, pool []Candidate, best *Choice) {
-	// Starts at a random position, so that no engine is preferred.
 	from := decide.IntN(q.Rand, len(pool))
 	for i := range pool {
 		p.consider(q, &pool[(from+i)%len(pool)], best)
@@ -84,13 +85,13 @@
 	}
 }
 
-// consider scores the candidate if it passes the filters, and stores it in best if its score is lower. Otherwise
-// best gets the filter's reason, if its own is still NoEngine.
+// consider scores the candidate if it passes the filters, and stores it in best if its score is lower than that of best.
+// If a filter removes the candidate, best gets the reason of that filter, unless it already has one other than NoEngine.
 func (p *Pipeline) consider(q *Query, c *Candidate, best *Choice) {
 	for _, filters := range [...][]Filter{p.Gates, p.Filters} {
 		if reason, ok := passes(filters, q, c); !ok {
 			if best.Reason == NoEngine {
-				best.Reason = reason // missing memory or a gate says more than an engine tried before
+				best.Reason = reason // any other reason is more specific than NoEngine
 			}
 			return
 		}
@@ -116,6 +117,7 @@
 	return "", true
 }
 
+// setReason sets the reason for the choice if an engine was chosen.
 func (b *Choice) setReason(q *Query, pool []Candidate) {
 	switch {
 	case b.Engine == nil: // the reason is already set
@@ -156,6 +158,7 @@
 // often the same in all prompts of a workspace.
 const prefixBlock = 1
 
+// appendUnique appends i unless indexes contains it.
 func appendUnique(indexes []int, i int) []int {
 	if slices.Contains(indexes, i) {
 		return indexes
--- a/internal/decide/pick/pick_test.go
+++ b/internal/decide/pick/pick_test.go
@@ -43,6 +43,7 @@
 	return engines
 }
 
+// shortQuery returns a query for a short prompt with the short-first profile and a fixed seed.
 func shortQuery(now decide.Instant) *pick.Query {
 	profile := pick.ProfileOf(api.ProfileShortFirst)
 	return &pick.Query{
@@ -106,9 +107,9 @@
 	is.Equal(e.Report().QueuedTokens, int64(5))
 }
 
-// Guards against all short prompts waiting on one engine while nineteen have almost nothing to do: nine instances read
-// the report that shows one engine as the least loaded, and each sends all its prompts there until the next report,
-// because its own dispatches don't change the figures that it compares.
+// Guards against all short prompts waiting on one engine while nineteen others are almost idle. Nine instances read the
+// report that shows one engine as the least loaded. Each sends all its prompts there until the next report, if its own
+// dispatches don't change the figures that it compares.
 func TestInstancesDoNotHerdToLeastLoadedEngine(t *testing.T) {
 	is := is.New(t)
 	maxPerEngine := func(picker pick.Picker, recordDispatches bool) int64 {
@@ -145,8 +146,8 @@
 	is.True(maxPerEngine(pick.Sample, true) <= int64(2*6)) // with it: at most about twice the mean of 5.4
 }
 
-// Guards against prompts that time out on an engine that reported itself idle and then stopped reporting: its old
-// report gives it the best score, and the older the report, the more work counts as done.
+// Guards against prompts that time out on an engine that reported that it is idle and then stopped reporting. By its
+// old report it has the best score, and the older the report is, the more work counts as done.
 func TestEngineWithStaleReportIsChosenLast(t *testing.T) {
 	is := is.New(t)
 	engines := idleEngines(3)
@@ -273,6 +274,7 @@
 	}
 }
 
+// BenchmarkPick measures concurrent choices, each followed by a recorded dispatch, by the number of engines.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{20, 400, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/decide/pick/recent.go
+++ b/internal/decide/pick/recent.go
@@ -40,10 +40,12 @@
 	ring [bucketCount]bucket
 }
 
+// epochOf returns the number of the interval that contains the instant.
 func epochOf(at decide.Instant) int64 { return int64(at) / int64(bucketWidth) }
 
+// add counts a dispatch in the bucket of the current interval. It first clears the bucket if that still holds an older
+// interval.
 func (d *recentDispatches) add(class cost.Class, tokens, memory int64, now decide.Instant) {
-	// Clears the bucket of the current interval first if it still holds an older interval.
 	epoch := epochOf(now)
 	b := &d.ring[uint64(epoch)%bucketCount]
 	if old := b.epoch.Load(); old != epoch && b.epoch.CompareAndSwap(old, epoch) {
