--- a/internal/decide/cost/cost.go
+++ b/internal/decide/cost/cost.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// UsesLanes reports whether prompts of the class stay on the long lanes.
+// UsesLanes reports whether prompts of the class are restricted to the long lanes, see package lane.
 func (c Class) UsesLanes() bool { return c >= Long }
 
 // ClassOf returns the class of a prompt of promptTokens with an answer of at most answerTokens, for engines that each
--- a/internal/decide/cost/cost_test.go
+++ b/internal/decide/cost/cost_test.go
@@ -24,6 +24,7 @@
 	return b
 }
 
+// consecutiveHashes returns n consecutive hashes, starting with from.
 func consecutiveHashes(from uint64, n int) []uint64 {
 	list := make([]uint64, n)
 	for i := range list {
@@ -57,8 +58,8 @@
 	is.Equal(allCached.UncachedTokens(table, 0), 1) // the last token is always computed
 }
 
-// Guards against a prompt that is sent to an engine for a cached prefix that the engine has dropped, and waits for its
-// prefill: the drop events are lost, later events arrive, and the table still counts the blocks from before the gap.
+// Guards against a prompt that is sent to an engine for a cached prefix that the engine has dropped, and then waits for
+// its prefill. The drop events are lost, later events arrive, and the table still counts the blocks from before the gap.
 func TestLostEventsAgeKnownBlocks(t *testing.T) {
 	is := is.New(t)
 	table := cost.NewTable(memoryTokens)
@@ -77,8 +78,8 @@
 	is.Equal(table.BlockCount(), 0)
 }
 
-// Guards against prompts that are sent to a restarted engine for prefixes that it cached before the restart: its
-// sequence numbers start again, so the reader mistakes new events for events that it has already applied.
+// Guards against prompts that are sent to a restarted engine for prefixes that it cached before the restart. Its
+// sequence numbers start again, so the table would take new events for events that it has already applied.
 func TestNewBootIDClearsTable(t *testing.T) {
 	is := is.New(t)
 	table := cost.NewTable(memoryTokens)
--- a/internal/decide/cost/table.go
+++ b/internal/decide/cost/table.go
@@ -10,11 +10,11 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// Instant is the time at which events are applied and blocks are read.
+// Instant is decide.Instant, the time at which events are applied and blocks are read.
 type Instant = decide.Instant
 
 const (
-	slotsPerSet   = 8       // slots in which one hash may be stored
+	slotsPerSet   = 8       // slots in which one hash may be stored; all of them are searched
 	minSlots      = 64      // size of the smallest table
 	maxSlots      = 1 << 14 // size of the largest table: 16384 blocks, 16 million tokens, 192 KiB
 	slotsPerBlock = 2       // slots for each block that fits the engine's memory
@@ -117,6 +117,7 @@
 	return missed
 }
 
+// clear removes all blocks.
 func (t *Table) clear() {
 	for i := range t.hashes {
 		t.hashes[i].Store(0)
@@ -138,7 +139,8 @@
 	return int(hash%t.setCount) * slotsPerSet, hash
 }
 
-// addBlock stores the block in an empty slot of its set, or in place of the oldest block if the set is full.
+// addBlock stores the block with the time now, which also renews a block that is stored already. A new block takes an
+// empty slot of its set, or the slot of the oldest block if the set is full.
 func (t *Table) addBlock(hash uint64, now Instant) {
 	first, hash := t.locate(hash)
 	clock := t.clockAt(now)
@@ -165,8 +167,8 @@
 	t.hashes[slot].Store(hash)
 }
 
+// dropBlock removes the block, and returns the number of blocks removed: 1, or 0 if the table doesn't contain it.
 func (t *Table) dropBlock(hash uint64) int {
-	// Returns the number of blocks removed, 0 or 1.
 	first, hash := t.locate(hash)
 	for i := first; i < first+slotsPerSet; i++ {
 		if t.hashes[i].Load() == hash {
