--- a/internal/decide/lane/lane.go
+++ b/internal/decide/lane/lane.go
@@ -37,6 +37,7 @@
 	d.sum += engineSeconds
 }
 
+// decayTo reduces the sum for the time from decayedAt to now.
 func (d *Demand) decayTo(now decide.Instant) {
 	if now.Before(d.decayedAt) {
 		return
@@ -45,8 +46,9 @@
 	d.decayedAt = now
 }
 
-// BusyEngines returns the measured demand as a number of engines. The sum covers only the time since the first Add,
-// so the window is scaled by the weight of that time, which counts as a tenth at least.
+// BusyEngines returns the measured demand as a number of engines. The sum covers only the time since the first Add, so
+// the window is scaled by the weight of that time. The weight is at least a tenth, so that the first prompts don't
+// count as a large demand.
 func (d *Demand) BusyEngines(now decide.Instant) float64 {
 	if !d.hasDemand {
 		return 0
@@ -107,13 +109,14 @@
 	}
 }
 
+// maxLanes returns the largest number of lanes: MaxShare of the engines, but at least MinLanes if there are that many
+// engines.
 func (s *Sizer) maxLanes(engines int) int {
-	// MaxShare of the engines, but at least MinLanes if there are that many engines.
 	return max(int(s.MaxShare*float64(engines)), min(s.MinLanes, engines))
 }
 
+// target returns the number of lanes for the current demand, before hysteresis.
 func (s *Sizer) target(demand float64, engines int) int {
-	// The lanes for the current demand, before hysteresis.
 	target := max(int(math.Ceil(demand*s.Headroom)), s.MinLanes)
 	return min(target, s.maxLanes(engines))
 }
