--- a/internal/decide/health/health.go
+++ b/internal/decide/health/health.go
@@ -24,12 +24,13 @@
 	stateCount
 )
 
+// stateNames holds the name of each state, indexed by state.
 var stateNames = [stateCount]string{"unknown", "cold", "warming", "warm", "suspect", "leaving", "gone"}
 
 // String returns the state's name in logs.
 func (s State) String() string { return stateNames[s] }
 
-// AcceptsWork reports whether an upstream in that state gets new work.
+// AcceptsWork reports whether an upstream in state s gets new work.
 func (s State) AcceptsWork() bool { return s != Leaving && s != Gone }
 
 // Event is a piece of evidence.
@@ -160,11 +161,11 @@
 	failureResetTime = 30 * time.Second // a failure later than this after the last one counts as the first
 	minHoldoff       = 250 * time.Millisecond
 	maxHoldoff       = 8 * time.Second
-	maxDoublings     = 16
+	maxDoublings     = 16 // avoids an overflow; maxHoldoff is reached long before
 )
 
+// recordFailure counts a failure of the upstream's work. The count restarts after failureResetTime without a failure.
 func (m *Machine) recordFailure(now decide.Instant) {
-	// Counts a failure of the upstream's work; the count restarts after failureResetTime without one.
 	if now.Sub(m.lastFailure) > failureResetTime {
 		m.failures = 0
 	}
@@ -172,16 +173,17 @@
 	m.lastFailure = now
 }
 
+// holdoff returns how long, from the start of the current state, reports and probes don't count. It is 0 unless the
+// upstream is suspect and its work failed when it became so or within failureResetTime before.
 func (m *Machine) holdoff() time.Duration {
-	// The holdoff is 0 unless the upstream became suspect through a recent failure of its work.
 	if m.state != Suspect || m.failures == 0 || m.since.Sub(m.lastFailure) > failureResetTime {
 		return 0
 	}
 	return min(minHoldoff<<min(m.failures-1, maxDoublings), maxHoldoff)
 }
 
-// InHoldoff reports whether the upstream is suspect because its work failed. Its work is withheld until a report or
-// probe clears it.
+// InHoldoff reports whether the upstream is suspect because its work failed. The caller may withhold all work from it
+// until a report or probe ends that state.
 func (m *Machine) InHoldoff() bool { return m.holdoff() > 0 }
 
 // IsSlowFirstByte reports whether a first byte that arrived after elapsed is far later than expected. That is the first
@@ -191,6 +193,6 @@
 }
 
 const (
-	slowFactor = 4
-	slowFloor  = time.Second
+	slowFactor = 4           // multiple of the expected time from which a first byte is slow
+	slowFloor  = time.Second // no first byte that arrives earlier is slow
 )
--- a/internal/decide/health/health_test.go
+++ b/internal/decide/health/health_test.go
@@ -10,6 +10,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/health"
 )
 
+// stateBegan is the instant at which the state of a machineIn began.
 const stateBegan = decide.Instant(time.Second)
 
 // machineIn returns a machine that has reached state s by the shortest path.
