--- a/internal/decide/warm/alternatives_test.go
+++ b/internal/decide/warm/alternatives_test.go
@@ -9,14 +9,17 @@
 	"github.com/damaskshelf/damaskshelf/internal/rendezvous"
 )
 
+// engineName returns the name of engine u, by which its slots are assigned.
 func engineName(u int) string { return fmt.Sprint("engine-", u) }
 
-// localLimitPolicy reproduces the failure: each instance applies the full limit on its own.
+// localLimitPolicy reproduces the failure that the other policies prevent: each instance applies the full limit on its
+// own.
 type localLimitPolicy struct {
 	sim   *simulation
 	inUse map[int]int
 }
 
+// newLocalLimitPolicy returns a localLimitPolicy.
 func newLocalLimitPolicy(sim *simulation, _ *instance) policy {
 	return &localLimitPolicy{sim: sim, inUse: map[int]int{}}
 }
@@ -44,6 +47,7 @@
 	tickCount int
 }
 
+// newSlotPolicy returns a slotPolicy with heartbeats.
 func newSlotPolicy(sim *simulation, n *instance) policy {
 	return &slotPolicy{
 		sim: sim, self: n, slots: warm.NewSlots(n.id, sim.params, sim.loop.Now()), inUse: map[int]int{}, heartbeat: true,
@@ -57,11 +61,13 @@
 	return p
 }
 
+// onInstanceList applies the list to the slots.
 func (p *slotPolicy) onInstanceList(version uint64, instanceIDs []string, began decide.Instant) {
 	p.version = max(p.version, version)
 	p.slots.OnInstanceList(version, instanceIDs, began, p.sim.loop.Now())
 }
 
+// tick sends a heartbeat with the version of the list to the next instance in turn.
 func (p *slotPolicy) tick() {
 	p.tickCount++
 	to := p.sim.instances[p.tickCount%len(p.sim.instances)]
@@ -102,6 +108,7 @@
 
 const grantLifetime = time.Second // longest time from the request for a grant to its dispatch
 
+// newGrantPolicy returns a grantPolicy.
 func newGrantPolicy(sim *simulation, n *instance) policy {
 	return &grantPolicy{
 		sim: sim, self: n, ownerSince: map[int]decide.Instant{}, granted: map[int][]decide.Instant{},
@@ -109,8 +116,10 @@
 	}
 }
 
+// owner returns the instance that owns engine u by the current list.
 func (p *grantPolicy) owner(u int) string { return rendezvous.Owner(engineName(u), p.members) }
 
+// onInstanceList updates the engines that this instance owns.
 func (p *grantPolicy) onInstanceList(_ uint64, instanceIDs []string, _ decide.Instant) {
 	p.members = instanceIDs
 	for u := range p.sim.engines {
@@ -124,6 +133,7 @@
 	}
 }
 
+// tick drops the list and all grants if the instance was paused since the last tick.
 func (p *grantPolicy) tick() {
 	now := p.sim.loop.Now()
 	if now.Sub(p.lastTick) > p.sim.params.MaxPause {
@@ -133,6 +143,7 @@
 	p.lastTick = now
 }
 
+// acquire uses a valid grant, or requests one from the owner and returns false.
 func (p *grantPolicy) acquire(u int) bool {
 	now := p.sim.loop.Now()
 	for len(p.grants[u]) > 0 {
@@ -189,6 +200,7 @@
 	})
 }
 
+// release ends a dispatch and notifies the owner, which removes one grant.
 func (p *grantPolicy) release(u int) {
 	p.inUse[u]--
 	if len(p.members) == 0 {
@@ -207,6 +219,7 @@
 	slots   map[string]lease
 }
 
+// lease is one instance's lease of slots, with the number of its renewals.
 type lease struct{ slots, renewals int }
 
 // leasePolicy lets each instance hold slots through a lease in the upstream's object, which it renews before it
@@ -222,13 +235,15 @@
 	inUse       map[int]int
 }
 
+// observedLease is another instance's lease: its number of renewals, and since when that has been the same.
 type observedLease struct {
 	renewals int
 	since    decide.Instant
 }
 
-const leaseDuration = 9 * time.Second
+const leaseDuration = 9 * time.Second // a lease is renewed after a third of it
 
+// newLeasePolicy returns a leasePolicy.
 func newLeasePolicy(sim *simulation, n *instance) policy {
 	return &leasePolicy{
 		sim: sim, self: n, expiresAt: map[int]decide.Instant{}, slots: map[int]int{}, nextRenewal: map[int]decide.Instant{},
@@ -239,6 +254,7 @@
 func (p *leasePolicy) onInstanceList(uint64, []string, decide.Instant) {}
 func (p *leasePolicy) release(u int)                                   { p.inUse[u]-- }
 
+// acquire uses one of the slots of this instance's lease, unless that has expired.
 func (p *leasePolicy) acquire(u int) bool {
 	if p.sim.loop.Now() > p.expiresAt[u] || p.inUse[u] >= p.slots[u] {
 		return false
@@ -247,6 +263,7 @@
 	return true
 }
 
+// tick renews the leases that are due while the store is available, except those of warm engines.
 func (p *leasePolicy) tick() {
 	now := p.sim.loop.Now()
 	for u, e := range p.sim.engines {
--- a/internal/decide/warm/measure_test.go
+++ b/internal/decide/warm/measure_test.go
@@ -54,11 +54,13 @@
 	messages         int
 }
 
+// instanceList is a version of the platform's instance list, and the time from which it holds.
 type instanceList struct {
 	at          decide.Instant
 	instanceIDs []string
 }
 
+// instance is a simulated instance with its policy and its faults.
 type instance struct {
 	id             string
 	sim            *simulation
@@ -69,11 +71,13 @@
 	listUnreadable bool          // whether its reads fail
 }
 
+// coldEngine counts the dispatches of one engine, which is cold while warmAt is 0. maxInFlight covers only that time.
 type coldEngine struct {
 	inFlight, maxInFlight, successes int
 	warmAt                           decide.Instant
 }
 
+// newSimulation returns a simulation of listed instances that send requests to cold engines.
 func newSimulation(factory policyFactory, instanceCount, engines, limit int) *simulation {
 	sim := &simulation{
 		random: rand.New(rand.NewPCG(7, 7)), params: warm.DefaultParams(), limit: limit, factory: factory, warmAfter: warmSuccesses,
@@ -92,6 +96,7 @@
 	return sim
 }
 
+// add starts an instance, which is not in the instance list yet.
 func (sim *simulation) add(id string) *instance {
 	n := &instance{id: id, sim: sim}
 	n.listLag = time.Duration(sim.random.Int64N(int64(sim.params.ListLag / 2)))
@@ -103,8 +108,8 @@
 	return n
 }
 
-// runEvery runs f at intervals d until the instance stops, except while it is paused. A paused instance sends requests
-// first when it resumes, before its ticks and polls, which is the worst order.
+// runEvery runs f at intervals d until the instance stops, except while it is paused. Most faults make an instance send
+// requests as soon as it resumes, before its ticks and polls, which is the worst order.
 func (n *instance) runEvery(d time.Duration, f func()) {
 	var runAndRepeat func()
 	runAndRepeat = func() {
@@ -134,6 +139,7 @@
 	n.policy.onInstanceList(uint64(latest+1), n.sim.listVersions[latest].instanceIDs, now)
 }
 
+// sendRequests sends as many dispatches to each cold engine as the policy allows.
 func (n *instance) sendRequests() {
 	for u, e := range n.sim.engines {
 		for e.warmAt == 0 && n.policy.acquire(u) {
@@ -142,6 +148,7 @@
 	}
 }
 
+// dispatch sends one dispatch to engine u, and counts its end as a success.
 func (n *instance) dispatch(u int, e *coldEngine) {
 	e.inFlight++
 	if e.warmAt == 0 {
@@ -163,14 +170,17 @@
 	})
 }
 
+// setInstances adds a version of the instance list.
 func (sim *simulation) setInstances(instanceIDs ...string) {
 	sim.listVersions = append(sim.listVersions, instanceList{at: sim.loop.Now(), instanceIDs: instanceIDs})
 }
 
+// instanceIDs returns the instances of the latest list.
 func (sim *simulation) instanceIDs() []string {
 	return sim.listVersions[len(sim.listVersions)-1].instanceIDs
 }
 
+// instancesWithout returns the instances of the latest list except one.
 func (sim *simulation) instancesWithout(id string) []string {
 	return slices.DeleteFunc(slices.Clone(sim.instanceIDs()), func(s string) bool { return s == id })
 }
@@ -184,18 +194,22 @@
 	outsideAssumptions bool // outside the assumptions, so the limit may be exceeded; see docs/design/cold-start.md
 }
 
+// start is the instant at which scenarios begin.
 const start = decide.Instant(20 * time.Second)
 
+// at schedules f at d after start.
 func (sim *simulation) at(d time.Duration, f func()) { sim.loop.At(start.Add(d), f) }
 
 // slotHolder returns the instance with the first slot of engine 0, whose failures have the most effect.
 func (sim *simulation) slotHolder() *instance { return sim.instances[sim.slotHolderIndex()] }
 
+// slotHolderIndex returns the index in instances of the one with the first slot of engine 0.
 func (sim *simulation) slotHolderIndex() int {
 	top := warm.FirstSlotHolderForTest("engine-0", sim.instanceIDs())
 	return slices.IndexFunc(sim.instances, func(n *instance) bool { return n.id == top })
 }
 
+// scenarios returns the scenarios of TestBoundOfColdUpstreams.
 func scenarios() []scenario {
 	resume := func(sim *simulation, n *instance) {
 		n.paused = false
@@ -279,6 +293,7 @@
 	messages    int
 }
 
+// runScenario runs a scenario with nine instances that use the policy.
 func runScenario(factory policyFactory, s scenario) outcome {
 	sim := newSimulation(factory, 9, s.engines, s.limit)
 	// Until start the engines accept no dispatch, so nothing is counted before all instances have settled.
--- a/internal/decide/warm/ramp.go
+++ b/internal/decide/warm/ramp.go
@@ -11,17 +11,17 @@
 
 // Limits of the growth of load, in dispatches of one instance.
 const (
-	rampMin   = 1  // smallest cap in flight at a warming upstream
-	rampMax   = 64 // cap in flight at which a warming upstream counts as warm
-	windowMin = 16 // smallest cap on dispatches without a first byte at a warm upstream
-	windowMax = 1024
+	rampMin   = 1    // smallest cap in flight at a warming upstream
+	rampMax   = 64   // cap in flight at which a warming upstream counts as warm
+	windowMin = 16   // smallest cap on dispatches without a first byte at a warm upstream
+	windowMax = 1024 // largest one
 )
 
 // Caps limit the dispatches of one instance to one upstream.
 type Caps struct {
 	InFlight          int  // dispatches in flight
 	AwaitingFirstByte int  // dispatches without a first byte
-	FromSlots         bool // InFlight is a share of slots: valid until Slots.ValidUntil, Params.MaxDispatch each
+	FromSlots         bool // InFlight is a share of slots; see Slots.ValidUntil and Params.MaxDispatch
 }
 
 // Growth holds the caps of one upstream, which grow with successful dispatches. The zero value is for a cold upstream.
@@ -46,8 +46,8 @@
 	}
 }
 
-// OnSuccess counts a successful dispatch. Once there are as many as the ramp allows in flight, the ramp doubles. It
-// reports whether the ramp has reached its maximum.
+// OnSuccess counts a successful dispatch. After as many successes as the ramp allows dispatches in flight, the ramp
+// doubles. OnSuccess reports whether the ramp has reached its maximum.
 func (g *Growth) OnSuccess() bool {
 	if g.ramp == 0 || g.ramp >= rampMax {
 		return g.ramp >= rampMax
@@ -68,8 +68,8 @@
 	}
 }
 
-// ShrinkWindow reduces the window by an eighth, and by 1 at least, if less than half of it is used. The caller calls it
-// at a fixed interval, so that the window doesn't keep the size of a past load.
+// ShrinkWindow reduces the window by an eighth, at least by 1, if less than half of it is used. It is called at a fixed
+// interval, so that the window doesn't keep the size of a past load.
 func (g *Growth) ShrinkWindow(awaitingFirstByte int) {
 	if 2*awaitingFirstByte < g.window {
 		g.window = max(windowMin, g.window-max(1, g.window/8))
--- a/internal/decide/warm/ramp_test.go
+++ b/internal/decide/warm/ramp_test.go
@@ -59,6 +59,8 @@
 	refusedShare  float64 // share of requests that the window refused while it was warm
 }
 
+// simulateColdTurn simulates one engine that turns cold after 20 s, under rate requests per second from nine instances.
+// Each instance detects the cold engine by reading its next load report. withWindow applies the window of Growth.
 func simulateColdTurn(rate float64, withWindow bool) coldTurn {
 	const (
 		instanceCount  = 9
--- a/internal/decide/warm/random_test.go
+++ b/internal/decide/warm/random_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against the same failure in random scenarios: instances are paused, removed from the list or unable to read
-// it, and recover, and the platform fails, at random times and several at once. All scenarios are within the
-// assumptions of docs/design/cold-start.md, so the total must stay within the limit.
+// Guards against the failure of TestBoundOfColdUpstreams in random scenarios. At random times, also several at once,
+// instances are paused, removed from the list or unable to read it, and recover, and the platform fails. All scenarios
+// are within the assumptions of docs/design/cold-start.md, so the total must stay within the limit.
 func TestBoundOverDrawnCourses(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "11", "rapid.checks": "15"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/decide/warm/slots.go
+++ b/internal/decide/warm/slots.go
@@ -17,7 +17,7 @@
 
 // Params holds the bounds that keep the slots within the limit. All instances must have the same ones.
 type Params struct {
-	ListLag     time.Duration // longest delay of an instance list change to all instances; half is the platform's
+	ListLag     time.Duration // longest time until all instances use a changed instance list; half is the platform's delay
 	MaxPause    time.Duration // longest pause of the process between acquiring a slot and writing the request
 	MaxDispatch time.Duration // longest dispatch to a cold upstream; the engine ends it even if the instance is gone
 }
@@ -62,7 +62,7 @@
 	confirmedAt   decide.Instant // when the current list was last known to be the newest
 }
 
-// NewSlots returns the slots of instance self, which has no instance list yet.
+// NewSlots returns the slots of instance self, which has no instance list yet and so no share.
 func NewSlots(self string, p Params, now decide.Instant) *Slots {
 	s := &Slots{self: self, params: p, confirmedAt: now.Add(-p.maxListAge() - 1)}
 	s.resetHistory(now)
