--- a/internal/placement/backoff.go
+++ b/internal/placement/backoff.go
@@ -12,7 +12,7 @@
 	minBackoff = 500 * time.Millisecond
 	maxBackoff = 4 * time.Second
 	// startupBackoff is how long an instance that has just started is not contacted. It receives the store's state
-	// within that time, and dispatches for itself until others attach.
+	// within that time, and is only its own dispatcher until others attach.
 	startupBackoff = 50 * time.Millisecond
 )
 
@@ -23,7 +23,8 @@
 	delay       time.Duration
 }
 
-// recordFailure starts a backoff from an instance that could not be reached. Each one is twice as long as the last.
+// recordFailure starts a backoff for an instance that could not be reached. Each backoff is twice as long as the one
+// before, within minBackoff and maxBackoff, until a session with the instance opens or it has a new incarnation.
 func (c *Client) recordFailure(id fleet.InstanceID, err error) {
 	incarnation := c.incarnation(id)
 	c.mu.Lock()
@@ -66,7 +67,7 @@
 	return b.incarnation == m.Incarnation && now.Before(b.until)
 }
 
-// deferStarting starts a short backoff from an instance that can't be a dispatcher until it has read the store.
+// deferStarting starts a short backoff for an instance that can't be a dispatcher until it has read the store.
 func (c *Client) deferStarting(id fleet.InstanceID) {
 	c.log.Info("instance has just started and isn't asked yet", "instance", id)
 	incarnation := c.incarnation(id)
--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -180,8 +180,11 @@
 // its lock is held.
 type localSink struct{ out *outbox[*pb.ToEntry] }
 
+// send implements sink.
 func (s localSink) send(m *pb.ToEntry) { s.out.put(m) }
 
+// openLocalSession attaches this instance to its own hub. Messages in both directions go through outboxes instead of a
+// connection.
 func (c *Client) openLocalSession(ctx context.Context) *session {
 	sessionCtx, cancel := context.WithCancel(ctx)
 	to := localSink{out: newOutbox[*pb.ToEntry]()}
@@ -259,7 +262,7 @@
 		switch {
 		case sent == nil || sent.Upstream != string(g.upstream.ID):
 			m.Running = append(m.Running, g.message(now))
-		case g.writing && !sent.Writing:
+		case g.decoding && !sent.Writing:
 			m.Began = append(m.Began, string(id))
 		}
 	}
@@ -278,8 +281,8 @@
 // handleSessionEnd clears an ended session and backs off from its peer if the session timed out or was short-lived.
 // After an orderly handover or a reset, the instance attaches again at once, to the same peer if that still answers.
 // A backoff in these cases would make this instance its own dispatcher for half a second at each planned stop of the
-// dispatcher, or would leave the dispatcher with only its own requests after its connections were reset. Short
-// prompts on all engines would be late.
+// dispatcher, or would leave the dispatcher with only its own requests after its connections were reset. In both cases
+// two dispatchers would place on the same engines, and short prompts would be late.
 func (c *Client) handleSessionEnd(ctx context.Context, s *session) {
 	c.mu.Lock()
 	if c.session == s {
--- a/internal/placement/convert.go
+++ b/internal/placement/convert.go
@@ -12,7 +12,8 @@
 	pb "github.com/damaskshelf/damaskshelf/internal/placement/placementpb"
 )
 
-// askMessage converts a placement request for sending at now. The durations in a count from asked.
+// askMessage converts a placement request that is sent at now. The durations of a count from the instant asked, and are
+// converted to count from now.
 func askMessage(a *gateway.PlacementRequest, asked, now time.Time) *pb.Ask {
 	since := now.Sub(asked)
 	m := &pb.Ask{
@@ -30,9 +31,10 @@
 	return m
 }
 
+// ms returns a duration of n milliseconds.
 func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// newJob converts a placement request that arrived from an instance at now.
+// newJob converts a placement request that arrived from an instance at now. The caller sets the job's Domain.
 func newJob(m *pb.Ask, instance fleet.InstanceID, now decide.Instant) *dispatch.Job {
 	j := &dispatch.Job{
 		ID: fleet.RequestID(m.Id), Instance: instance, Workspace: fleet.WorkspaceID(m.Workspace),
@@ -46,6 +48,7 @@
 	return j
 }
 
+// upstreamIDs converts strings of a message to upstream IDs.
 func upstreamIDs(all []string) []fleet.UpstreamID {
 	out := make([]fleet.UpstreamID, len(all))
 	for i, id := range all {
@@ -54,6 +57,7 @@
 	return out
 }
 
+// idStrings converts upstream IDs to strings for a message.
 func idStrings(all []fleet.UpstreamID) []string {
 	out := make([]string, len(all))
 	for i, id := range all {
--- a/internal/placement/departures.go
+++ b/internal/placement/departures.go
@@ -11,11 +11,11 @@
 
 // An upstream's answer can show one instance that the upstream is leaving before the store says so. That instance
 // sends it no more requests and reports the departure to the dispatcher, which broadcasts it. Otherwise every
-// instance would learn of it from a request of its own. Both sides send all departures that they know when an
+// instance would detect it only by a request of its own. Both sides send all departures that they know when an
 // instance attaches, so that the next dispatcher knows them.
 
-// maxAnnounced bounds the departures that are remembered as broadcast. When it is reached, all are dropped, and some
-// are broadcast again.
+// maxAnnounced bounds the departures that are remembered as broadcast. When it is reached, all of them are dropped, and
+// those that are reported again are broadcast again.
 const maxAnnounced = 10_000
 
 // MarkLeaving records that an upstream is leaving, by a sign that this instance saw, and reports it to the
@@ -30,10 +30,13 @@
 	}
 }
 
+// departureMessage returns the message for a process that is leaving. sign is what showed this, and by is the instance
+// that saw it.
 func departureMessage(p fleet.Process, sign string, by fleet.InstanceID) *pb.Departure {
 	return &pb.Departure{Upstream: string(p.ID), Born: p.StartTime, Sign: sign, By: string(by)}
 }
 
+// departureMessages returns the messages for known departures, whose signs are not repeated.
 func departureMessages(all []fleet.Process) []*pb.Departure {
 	var out []*pb.Departure
 	for _, p := range all {
@@ -52,6 +55,7 @@
 	return departureMessages(unsent)
 }
 
+// departedProcess returns the process that a departure message names.
 func departedProcess(m *pb.Departure) fleet.Process {
 	return fleet.Process{ID: fleet.UpstreamID(m.Upstream), StartTime: m.Born}
 }
--- a/internal/placement/departures_test.go
+++ b/internal/placement/departures_test.go
@@ -28,6 +28,7 @@
 
 func (s *recordingSink) send(m *pb.ToEntry) { s.departures = append(s.departures, m.Departures...) }
 
+// followerWithUpstreams returns a Follower that holds the given upstreams, each with StartTime 7.
 func followerWithUpstreams(upstreams ...string) *watch.Follower {
 	f := watch.New(watch.Deps{
 		Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Decoder: upstreamDecoder{}, Log: hclog.NewNullLogger(),
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -11,32 +11,34 @@
 
 // dispatchedGrant is a gateway.Grant for a place that the dispatcher assigned.
 type dispatchedGrant struct {
-	c        *Client
-	ask      gateway.PlacementRequest
-	askedAt  time.Time
-	upstream *catalog.Upstream
-	helpers  []fleet.UpstreamID
-	addrs    []string
-	holders  []gateway.Reservation
-	reason   string
-	overdue  time.Duration
-	writing  bool // guarded by c.mu
+	c             *Client
+	ask           gateway.PlacementRequest
+	askedAt       time.Time
+	upstream      *catalog.Upstream
+	helpers       []fleet.UpstreamID // engines that prefill parts of the prompt, without those of reservations
+	helperAddrs   []string           // addresses of helpers, in the same order
+	reservations  []gateway.Reservation
+	reason        string
+	answerTimeout time.Duration
+	decoding      bool // guarded by c.mu: the first event has arrived
 }
 
 func (g *dispatchedGrant) Upstream() *catalog.Upstream         { return g.upstream }
-func (g *dispatchedGrant) Helpers() []string                   { return g.addrs }
-func (g *dispatchedGrant) Reservations() []gateway.Reservation { return g.holders }
+func (g *dispatchedGrant) Helpers() []string                   { return g.helperAddrs }
+func (g *dispatchedGrant) Reservations() []gateway.Reservation { return g.reservations }
 func (g *dispatchedGrant) Reason() string                      { return g.reason }
 
-func (g *dispatchedGrant) AnswerTimeout() time.Duration { return g.overdue }
+func (g *dispatchedGrant) AnswerTimeout() time.Duration { return g.answerTimeout }
 
+// RecordFirstEvent implements gateway.Grant. It reports the first event to the dispatcher.
 func (g *dispatchedGrant) RecordFirstEvent() {
 	g.c.mu.Lock()
-	g.writing = true
+	g.decoding = true
 	g.c.mu.Unlock()
 	g.c.sendToDispatcher(&pb.FromEntry{Began: []string{string(g.ask.ID)}})
 }
 
+// Release implements gateway.Grant. It reports the outcome to the dispatcher.
 func (g *dispatchedGrant) Release(o gateway.Outcome, atFault fleet.UpstreamID) {
 	g.c.mu.Lock()
 	if g.c.running[g.ask.ID] == g {
@@ -49,12 +51,13 @@
 // message returns the grant as it is reported to a dispatcher; c.mu is held.
 func (g *dispatchedGrant) message(now time.Time) *pb.Running {
 	return &pb.Running{
-		Ask: askMessage(&g.ask, g.askedAt, now), Upstream: string(g.upstream.ID), Helpers: idStrings(g.helpers), Writing: g.writing,
-		Holders: holdings(g.holders),
+		Ask: askMessage(&g.ask, g.askedAt, now), Upstream: string(g.upstream.ID), Helpers: idStrings(g.helpers), Writing: g.decoding,
+		Holders: holdingMessages(g.reservations),
 	}
 }
 
-func holdings(all []gateway.Reservation) []*pb.Holding {
+// holdingMessages returns the messages for reservations.
+func holdingMessages(all []gateway.Reservation) []*pb.Holding {
 	out := make([]*pb.Holding, len(all))
 	for i, h := range all {
 		out[i] = &pb.Holding{Upstream: string(h.Upstream.ID), Tokens: int32(h.Tokens)}
@@ -62,6 +65,7 @@
 	return out
 }
 
+// wireOutcomes maps outcomes to their wire values. All outcomes that it lacks are reported as pb.Ended_WHOLE.
 var wireOutcomes = map[gateway.Outcome]pb.Ended_How{
 	gateway.Failed: pb.Ended_FAILED, gateway.Unreachable: pb.Ended_UNREACHABLE, gateway.Rejected: pb.Ended_FULL,
 }
--- a/internal/placement/holdoff.go
+++ b/internal/placement/holdoff.go
@@ -17,17 +17,18 @@
 // a place there. It is safe for concurrent use.
 type holdoffs struct {
 	log   hclog.Logger
-	count atomic.Int32 // kept entries, read on the request path
+	count atomic.Int32 // number of entries in until, read on the request path without the lock
 
 	mu    sync.Mutex
 	until map[fleet.Process]time.Time // guarded by mu
 }
 
+// newHoldoffs returns holdoffs without any entry.
 func newHoldoffs(log hclog.Logger) *holdoffs {
 	return &holdoffs{log: log, until: map[fleet.Process]time.Time{}}
 }
 
-// set records that an upstream wants no requests from this instance before until. It never shortens a holdoff.
+// set records that an upstream asked for no requests from this instance before until. It never shortens a holdoff.
 func (h *holdoffs) set(u *catalog.Upstream, until time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/placement/hub.go
+++ b/internal/placement/hub.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// stepInterval is the time between steps while jobs wait and no event arrives: a job is refused when its time is
-	// over.
+	// stepInterval is the time between steps while jobs wait and no message arrives. Steps are needed even then, because
+	// a job is refused when its time is over.
 	stepInterval = 10 * time.Millisecond
 	// heartbeatInterval is the longest time for which no message is sent on a session.
 	heartbeatInterval = 100 * time.Millisecond
-	// longStepTime is the duration of a step from which the next one is delayed.
+	// longStepTime is the duration of a step above which the next one is delayed.
 	longStepTime = time.Millisecond
-	// settleTime is how long a dispatcher waits, after the first instance attached, for the in-flight work of the
-	// others: placing without knowing that work would overload engines. Live instances detect the loss of the
-	// previous dispatcher within one heartbeat of each other, and attach within another. A member that failed
-	// together with it never attaches.
+	// settleTime is how long a dispatcher waits, after the first instance attached, until the others have reported their
+	// in-flight work. Placing without knowing that work would overload engines. Live instances detect the loss of the
+	// previous dispatcher within one heartbeat of each other, and attach within another. A member that failed together
+	// with the previous dispatcher never attaches.
 	settleTime = 2 * heartbeatInterval
 )
 
@@ -47,8 +47,8 @@
 	domains             map[fleet.InstanceID]fleet.DomainID     // guarded by mu: of the attached instances
 	lastSnapshot        *catalog.Snapshot                       // guarded by mu: the snapshot that the states reflect
 	absentSince         map[fleet.InstanceID]decide.Instant     // guarded by mu: since when members have had no session
-	stepTook            time.Duration                           // guarded by mu: duration of the last step
-	dirty               chan struct{}                           // holds a token while something has changed since the last step
+	lastStepTime        time.Duration                           // guarded by mu: duration of the last step
+	stepRequests        chan struct{}                           // holds a token while something has changed since the last step
 	fullCopies          fullCopyCache                           // guarded by mu
 	firstAttached       decide.Instant                          // guarded by mu: when the first instance attached
 	readers             readers.Selector                        // guarded by mu
@@ -60,6 +60,7 @@
 	stallLogged decide.Instant // guarded by mu
 }
 
+// newHub returns a hub without sessions, which reads the state of the store from f.
 func newHub(f *watch.Follower, log hclog.Logger) *hub {
 	return &hub{
 		follower: f, snapshot: f.Snapshot, log: log.Named("dispatcher"), start: time.Now(),
@@ -73,6 +74,7 @@
 // order returns the members in dispatcher order.
 func (h *hub) order() []*catalog.Member { return h.orderCache.get(h.snapshot().Members) }
 
+// now returns the time since the hub was created.
 func (h *hub) now() decide.Instant { return decide.Instant(time.Since(h.start)) }
 
 // attach opens a session of an instance, and replaces an earlier one.
@@ -171,8 +173,8 @@
 	if len(m.Changes) == 0 {
 		return
 	}
-	// Changes that are missing here are read from the store, or the instance sends a full copy when it sees that they
-	// are missing.
+	// The kinds that are needed in full are not requested: they are read from the store, or the instance sends a full
+	// copy when it sees in the proofs that changes are missing here.
 	if _, err := applyState(h.follower, m.Changes, nil); err != nil {
 		h.log.Error("failed to decode state from an instance", "error", err)
 	}
@@ -189,7 +191,7 @@
 	}
 	for _, e := range m.Ended {
 		h.forEachState(func(st *dispatch.State) {
-			st.Done(now, fleet.RequestID(e.Id), dispatchEnds[e.How], fleet.UpstreamID(e.AtFault))
+			st.Done(now, fleet.RequestID(e.Id), dispatchOutcomes[e.How], fleet.UpstreamID(e.AtFault))
 		})
 	}
 	for _, id := range m.Withdrawn {
@@ -199,7 +201,7 @@
 		h.serviceState(a.Service).Ask(h.newJob(a, instance, now))
 	}
 	h.applyLimits(now, m.Limits)
-	if h.stepTook > longStepTime {
+	if h.lastStepTime > longStepTime {
 		h.wake() // one step then serves all messages that arrive meanwhile
 		return
 	}
@@ -209,7 +211,7 @@
 // wake schedules a step.
 func (h *hub) wake() {
 	select {
-	case h.dirty <- struct{}{}:
+	case h.stepRequests <- struct{}{}:
 	default:
 	}
 }
@@ -246,11 +248,14 @@
 	return j
 }
 
-var dispatchEnds = map[pb.Ended_How]dispatch.Outcome{
+// dispatchOutcomes maps wire values to outcomes.
+var dispatchOutcomes = map[pb.Ended_How]dispatch.Outcome{
 	pb.Ended_WHOLE: dispatch.Completed, pb.Ended_FAILED: dispatch.Failed,
 	pb.Ended_UNREACHABLE: dispatch.Unreachable, pb.Ended_FULL: dispatch.Full,
 }
 
+// forEachState calls f for the states of all services; mu is held. Messages about a running request don't name its
+// service, and the other states ignore an unknown request.
 func (h *hub) forEachState(f func(*dispatch.State)) {
 	for _, st := range h.services {
 		f(st)
@@ -305,6 +310,6 @@
 	st.SetLimits(now, h.rates(name))
 }
 
-// coldShare is the fraction of a cold upstream's limit that one dispatcher uses. Two dispatchers may place at one
-// time during a takeover, and together they stay under the limit with its allowance of a half.
+// coldShare is the fraction of a cold upstream's limit that one dispatcher uses. Two dispatchers may place at one time
+// during a takeover. Together they use 1.4 times the limit, which may be exceeded by a half.
 const coldShare = 0.7
--- a/internal/placement/invite.go
+++ b/internal/placement/invite.go
@@ -12,15 +12,15 @@
 	"github.com/damaskshelf/damaskshelf/internal/wait"
 )
 
-// A starting instance knows no members. The dispatcher sees it join through the store and sends it the dispatcher's
-// address, so that it need not list the members. If all instances start at one moment and each lists all members
-// several times, the calls to the store grow with the fleet and their bytes with its square.
+// A starting instance knows no members. The dispatcher sees in the store that it has joined and sends it the
+// dispatcher's address, so that it need not list the members. If all instances started at one moment and each listed
+// all members several times, the calls to the store would grow with the fleet and their bytes with its square.
 
 const (
 	// inviteInterval is how often a dispatcher looks for members to invite.
 	inviteInterval = 50 * time.Millisecond
-	// inviteWindow is how long after it was first seen a member may be invited. A member that has been there for
-	// longer finds the dispatcher by its own state.
+	// inviteWindow is how long after a member was first seen it may be invited. A member that was listed for longer
+	// finds the dispatcher by its own state.
 	inviteWindow = 3 * time.Second
 	// maxInviteAttempts is how often a member that doesn't attach is invited. minInviteBackoff is the delay after the
 	// first attempt; it doubles after each attempt.
--- a/internal/placement/limits.go
+++ b/internal/placement/limits.go
@@ -17,12 +17,12 @@
 )
 
 // A limit that an upstream advertises applies to the requests of all instances together, but the answer that names it
-// reaches only one. That instance reports it to the dispatcher, which places within the limit and broadcasts it, so
-// that any next dispatcher learns it from the instances. A dispatcher uses as much of a limit as its attached
-// instances are of all members, so that two dispatchers at one time keep to the limit together.
+// reaches only one. That instance reports the limit to the dispatcher, which places within it and broadcasts it, so
+// that the instances can report it to any next dispatcher. A dispatcher uses the share of a limit that its attached
+// instances are of all members, so that two dispatchers at one time stay within the limit together.
 
-// endedLimitRetention is how long an ended limit is still sent to instances that attach, which may hold it as in
-// force.
+// endedLimitRetention is how long an ended limit is still sent when an instance attaches, because the other side may
+// count it as in force.
 const endedLimitRetention = time.Minute
 
 // limitTable holds the upstreams' limits as known here. It is safe for concurrent use.
@@ -36,12 +36,15 @@
 	limits *advertised.Limits // guarded by mu
 }
 
+// newLimitTable returns a table without limits.
 func newLimitTable(log hclog.Logger) *limitTable {
 	return &limitTable{log: log, start: time.Now(), limits: advertised.New()}
 }
 
+// now returns the time since the table was created.
 func (t *limitTable) now() decide.Instant { return t.toInstant(time.Now()) }
 
+// toInstant converts a time to the table's clock.
 func (t *limitTable) toInstant(at time.Time) decide.Instant { return decide.Instant(at.Sub(t.start)) }
 
 // record records an observation, logs a limit that begins, changes or ends, and returns what changed.
@@ -68,6 +71,7 @@
 	return t.limits.Rate(u.Process())
 }
 
+// isLimited reports whether an upstream has a limit in force.
 func (t *limitTable) isLimited(u *catalog.Upstream) bool {
 	_, ok := t.rate(u)
 	return ok
@@ -88,6 +92,7 @@
 	return out
 }
 
+// limitMessage converts an observation that is sent at now.
 func limitMessage(s advertised.Observation, now decide.Instant) *pb.Limit {
 	return &pb.Limit{
 		Upstream: string(s.ID), Born: s.StartTime, Limited: s.Limited, Rate: s.Rate, By: string(s.ReceivedBy),
--- a/internal/placement/limits_test.go
+++ b/internal/placement/limits_test.go
@@ -56,6 +56,7 @@
 	dispatcher atomic.Pointer[hub] // nil: none
 }
 
+// newLimitedFleet returns n instances that are members, with the given limit and load in requests a second.
 func newLimitedFleet(n int, rate, total float64, seed uint64) *limitedFleet {
 	f := &limitedFleet{rate: rate, total: total, rand: rand.New(rand.NewPCG(seed, 1))}
 	for i := range n {
@@ -68,6 +69,7 @@
 // setMembers sets the number of members that all instances know.
 func (f *limitedFleet) setMembers(members int) { f.snapshot.Store(limitedSnapshot(members)) }
 
+// limitedSnapshot returns a snapshot with that many members and the upstreams "needy" and "sound".
 func limitedSnapshot(members int) *catalog.Snapshot {
 	all := make([]*catalog.Member, members)
 	for i := range all {
@@ -79,6 +81,7 @@
 	return catalog.NewSnapshot(&catalog.Config{}, upstreams, nil, all, 1)
 }
 
+// newInstance returns the instance with number i, which knows the members of the snapshot.
 func (f *limitedFleet) newInstance(i int, snapshot func() *catalog.Snapshot) *limitedInstance {
 	log := hclog.NewNullLogger()
 	w := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Log: log})
@@ -88,6 +91,7 @@
 	return n
 }
 
+// randomDuration returns a random duration from 0 to below most.
 func (f *limitedFleet) randomDuration(most time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,6 +103,7 @@
 	time.Sleep(time.Millisecond + f.randomDuration(7*time.Millisecond))
 }
 
+// sendToDispatcher delivers a message to the current dispatcher, if there is one, after a random delay.
 func (n *limitedInstance) sendToDispatcher(m *pb.FromEntry) {
 	if h := n.dispatcher.Load(); h != nil {
 		go func() {
@@ -223,11 +228,11 @@
 	if len(all) < 3 {
 		return
 	}
-	cut := all[len(all)-max(1, int(share*float64(len(all)))):]
-	for _, n := range cut {
+	isolated := all[len(all)-max(1, int(share*float64(len(all)))):]
+	for _, n := range isolated {
 		go func() {
 			time.Sleep(f.randomDuration(sessionTimeout))
-			n.follow(cut[0].hub)
+			n.follow(isolated[0].hub)
 			time.Sleep(long)
 			if first := f.live()[0]; !n.dead.Load() {
 				n.follow(first.hub)
@@ -274,6 +279,7 @@
 	return worst
 }
 
+// allowedArrivals returns the largest number of arrivals allowed in a limitWindow.
 func (f *limitedFleet) allowedArrivals() float64 {
 	return 1.5*f.rate*limitWindow.Seconds() + limitSlack
 }
@@ -321,8 +327,8 @@
 	})
 }
 
-// Guards against a limit that only the instance which received it knows, so that every other instance spends a
-// request to learn it.
+// Guards against a limit that is known only to the instance that received it, so that every other instance has to
+// send the upstream a request to receive the limit.
 func TestLimitReachesAllInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -374,6 +380,7 @@
 	}
 }
 
+// arrivals returns the number of requests that have arrived at "needy".
 func (f *limitedFleet) arrivals() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/placement/local.go
+++ b/internal/placement/local.go
@@ -51,10 +51,11 @@
 	return &localGrant{placer: l, upstream: best}, nil
 }
 
-// coldLoad ranks a cold upstream behind every warm one, because an instance alone doesn't know what others send
-// there.
+// coldLoad is the load per slot that is added for a cold upstream. It exceeds the load of any warm one, so that a cold
+// upstream is the last choice, because an instance alone doesn't know what others send there.
 const coldLoad = 1000
 
+// loadPerSlot returns the number of this instance's requests in flight per slot of the upstream; mu is held.
 func (l *LocalPlacer) loadPerSlot(u *catalog.Upstream) float64 {
 	load := float64(l.inFlight[u.ID]) / float64(max(1, u.Slots))
 	if time.Now().Before(u.ColdUntil) {
@@ -63,6 +64,7 @@
 	return load
 }
 
+// localGrant is a gateway.Grant for a place that a LocalPlacer assigned.
 type localGrant struct {
 	placer   *LocalPlacer
 	upstream *catalog.Upstream
@@ -75,6 +77,7 @@
 func (g *localGrant) AnswerTimeout() time.Duration        { return 0 }
 func (g *localGrant) RecordFirstEvent()                   {}
 
+// Release implements gateway.Grant.
 func (g *localGrant) Release(gateway.Outcome, fleet.UpstreamID) {
 	g.placer.mu.Lock()
 	defer g.placer.mu.Unlock()
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -10,11 +10,12 @@
 	"github.com/damaskshelf/damaskshelf/internal/rendezvous"
 )
 
-// strongShare is the fraction of the highest dispatch capacity from which a member counts as strong.
+// strongShare is the fraction of the highest dispatch capacity from which a member counts as strong. Smaller differences
+// don't affect the order, which then depends on the IDs alone.
 const strongShare = 0.7
 
-// dispatchCapacity returns an instance's capacity as a dispatcher: its CPU share, or that of its link where the link
-// is narrow. A dispatcher sends each instance a few KB a second; a link of 200 Mbit/s has the capacity of one core.
+// dispatchCapacity returns an instance's capacity as a dispatcher, in cores: its CPU share, or the capacity of its link
+// if that is less. A link of 200 Mbit/s counts as one core. A dispatcher sends each instance a few KB a second.
 func dispatchCapacity(m *catalog.Member) float64 {
 	if m.LinkMbps <= 0 {
 		return m.CPUShare
@@ -58,6 +59,7 @@
 // concurrent use.
 type orderCache struct{ last atomic.Pointer[cachedOrder] }
 
+// cachedOrder is the dispatcher order of a list of members.
 type cachedOrder struct{ members, order []*catalog.Member }
 
 // get returns the dispatcher order of a snapshot's members. The result must not be modified.
@@ -78,6 +80,7 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
+// dispatcherOrder returns the members in dispatcher order. The result must not be modified.
 func (c *Client) dispatcherOrder() []*catalog.Member {
 	return c.hub.orderCache.get(c.snapshot().Members)
 }
--- a/internal/placement/reading.go
+++ b/internal/placement/reading.go
@@ -14,9 +14,10 @@
 // The dispatcher chooses two of its attached instances as readers of the store. They report with each heartbeat how
 // their reads go.
 
-// unprovenAge is the reported age if there is no proof.
+// unprovenAge is the age of the newest proof in the report of a reader that has no proof.
 const unprovenAge = time.Hour
 
+// rolesByDuty maps a duty from the dispatcher to the Follower's role. AS_BEFORE means that no duty has arrived yet.
 var rolesByDuty = map[pb.ToEntry_Duty]watch.Role{
 	pb.ToEntry_AS_BEFORE: watch.Receiver, pb.ToEntry_TOLD: watch.Receiver,
 	pb.ToEntry_FIRST: watch.FirstReader, pb.ToEntry_SECOND: watch.SecondReader,
--- a/internal/placement/relay.go
+++ b/internal/placement/relay.go
@@ -23,9 +23,10 @@
 var errNoRelay = errors.New("no preceding dispatcher is reachable through this instance")
 
 // errStateIncomplete rejects an instance that holds parts of the store's state that this one has not read yet. The
-// wire carries its code.
+// instance recognizes it by its code.
 var errStateIncomplete = drpcerr.WithCode(errors.New("this instance has just started and lacks state that the attaching one holds"), codeStateIncomplete)
 
+// codeStateIncomplete is the code of errStateIncomplete on the wire.
 const codeStateIncomplete = 1
 
 // admit decides how to serve an instance that attaches: as its dispatcher (via is nil), as a relay over the session
@@ -119,6 +120,7 @@
 	instance fleet.InstanceID
 }
 
+// send implements sink.
 func (s *relayedSink) send(m *pb.ToEntry) {
 	s.via.send(&pb.ToEntry{Back: []*pb.Back{{Entry: string(s.instance), Message: m}}})
 }
@@ -161,8 +163,8 @@
 }
 
 // findRelay attaches to an instance that reaches a dispatcher preceding this one. It returns nil if it finds none, or
-// if the last search was too recent. Instances of other failure domains are tried first, because those of the own
-// domain are usually cut off together with this one.
+// if the last search was too recent. Instances of other failure domains are tried first, because those of this
+// domain are usually partitioned from the dispatcher as well.
 func (c *Client) findRelay(ctx context.Context, others []*catalog.Member) *session {
 	c.mu.Lock()
 	due := time.Since(c.lastRelaySearch) > relaySearchInterval
@@ -190,6 +192,7 @@
 	return nil
 }
 
+// sameDomainRank returns 1 for a member of the domain, and 0 for all others, which sort before it.
 func sameDomainRank(m *catalog.Member, domain fleet.DomainID) int {
 	if m.Domain == domain {
 		return 1
--- a/internal/placement/relay_test.go
+++ b/internal/placement/relay_test.go
@@ -36,6 +36,7 @@
 	conns []net.Conn // guarded by mu
 }
 
+// Accept implements net.Listener.
 func (l *resettableListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
@@ -46,6 +47,7 @@
 	return c, err
 }
 
+// resetAll closes all accepted connections.
 func (l *resettableListener) resetAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,8 +56,10 @@
 	}
 }
 
+// deadAddr is an address that refuses connections.
 const deadAddr = "127.0.0.1:1"
 
+// newTestClient starts a client without members, which runs until the test ends.
 func newTestClient(t *testing.T, id fleet.InstanceID, domain fleet.DomainID) *testClient {
 	t.Helper()
 	bound, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,13 +87,13 @@
 	return p
 }
 
-// setMembers gives the client members at addresses.
+// setMembers sets the members that the client knows, with their addresses.
 func (p *testClient) setMembers(t *testing.T, revision uint64, addrs map[fleet.InstanceID]string) {
 	t.Helper()
 	p.setMembersOf(t, revision, 0, addrs)
 }
 
-// setMembersOf gives the client members at addresses that have started as an incarnation.
+// setMembersOf sets the members that the client knows, with their addresses, all of the same incarnation.
 func (p *testClient) setMembersOf(t *testing.T, revision, incarnation uint64, addrs map[fleet.InstanceID]string) {
 	t.Helper()
 	c := watch.Change{Kind: watch.KindMembers, Full: true, To: revision}
@@ -103,8 +107,10 @@
 	p.follower.ApplyChange(c)
 }
 
+// attached reports whether an instance has a session with this one as the dispatcher.
 func (p *testClient) attached(id fleet.InstanceID) bool { return p.hub.attached(id) }
 
+// waitUntil waits until ok returns true, and fails the test after 10 s. what describes the condition.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -168,8 +174,8 @@
 	waitUntil(t, "the second attaches to the first", func() bool { return second.Dispatcher() == first.self })
 }
 
-// Guards against instances that wait for a dead dispatcher while each refers to another one. An instance that can't
-// reach the dispatcher must not be sent around in a circle: the next member in order takes over.
+// Guards against instances that wait for a dead dispatcher because each attaches to another instance that should relay
+// to it. If no member reaches the dispatcher, the next one in dispatcher order takes over.
 func TestNextDispatcherTakesOverFromDeadOne(t *testing.T) {
 	first, second, third := newTestClients(t)
 	addrs := map[fleet.InstanceID]string{first.self: deadAddr, second.self: second.addr, third.self: third.addr}
@@ -207,7 +213,8 @@
 	}
 }
 
-// Guards against store entries of replaced instances that pile up, each of which takes a share of the fleet's limits.
+// Guards against store entries of replaced instances that accumulate and each reduce the other instances' shares of
+// limits.
 // Only the dispatcher reports members that have had no session for long.
 func TestDispatcherReportsAbsentMembers(t *testing.T) {
 	is := is.New(t)
@@ -237,13 +244,13 @@
 	delete(addrs, first.self)
 	third.setMembers(t, 3, addrs)
 	waitUntil(t, "the third goes through the second", func() bool { return third.Dispatcher() == second.self })
-	var alone atomic.Bool
+	var selfDispatched atomic.Bool
 	watched, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
 		for watched.Err() == nil {
 			if third.Dispatcher() == third.self {
-				alone.Store(true)
+				selfDispatched.Store(true)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -251,7 +258,7 @@
 	second.setMembers(t, 3, addrs)
 	first.setMembers(t, 3, addrs)
 	waitUntil(t, "the third is attached to the second directly", func() bool { return second.directlyAttached(third.self) && second.directlyAttached(second.self) })
-	is.True(!alone.Load())
+	is.True(!selfDispatched.Load())
 }
 
 // directlyAttached reports whether an instance has a session with this one as the dispatcher that is not relayed.
@@ -259,8 +266,8 @@
 	p.hub.mu.Lock()
 	defer p.hub.mu.Unlock()
 	s := p.hub.sinks[id]
-	_, passed := s.(*relayedSink)
-	return s != nil && !passed
+	_, relayed := s.(*relayedSink)
+	return s != nil && !relayed
 }
 
 // Guards against all requests waiting for more than half a second after the dispatcher's machine lost power: its
@@ -300,7 +307,7 @@
 	waitUntil(t, "the first dispatches", func() bool { return first.directlyAttached(second.self) && first.directlyAttached(third.self) })
 }
 
-// loadUpstreams gives the client a full copy of the upstreams, which is empty.
+// loadUpstreams applies a full copy of the upstreams, which is empty, so that the client's state is complete.
 func (p *testClient) loadUpstreams() {
 	p.follower.ApplyChange(watch.Change{Kind: "u", Full: true, To: 1})
 }
@@ -353,7 +360,7 @@
 	case err := <-answered:
 		t.Fatalf("placed without a dispatcher: %v", err)
 	}
-	c.deliverReply("r1", reply{refused: &pb.Refusal{Reason: "too_late"}})
+	c.deliverReply("r1", reply{refusal: &pb.Refusal{Reason: "too_late"}})
 	is.True(<-answered != nil)
 }
 
@@ -365,7 +372,7 @@
 	f := watch.New(watch.Deps{Kinds: watch.Kinds{Config: "c", Upstreams: "u", DomainsOut: "o"}, Log: hclog.NewNullLogger()})
 	p := &testClient{Client: NewClient("i1", "d", f, hclog.NewNullLogger())}
 	addrs := map[fleet.InstanceID]string{"i1": deadAddr, "i2": deadAddr}
-	resting := func() bool {
+	inBackoff := func() bool {
 		for _, m := range p.dispatcherOrder() {
 			if m.ID == "i2" {
 				return p.inBackoff(m, time.Now())
@@ -375,9 +382,9 @@
 	}
 	p.setMembersOf(t, 2, 7, addrs)
 	p.recordFailure("i2", errSessionLost)
-	is.True(resting())
+	is.True(inBackoff())
 	p.setMembersOf(t, 3, 8, addrs)
-	is.True(!resting())
+	is.True(!inBackoff())
 }
 
 // Guards against a finished run that a new dispatcher keeps in its records, after which ten of 21 engines got no
--- a/internal/placement/requests.go
+++ b/internal/placement/requests.go
@@ -22,7 +22,7 @@
 // reply is the dispatcher's answer to a placement request. If neither field is set, there is no dispatcher.
 type reply struct {
 	place   *pb.Place
-	refused *pb.Refusal
+	refusal *pb.Refusal
 }
 
 // releaseWaiting places all waiting requests locally. It is called while no dispatcher is reachable, when nothing
@@ -53,7 +53,7 @@
 		c.deliverReply(fleet.RequestID(p.Id), reply{place: p})
 	}
 	for _, r := range m.Refusals {
-		c.deliverReply(fleet.RequestID(r.Id), reply{refused: r})
+		c.deliverReply(fleet.RequestID(r.Id), reply{refusal: r})
 	}
 }
 
@@ -74,6 +74,7 @@
 	}
 }
 
+// sendToDispatcher sends a message on the current session. Without a session it drops the message.
 func (c *Client) sendToDispatcher(m *pb.FromEntry) {
 	c.mu.Lock()
 	s := c.session
@@ -83,7 +84,8 @@
 	}
 }
 
-// Place implements gateway.Placer.
+// Place implements gateway.Placer. It waits for the dispatcher's reply, and places the request locally while no
+// dispatcher is reachable.
 func (c *Client) Place(ctx context.Context, a gateway.PlacementRequest) (gateway.Grant, error) {
 	a.Avoid = c.holdoffs.addTo(a.Avoid)
 	w := &waitingRequest{ask: a, askedAt: time.Now(), reply: make(chan reply, 1)}
@@ -122,6 +124,7 @@
 	return true
 }
 
+// withdrawRequest removes a waiting request, and reports to the dispatcher that it needs no place any more.
 func (c *Client) withdrawRequest(id fleet.RequestID) {
 	c.mu.Lock()
 	delete(c.waiting, id)
@@ -137,12 +140,12 @@
 // grantFromReply returns the grant or error that the dispatcher's reply stands for. It places the request locally if
 // there is no dispatcher, or if the upstream is unknown here.
 func (c *Client) grantFromReply(ctx context.Context, w *waitingRequest, r reply) (gateway.Grant, error) {
-	if r.refused != nil {
-		f := fault.New(fault.Infeasible, "%s", r.refused.Reason)
-		if kind, ok := faultKinds[decide.Reason(r.refused.Reason)]; ok {
+	if r.refusal != nil {
+		f := fault.New(fault.Infeasible, "%s", r.refusal.Reason)
+		if kind, ok := faultKinds[decide.Reason(r.refusal.Reason)]; ok {
 			f.Kind = kind
 		}
-		f.RetryAfter = ms(r.refused.RetryAfterMs)
+		f.RetryAfter = ms(r.refusal.RetryAfterMs)
 		return nil, f
 	}
 	if r.place == nil {
@@ -155,11 +158,11 @@
 		c.sendToDispatcher(&pb.FromEntry{Withdrawn: []string{string(w.ask.ID)}})
 		return c.local.Place(ctx, w.ask)
 	}
-	g := &dispatchedGrant{c: c, ask: w.ask, askedAt: w.askedAt, upstream: u, reason: r.place.Reason, overdue: ms(r.place.OverdueMs)}
+	g := &dispatchedGrant{c: c, ask: w.ask, askedAt: w.askedAt, upstream: u, reason: r.place.Reason, answerTimeout: ms(r.place.OverdueMs)}
 	for _, id := range r.place.Helpers {
 		if h := snap.Upstream(fleet.UpstreamID(id)); h != nil && snap.AcceptsWork(h) {
 			g.helpers = append(g.helpers, h.ID)
-			g.addrs = append(g.addrs, h.Addr)
+			g.helperAddrs = append(g.helperAddrs, h.Addr)
 		}
 	}
 	for _, m := range r.place.Holders {
@@ -167,9 +170,9 @@
 		if h == nil || !snap.AcceptsWork(h) {
 			// The prompt can't be processed without all of its memory, so it needs another place.
 			c.sendToDispatcher(&pb.FromEntry{Withdrawn: []string{string(w.ask.ID)}})
-			return nil, fault.New(fault.NoUpstream, "holder %s is not open here", m.Upstream)
+			return nil, fault.New(fault.NoUpstream, "upstream %s, on which memory is reserved, accepts no work", m.Upstream)
 		}
-		g.holders = append(g.holders, gateway.Reservation{Upstream: h, Tokens: int(m.Tokens)})
+		g.reservations = append(g.reservations, gateway.Reservation{Upstream: h, Tokens: int(m.Tokens)})
 	}
 	c.mu.Lock()
 	c.running[w.ask.ID] = g
--- a/internal/placement/session.go
+++ b/internal/placement/session.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// connectTimeout bounds connecting to a dispatcher: some trips between the farthest failure domains. A machine
-	// without power doesn't refuse connections, and an instance that waits for it has no dispatcher meanwhile. After
-	// a stop of all instances, those that start first would place by their own views, each without knowing the
-	// others' work, until the last has started.
+	// connectTimeout bounds the time to connect to a dispatcher. It allows some round trips between the farthest failure
+	// domains, and is below sessionWait. A machine without power doesn't refuse connections, and an instance that waits
+	// for it has no dispatcher meanwhile. With a long timeout, after a stop of all instances, those that start first
+	// would place by their own views, each without knowing the others' work, until the last has started.
 	connectTimeout = 80 * time.Millisecond
-	// attachTimeout bounds attaching, with the first message and its answer.
+	// attachTimeout bounds the time to attach, in which the first message is sent and its answer arrives.
 	attachTimeout = 250 * time.Millisecond
 	// sessionTimeout is how long either side of a session may send nothing before the other ends it: three
 	// heartbeats.
@@ -38,6 +38,7 @@
 	closed bool          // guarded by mu
 }
 
+// newOutbox returns an empty outbox.
 func newOutbox[T any]() *outbox[T] { return &outbox[T]{ready: make(chan struct{}, 1)} }
 
 // put queues an item, and reports whether it was accepted.
@@ -73,6 +74,7 @@
 	}
 }
 
+// close makes put reject all further items.
 func (o *outbox[T]) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -96,9 +98,9 @@
 }
 
 // timeoutStream is the dispatcher's side of a session, which ends if nothing arrives within sessionTimeout. Instances
-// send heartbeats, but one that lost power or was cut off sends nothing, and its connection may never close. Without
-// the timeout, its prefill work would stay in the dispatcher's records, and the engines involved would get no short
-// prompts for as long as the dispatcher lives.
+// send heartbeats, but an instance that lost power or is partitioned sends nothing, and its connection may never close.
+// Without the timeout, its prefill work would stay in the dispatcher's records, and the engines involved would get no
+// short prompts for as long as the dispatcher runs.
 type timeoutStream struct {
 	pb.DRPCPlacement_AttachStream
 	timer *time.Timer // ends the session
@@ -188,8 +190,8 @@
 	peerID       fleet.InstanceID
 	firstMessage *pb.FromEntry       // as sent
 	send         func(*pb.FromEntry) // never blocks
-	end          func()
-	done         <-chan struct{} // closed when the session has ended
+	end          func()              // ends the session
+	done         <-chan struct{}     // closed when the session has ended
 
 	openedAt     time.Time
 	handedOver   atomic.Bool  // the other side closed the session in order: it has another dispatcher now
@@ -210,8 +212,8 @@
 	return time.Since(s.openedAt) - time.Duration(s.lastReceived.Load())
 }
 
-// endOnTimeout ends the session if nothing arrives within limit, and later if nothing arrives for sessionTimeout.
-// Only a timeout reveals a connection whose state was lost between the two ends.
+// endOnTimeout calls stop to end the session if nothing arrives within limit, and later if nothing arrives for
+// sessionTimeout. Only a timeout reveals a connection whose state was lost between the two ends.
 func (s *session) endOnTimeout(limit time.Duration, stop func()) {
 	time.AfterFunc(limit, func() {
 		remaining := sessionTimeout - s.idleTime()
@@ -226,6 +228,7 @@
 	})
 }
 
+// isDone reports whether the session has ended.
 func (s *session) isDone() bool {
 	select {
 	case <-s.done:
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -15,14 +15,15 @@
 
 const (
 	// packThreshold is the length in bytes of a change's values from which they are sent packed. A configuration of
-	// many routes, or a long list of upstreams, goes to every instance, and the links of small ones are narrow.
+	// many routes, or a long list of upstreams, is sent to every instance, and small instances have narrow links.
 	packThreshold = 2 << 10
 	// diffThreshold is the length in bytes of a value from which its new version is sent as a difference.
 	diffThreshold = 8 << 10
-	// maxUnpacked bounds, in bytes, what a change may unpack to: some tens of thousands of entries.
+	// maxUnpacked bounds, in bytes, the unpacked objects of a change: some tens of thousands of entries.
 	maxUnpacked = 64 << 20
 )
 
+// changeMessage returns the message of a change, with the full value of each object.
 func changeMessage(c watch.Change) (*pb.Change, error) {
 	objects := make([]*pb.Object, len(c.Objects))
 	for i, o := range c.Objects {
@@ -148,6 +149,7 @@
 	return m, err
 }
 
+// proofMessages returns the messages for proofs.
 func proofMessages(all []watch.Proof) []*pb.Proof {
 	out := make([]*pb.Proof, len(all))
 	for i, p := range all {
@@ -159,6 +161,7 @@
 	return out
 }
 
+// decodeProof converts the message of a proof.
 func decodeProof(m *pb.Proof) watch.Proof {
 	return watch.Proof{
 		Kind: m.Kind, Known: m.Known, Revision: m.Revision, LastChange: m.Latest, Age: ms(m.AgeMs), FailingFor: ms(m.FailingMs),
--- a/internal/placement/state_test.go
+++ b/internal/placement/state_test.go
@@ -15,6 +15,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/watch"
 )
 
+// upstreamEntries returns a full copy of n upstreams.
 func upstreamEntries(n int) watch.Change {
 	c := watch.Change{Kind: "u", Full: true, From: 9, To: 9}
 	for i := range n {
--- a/internal/placement/step.go
+++ b/internal/placement/step.go
@@ -24,7 +24,7 @@
 		return
 	}
 	began := time.Now()
-	defer func() { h.stepTook = time.Since(began) }()
+	defer func() { h.lastStepTime = time.Since(began) }()
 	out := map[fleet.InstanceID]*pb.ToEntry{}
 	for name, st := range h.services {
 		for _, d := range st.Step(now) {
@@ -45,7 +45,8 @@
 	}
 }
 
-// logRefusal logs a refusal with the values that led to it. Places are logged where they are used.
+// logRefusal logs a decision with the values that led to it if it is a refusal; mu is held. Placements are logged by the
+// instances that use them.
 func (h *hub) logRefusal(now decide.Instant, st *dispatch.State, d dispatch.Decision) {
 	if d.Upstream != "" {
 		return
@@ -76,6 +77,7 @@
 		"cut", stall.Partitioned, "fleet_revision", h.fleetRevision())
 }
 
+// fleetRevision returns the revision of the upstreams that the states reflect, 0 if there is none; mu is held.
 func (h *hub) fleetRevision() uint64 {
 	if h.lastSnapshot == nil {
 		return 0
@@ -83,6 +85,7 @@
 	return h.lastSnapshot.FleetVersion
 }
 
+// addDecision adds a placement or a refusal to the message for the instance of its job.
 func addDecision(m *pb.ToEntry, d dispatch.Decision) {
 	if d.Upstream == "" {
 		m.Refusals = append(m.Refusals, &pb.Refusal{
@@ -100,6 +103,7 @@
 	m.Places = append(m.Places, p)
 }
 
+// decodeHoldings converts the messages of reservations.
 func decodeHoldings(all []*pb.Holding) []dispatch.Reservation {
 	out := make([]dispatch.Reservation, len(all))
 	for i, m := range all {
@@ -118,7 +122,7 @@
 		now := h.now()
 		h.refresh(now)
 		h.step(now)
-		attached, took := len(h.sinks), h.stepTook
+		attached, took := len(h.sinks), h.lastStepTime
 		h.mu.Unlock()
 		if attached > 0 && time.Since(lastHeartbeat) >= heartbeatInterval {
 			lastHeartbeat = time.Now()
@@ -127,8 +131,8 @@
 			h.mu.Unlock()
 			sendProofs()
 		}
-		// A step that takes long, as with thousands of engines under overload, must leave time for the messages that
-		// it decides about: steps take a third of the processor at most.
+		// A long step, as with thousands of engines under overload, must leave time to receive messages: steps here use
+		// at most a third of the processor.
 		if took > longStepTime {
 			wait.For(ctx, 2*took)
 		}
@@ -140,7 +144,7 @@
 	t := time.NewTimer(h.maxIdleWait())
 	defer t.Stop()
 	select {
-	case <-h.dirty:
+	case <-h.stepRequests:
 	case <-t.C:
 	case <-ctx.Done():
 	}
--- a/internal/placement/timeout_test.go
+++ b/internal/placement/timeout_test.go
@@ -45,10 +45,9 @@
 	return p.hub.serviceState(service).Running()
 }
 
-// Guards against short prompts that are late for half a minute although most engines are idle. An instance lost power
-// while fifteen engines were processing its prompts, its connection to the dispatcher never closed, and the
-// dispatcher kept the prefill work in its records. No engine that is about to be busy with prefill for seconds gets a
-// short prompt.
+// Guards against short prompts that are late for half a minute although most engines are idle. An instance loses power
+// while fifteen engines process its prompts, and its connection to the dispatcher never closes. If the dispatcher keeps
+// the prefill work in its records, these engines have seconds of pending prefill and get no short prompts.
 func TestSilentInstanceIsDetached(t *testing.T) {
 	p := newTestClient(t, "i1", "d")
 	p.setMembers(t, 1, map[fleet.InstanceID]string{"i1": p.addr})
@@ -120,6 +119,7 @@
 // silentDispatcher accepts every instance that attaches, and sends nothing more.
 type silentDispatcher struct{ received atomic.Int64 }
 
+// Attach implements placementpb.DRPCPlacementServer. It counts the messages after the first one.
 func (d *silentDispatcher) Attach(s pb.DRPCPlacement_AttachStream) error {
 	if _, err := s.Recv(); err != nil {
 		return err
--- a/internal/placement/updates.go
+++ b/internal/placement/updates.go
@@ -78,16 +78,20 @@
 	return all
 }
 
+// sendChanges broadcasts changes to the attached instances, and sends own, the changes that this instance read from the
+// store, to the dispatcher. sent holds the objects as last broadcast.
 func (c *Client) sendChanges(changes, own []watch.Change, sent sentObjects) {
 	if all := c.encodeChanges(changes, sent.changeMessage); len(all) > 0 {
 		c.hub.broadcast(&pb.ToEntry{Changes: all})
 	}
-	// The dispatcher has two readers, and so may hold another version than the one sent to it last.
+	// Objects are sent in full, because the dispatcher has two readers and may hold another version than the last one
+	// sent from here.
 	if all := c.encodeChanges(own, changeMessage); len(all) > 0 {
 		c.sendToDispatcher(&pb.FromEntry{Changes: all})
 	}
 }
 
+// encodeChanges encodes the changes. It logs and leaves out changes that can't be encoded.
 func (c *Client) encodeChanges(changes []watch.Change, encode func(watch.Change) (*pb.Change, error)) []*pb.Change {
 	var all []*pb.Change
 	for _, ch := range changes {
@@ -108,6 +112,8 @@
 	next         int
 }
 
+// dueProofs returns the proofs to send with this heartbeat, and records the revisions that they name as sent. It must be
+// called with at least one proof.
 func (t *proofRotation) dueProofs(all []watch.Proof) []watch.Proof {
 	t.next = (t.next + 1) % len(all)
 	var due []watch.Proof
