--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -70,8 +70,8 @@
 // hasBufferedEvent reports whether next can return a complete event without reading from the upstream.
 func (e *eventReader) hasBufferedEvent() bool { return eventLength(e.buf[e.start:], 0) > 0 }
 
-// fill reads once into buf, growing it if it is full. It returns by how many bytes it moved the buffered data
-// forward.
+// fill reads once into buf, growing it if it is full. It returns by how many bytes it moved the buffered data towards
+// the start of buf.
 func (e *eventReader) fill() (shift int, err error) {
 	if e.start > 0 {
 		shift = e.start
--- a/internal/gateway/failure.go
+++ b/internal/gateway/failure.go
@@ -58,9 +58,8 @@
 	return l.ctx.Err() != nil || time.Until(l.r.deadline) < minTimeLeft
 }
 
-// classify corrects the failure of a send that ended for another reason than the upstream's: the caller went away,
-// the request's time ran out, or the watchdog expired. A read of an exchange that was ended fails in the same way in
-// each case.
+// classify sets the outcome or cause of a failure whose read error doesn't show why the send ended. A read fails in the
+// same way when the caller went away, when the request's time ran out, and when the watchdog ended the send.
 func (l *lifecycle) classify(f *failure) {
 	switch {
 	case l.ended():
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -126,8 +126,8 @@
 	return [...]string{"served", "unsent", "unreachable", "rejected", "failed", "left", "replaced"}[o]
 }
 
-// Placer grants upstreams to requests. Place blocks while the request waits. It returns a *fault.Error with RunNo
-// and a retry delay as soon as the request is given up.
+// Placer grants upstreams to requests. Place blocks while the request waits for an upstream. It returns a *fault.Error
+// with RunNo and a retry delay as soon as the request is refused.
 type Placer interface {
 	Place(ctx context.Context, a PlacementRequest) (Grant, error)
 }
--- a/internal/gateway/lifecycle.go
+++ b/internal/gateway/lifecycle.go
@@ -20,8 +20,8 @@
 const (
 	// maxPlainBytes bounds a plain answer, which is buffered until it is complete.
 	maxPlainBytes = 16 << 20
-	// maxUnusableGrants bounds how many grants in a row are released without a send because they turn out to be
-	// unusable.
+	// maxUnusableGrants bounds how many unusable grants are released without a send before the request is refused, so
+	// that a dispatcher with an outdated state doesn't keep the request busy until its deadline.
 	maxUnusableGrants = 8
 	// trustTimeout bounds the wait until the instance is trusted again after a pause. That takes one answer of the
 	// store, or two heartbeats of the dispatcher.
@@ -78,7 +78,7 @@
 		unusable := l.unusableReason(grant.Upstream())
 		if reason := cmp.Or(unusable, l.unfitReason()); reason != "" {
 			grant.Release(NotSent, "")
-			if unusable != "" { // the dispatcher may learn of it later, and would grant the same upstream again
+			if unusable != "" { // the dispatcher's state may be older, so that it would grant the same upstream again
 				l.avoid = append(l.avoid, grant.Upstream().ID)
 			}
 			if unusableGrants++; unusableGrants > maxUnusableGrants || l.ctx.Err() != nil {
@@ -229,7 +229,9 @@
 	return f
 }
 
-// checkHead decides by the head whether an answer is a failure; nil means that it is passed on.
+// checkHead returns a failure if an answer's head shows that the send failed, and nil if the answer is passed on. It
+// closes the exchange of a failed send. The exchange of a server error stays open, because this answer is passed on if
+// no retry is allowed.
 func (l *lifecycle) checkHead() *failure {
 	status := l.exchange.Head.StatusCode()
 	switch {
--- a/internal/gateway/memory.go
+++ b/internal/gateway/memory.go
@@ -88,7 +88,8 @@
 	return r, nil
 }
 
-// reserveOne retries until the engine accepts or refuses. Repeating a call with the same ticket is safe.
+// reserveOne makes one reservation. It retries until the engine accepts or refuses it, or ctx ends. Repeating a call
+// with the same ticket is safe.
 func (r *reservationSet) reserveOne(ctx context.Context, i int) error {
 	h := r.items[i]
 	for {
@@ -173,6 +174,7 @@
 // count.
 const ticketSuffixes = 1_000_000
 
+// logReservation logs a failed call for a reservation; what is the message.
 func (l *lifecycle) logReservation(what string, h Reservation, err error) {
 	l.g.log.Warn(what, "request", l.r.ID, "upstream", h.Upstream.ID, "tokens", h.Tokens, "error", err)
 }
--- a/internal/gateway/memory_test.go
+++ b/internal/gateway/memory_test.go
@@ -55,10 +55,12 @@
 	return nil
 }
 
+// Reserve implements Memory.
 func (l *delayedMemory) Reserve(ctx context.Context, u *catalog.Upstream, ticket string, _ int, hold time.Duration) error {
 	return l.call(ctx, func() { l.held[string(u.ID)+ticket] = time.Now().Add(hold) })
 }
 
+// Release implements Memory.
 func (l *delayedMemory) Release(ctx context.Context, u *catalog.Upstream, ticket string) error {
 	return l.call(ctx, func() { delete(l.held, string(u.ID)+ticket) })
 }
@@ -76,9 +78,9 @@
 	return n
 }
 
-// Guards against engine memory that stays reserved without a request and leaves prompts without memory. It comes
-// about when calls get no answer, when engines process them seconds later, after the release, or when the instance
-// gives up halfway. No reservation is left four seconds after the last call was processed.
+// Guards against engine memory that stays reserved without a request and leaves prompts without memory. This happens
+// when calls get no answer, when engines process them seconds later, after the release, or when only some of the
+// reservations succeed. No reservation is left four seconds after the last call was processed.
 func TestReservationsAlwaysEnd(t *testing.T) {
 	const maxDelay = 12 * time.Second // longest delay of a call
 	rapid.Check(t, func(r *rapid.T) {
--- a/internal/gateway/watchdog.go
+++ b/internal/gateway/watchdog.go
@@ -10,8 +10,8 @@
 // errOverdue ends a send whose upstream has been silent for too long.
 var errOverdue = errors.New("upstream is silent: its answer is overdue")
 
-// silenceShare is the fraction of the caller's silence tolerance after which a stream that falls silent is given up.
-// The remaining time must suffice for the same on another upstream.
+// silenceShare is the fraction of the caller's silence tolerance after which the watchdog ends a silent stream. The
+// remaining time must suffice to resume the stream on another upstream.
 const silenceShare = 0.5
 
 // watchdog ends a send when its upstream falls silent, so that the request goes to another one. It guards against a
@@ -25,8 +25,9 @@
 	expired    atomic.Bool   // set when the watchdog ends the send
 }
 
-// startWatchdog returns the context of the next send. It is the request's own context, without a watchdog, if the
-// time of the answer is unknown or no further attempt is allowed.
+// startWatchdog starts the watchdog of the next send and returns the context of that send. Without a watchdog that is
+// the request's own context. No watchdog is started if it is unknown when the answer is overdue, if the request must
+// not be repeated, or if this is its last attempt.
 func (l *lifecycle) startWatchdog() context.Context {
 	l.watchdog = nil
 	timeout := l.grant.AnswerTimeout()
