--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -79,16 +79,16 @@
 
 // send writes req to addr and reads the head of the answer within the limits. The body is left as a stream. The end
 // of ctx interrupts every read and write of the exchange until finish.
-func (c *Client) send(ctx context.Context, addr string, req *fasthttp.Request, b timeLimits) (*httpExchange, error) {
+func (c *Client) send(ctx context.Context, addr string, req *fasthttp.Request, limits timeLimits) (*httpExchange, error) {
 	cn, reused, err := c.pool.get(ctx, addr)
 	if err != nil {
 		return nil, &CallError{Cause: err}
 	}
 	x := &httpExchange{client: c, conn: cn, reused: reused, resp: fasthttp.AcquireResponse()}
-	if b.silence != nil {
-		x.guard = newGuard(ctx, c, cn, reused, len(req.Body()), *b.silence)
+	if limits.silence != nil {
+		x.guard = newGuard(ctx, c, cn, reused, len(req.Body()), *limits.silence)
 	} else {
-		_ = cn.SetDeadline(time.Now().Add(b.timeout))
+		_ = cn.SetDeadline(time.Now().Add(limits.timeout))
 	}
 	x.detach = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(expiredDeadline) })
 	if err := x.sendRequest(req); err != nil {
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -55,7 +55,7 @@
 	return e, err
 }
 
-// State returns which models an engine has loaded and which orders it knows.
+// State returns which models an engine has loaded, and the state of its latest orders.
 func (c *Client) State(ctx context.Context, addr string) (wire.EngineState, error) {
 	var s wire.EngineState
 	err := c.smallCall(ctx, addr, fasthttp.MethodGet, wire.PathState, nil, &s, smallCallTimeout)
--- a/internal/upstream/forward.go
+++ b/internal/upstream/forward.go
@@ -177,7 +177,7 @@
 }
 
 // Close ends the exchange. It keeps the connection if the answer was read completely and no data follows it.
-// Otherwise it closes the connection, which tells the upstream to stop the work.
+// Otherwise it closes the connection, which makes the upstream stop the work.
 func (x *Exchange) Close() {
 	detached := x.detach()
 	if detached && x.complete && x.reusable && x.conn.reader.Buffered() == 0 {
@@ -193,7 +193,7 @@
 const idleMargin = 500 * time.Millisecond
 
 // idleDeadline returns when a connection must no longer be used because of the idle time, in whole seconds, that the
-// upstream announces. It returns zero if none is announced.
+// upstream announces. It returns zero if none is announced, and now if the announced time can't be parsed.
 func idleDeadline(h *fasthttp.ResponseHeader, now time.Time) time.Time {
 	_, value, ok := strings.Cut(string(h.Peek("Keep-Alive")), "timeout=")
 	if !ok {
@@ -216,6 +216,7 @@
 	remaining int // bytes
 }
 
+// Read implements io.Reader. It returns io.ErrUnexpectedEOF if the connection ends before the body.
 func (s *lengthReader) Read(p []byte) (int, error) {
 	if s.remaining == 0 {
 		return 0, io.EOF
@@ -234,6 +235,7 @@
 	raw    *bufio.Reader
 }
 
+// Read implements io.Reader. After the last chunk it reads up to the end of the trailers.
 func (c *chunkedReader) Read(p []byte) (int, error) {
 	n, err := c.chunks.Read(p)
 	if err != io.EOF {
--- a/internal/upstream/guard.go
+++ b/internal/upstream/guard.go
@@ -17,8 +17,8 @@
 }
 
 // guard applies the silence detector of package stream to one exchange. The connection's Read and Write call it, so
-// that probes and longer waits happen within a read. The reader of the stream notices nothing until the guard gives
-// the connection up.
+// that probes and longer waits happen within a read. The reader of the stream gets no error until the guard has a final
+// verdict on the connection.
 type guard struct {
 	ctx          context.Context // of the request; ctx.Err is set before the connection gets expiredDeadline
 	probeCtx     context.Context // of the probes
--- a/internal/upstream/keepalive_test.go
+++ b/internal/upstream/keepalive_test.go
@@ -12,7 +12,7 @@
 
 // Guards against memory that stays reserved on engines for seconds after its request ended. If the engine that
 // answers the request loses power, no reset arrives and the connection looks open, so the instance keeps waiting and
-// renewing. The connection itself must detect that its peer is gone.
+// renewing the reservations. The connection itself must detect that its peer is gone.
 func TestConnectionDetectsSilentPeer(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	dialTimeout        = time.Second
+	dialTimeout        = time.Second     // of a connection attempt; Forward allows only connectTimeout
 	maxIdleTime        = 5 * time.Second // a connection that was idle for longer is not used again
 	maxAge             = time.Minute     // an older connection is not used for a new request
 	maxIdlePerUpstream = 64              // idle connections kept to one upstream
@@ -62,7 +62,8 @@
 // maxWriteSize is the most bytes of a single write. On a guarded connection each write has a time limit.
 const maxWriteSize = 64 << 10
 
-// Write counts the bytes that the operating system accepted. A failed write may have sent some bytes.
+// Write writes p in pieces of at most maxWriteSize and counts the bytes that the operating system accepted. A failed
+// write may have sent some bytes.
 func (c *conn) Write(p []byte) (int, error) {
 	written := 0
 	for {
@@ -78,7 +79,8 @@
 	}
 }
 
-// Read lets the guard, if there is one, decide whether to continue after a passed deadline.
+// Read reads from the connection. When the read deadline passes, the guard, if there is one, decides whether to
+// continue.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -61,6 +61,7 @@
 
 func (e *rawServer) addr() string { return e.listener.Addr().String() }
 
+// close closes the listener and all connections, and waits for the handlers to return.
 func (e *rawServer) close() {
 	_ = e.listener.Close()
 	e.mu.Lock()
@@ -128,7 +129,7 @@
 
 // Guards against a stream that hangs on a dead connection. A router between instance and engine loses the state of
 // one open connection: the stream stops, while new connections work. The silence is detected, the upstream is probed
-// on a new connection, and the old connection is given up.
+// on a new connection, and the old connection is closed.
 func TestSilentConnectionIsProbedAndInvalidated(t *testing.T) {
 	is := is.New(t)
 	e := startServer(t, func(n int, c net.Conn, r *bufio.Reader) {
@@ -151,7 +152,7 @@
 	ce := requireCallError(t, err)
 	is.True(ce.Timeout && !ce.UpstreamDead && ce.Sent)
 	is.Equal(notes, []decide.Reason{stream.ReasonProbe, stream.ReasonConnectionDead})
-	is.Equal(e.conns.Load(), int32(2)) // that of the stream and that of the probe
+	is.Equal(e.conns.Load(), int32(2)) // one for the stream and one for the probe
 }
 
 // If the network between both ends is partitioned, neither the stream nor a probe is answered. The error reports the
