--- a/internal/watch/calls_test.go
+++ b/internal/watch/calls_test.go
@@ -41,6 +41,7 @@
 	faultOf  func(instance int) storeFault
 }
 
+// newCountingStore returns an empty store without faults.
 func newCountingStore() *countingStore {
 	return &countingStore{log: map[string][]event{}, changed: make(chan struct{}), faultOf: func(int) storeFault { return healthy }}
 }
@@ -98,6 +99,7 @@
 	return ctx.Err()
 }
 
+// List implements objects.Store.
 func (s instanceStore) List(ctx context.Context, kind string) (wire.List, error) {
 	if err := s.call(ctx); err != nil {
 		return wire.List{}, err
@@ -106,6 +108,7 @@
 	return l, nil
 }
 
+// Watch implements objects.Store.
 func (s instanceStore) Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error) {
 	if err := s.call(ctx); err != nil {
 		return wire.List{}, err
@@ -255,9 +258,9 @@
 }
 
 // Calls to the store are paid for, and its rate limit is shared. Guards against instances that each read the four kinds
-// by themselves while they receive nothing, as when the store refuses a third of the instances or is down: the calls
-// would grow with the fleet just when the store can serve the fewest. They must stay below a bound that doesn't depend
-// on the number of instances.
+// by themselves while they receive nothing, as when the store refuses a third of the instances or is down. The number
+// of calls would then grow with the fleet just when the store can serve the fewest. It must stay below a bound that
+// doesn't depend on the number of instances.
 func TestStoreCallsDoNotGrowWithFleet(t *testing.T) {
 	const (
 		healthyBound  = 6.0                   // calls per second
--- a/internal/watch/config_test.go
+++ b/internal/watch/config_test.go
@@ -14,6 +14,7 @@
 // versionDecoder decodes configurations that consist of their version only.
 type versionDecoder struct{ emptyDecoder }
 
+// Config implements Decoder.
 func (versionDecoder) Config(o wire.Object) (*catalog.Config, error) {
 	version, err := strconv.ParseUint(string(o.Value), 10, 64)
 	return &catalog.Config{Version: version}, err
--- a/internal/watch/departures.go
+++ b/internal/watch/departures.go
@@ -7,12 +7,13 @@
 	"github.com/damaskshelf/damaskshelf/internal/fleet"
 )
 
-// maxDepartures bounds the number of departures that are kept. The oldest one is evicted first.
+// maxDepartures bounds the number of departures that are kept, and so the memory that they use. Departures of processes
+// with a known start time aren't removed otherwise. The oldest one is evicted first.
 const maxDepartures = 10_000
 
 // departures records upstream processes that are known to be leaving from a source other than the store: from their own
-// answers, or from the answer of another process at their address. A departure is final for its process. What the store
-// says later about that process is older information, however late it arrives. A departure outlives the upstream's
+// answers, or from the answer of another process at their address. A departure is final for its process. A later entry
+// of that process in the store is older information, however late it arrives. A departure outlives the upstream's
 // entry, because the entry can lapse while the store is unavailable and then be restored unchanged.
 type departures struct {
 	markedAt map[fleet.Process]time.Time // when each process was marked
@@ -30,7 +31,7 @@
 	return ok
 }
 
-// mark records that a process is leaving, and reports whether this wasn't known before.
+// mark records that a process is leaving, and reports whether this is a new departure.
 func (d *departures) mark(p fleet.Process, now time.Time) bool {
 	if _, known := d.markedAt[p]; known {
 		return false
@@ -60,9 +61,9 @@
 	delete(d.markedAt, fleet.Process{ID: id})
 }
 
-// MarkLeaving records that a process is leaving, which can be known before the store says so. The process gets no new
-// work. The sign states how this was detected, and by is the instance that detected it. MarkLeaving reports whether the
-// departure wasn't known to this instance before.
+// MarkLeaving records that a process is leaving, possibly before its entry in the store shows this. The process gets no
+// new work. The sign states how this was detected, and by is the instance that detected it. MarkLeaving reports whether
+// this instance hadn't recorded the departure before.
 func (f *Follower) MarkLeaving(p fleet.Process, sign string, by fleet.InstanceID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/watch/departures_test.go
+++ b/internal/watch/departures_test.go
@@ -16,6 +16,7 @@
 // startTimeDecoder decodes entries whose value is the start time of the upstream's process.
 type startTimeDecoder struct{ emptyDecoder }
 
+// Upstream implements Decoder.
 func (startTimeDecoder) Upstream(o wire.Object, _ time.Time) (*catalog.Upstream, error) {
 	u := &catalog.Upstream{ID: fleet.UpstreamID(o.Name), Service: "s", Revision: o.Version}
 	_, err := fmt.Sscan(string(o.Value), &u.StartTime)
--- a/internal/watch/model_test.go
+++ b/internal/watch/model_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// check fails the test if an object of a copy has returned to an earlier state, or if a copy lacks something.
+// check fails the test if an object of a copy has returned to an earlier state, or if checkComplete fails for a copy.
 func (f *modelFleet) check(t *rapid.T) {
 	for i, r := range f.copies {
 		for name, o := range r.objects {
@@ -188,7 +188,7 @@
 func TestCopiesNeverGoBack(t *testing.T) { checkCopies(t, false) }
 
 // The same with entries that lapsed during an outage and are kept for a grace period. Guards against a copy that never
-// removes a lapsed entry, so that the fleet keeps sending to upstreams that are gone: each copy knows which entries
+// removes a lapsed entry, so that the fleet keeps sending to upstreams that are gone. Each copy records which entries
 // have lapsed, and removes them at the end of the grace period.
 func TestCopiesWithLapsedEntriesNeverGoBack(t *testing.T) { checkCopies(t, true) }
 
--- a/internal/watch/pause.go
+++ b/internal/watch/pause.go
@@ -23,7 +23,7 @@
 // according to outdated state: to upstreams that have left, or for API keys that were revoked. Every sender checks it
 // before it sends, so that the detection doesn't depend on a tick that has yet to run.
 //
-// It compares the boot-time clock, because the monotonic clock stops while the machine is suspended.
+// It uses the boot-time clock, because the monotonic clock stops while the machine is suspended.
 type pauseDetector struct {
 	guard     *pause.Guard
 	resumedAt atomic.Int64 // boot time at which the end of the last pause was detected; 0: no pause yet
@@ -97,8 +97,8 @@
 	return time.Now().Add(-ago), ok
 }
 
-// unproven reports whether the copy of a kind hasn't been proven current since the process resumed. It never reports
-// this of the instances, because no safety guarantee depends on them. mu is held.
+// unproven reports whether the copy of a kind hasn't been proven current since the process resumed. It returns false
+// for the instances' entries, because no safety guarantee depends on them. mu is held.
 func (f *Follower) unproven(kind string, resumedAt time.Time) bool {
 	r := f.replicas[kind]
 	return kind != KindMembers && r.known && r.provenAt.Before(resumedAt)
--- a/internal/watch/read.go
+++ b/internal/watch/read.go
@@ -25,7 +25,8 @@
 	fleetWait = 2 * time.Second
 	// membersWait is how long the watch for instances waits. No safety guarantee depends on the instances.
 	membersWait = 8 * time.Second
-	// secondReaderFactor is how many times longer than the first reader the second reader waits.
+	// secondReaderFactor is how many times longer than the first reader the second reader waits, so that it adds few
+	// calls.
 	secondReaderFactor = 4
 	// proofWait is the wait of a watch that is only needed as proof that nothing has changed.
 	proofWait = time.Millisecond
--- a/internal/watch/relay.go
+++ b/internal/watch/relay.go
@@ -26,7 +26,7 @@
 	// before it lists them itself. The delay is random, because all instances may start at the same moment.
 	maxJoinDelay = 300 * time.Millisecond
 	// unattachedDelay is how long an instance without a dispatcher waits before it reads the kinds other than the
-	// instances by itself. Usually it doesn't come to that: as soon as the instance finds its own entry among the
+	// instances by itself. It usually gets a role earlier: as soon as the instance finds its own entry among the
 	// instances, it is its own dispatcher and so a reader.
 	unattachedDelay = time.Second
 	// readSpacing is the least time from the start of a successful read of a kind to the start of the next one. A
@@ -37,8 +37,8 @@
 	// recheckInterval is how often an instance that doesn't read checks whether it has to. A change of its role
 	// triggers the check at once.
 	recheckInterval = 500 * time.Millisecond
-	// hangTimeout is how much longer than its wait a read may take before it counts as failing. A slow store
-	// answers after fifty times the usual time.
+	// hangTimeout is how much longer than its wait a read may take before it counts as failing. A slow store, which
+	// takes fifty times as long as usual, still answers within it.
 	hangTimeout = 500 * time.Millisecond
 )
 
@@ -215,8 +215,8 @@
 }
 
 // endOutage records that the store is read again, by this instance or by the readers that report to it. After an outage
-// of more than minOutage, every copy notes the time, so that this instance knows that entries may have lapsed unseen if
-// it becomes a reader next. mu is held.
+// of more than minOutage, every copy records the time of its end. If this instance becomes a reader next, it then keeps
+// entries that lapsed unseen for lapseGrace. mu is held.
 func (f *Follower) endOutage(now time.Time) {
 	if !f.outageSince.IsZero() && now.Sub(f.outageSince) > minOutage {
 		for _, r := range f.replicas {
--- a/internal/watch/replica_test.go
+++ b/internal/watch/replica_test.go
@@ -21,7 +21,7 @@
 
 // An instance lists a kind and later has to list it again, as after the store has dropped its history. The second list
 // contains one new object. Guards against a change that is marked as a full copy but contains only the new object:
-// other instances would remove the rest, so that instances lose sight of each other after the start and several act as
+// other instances would remove the rest, so that instances don't list each other after the start and several act as
 // dispatcher.
 func TestRelistIsPassedOnAsFullCopy(t *testing.T) {
 	is := is.New(t)
@@ -166,7 +166,7 @@
 	is.Equal(len(r.objects), 1)
 }
 
-// Guards against a failure domain that is back in service but stays out of service on one instance for good. The
+// Guards against a failure domain that is back in service but stays out of service on one instance permanently. The
 // instance lists the store after the domain's entry was deleted and then receives an older message. It never held the
 // entry, so the entry could be mistaken for a new one.
 func TestMessageOlderThanCopyRestoresNothing(t *testing.T) {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -128,8 +128,8 @@
 	wg.Wait()
 }
 
-// readDone applies the result of a read to the copy of the kind and publishes what changed. full states that the result
-// is a list and not the answer of a watch.
+// readDone applies the result of a read to the copy of the kind and publishes what changed. It records a failed read
+// and returns its error. full states that the result is a list and not the answer of a watch.
 func (f *Follower) readDone(kind string, l wire.List, full bool, began time.Time, err error) error {
 	now := time.Now()
 	f.mu.Lock()
