--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -39,7 +39,7 @@
 	HeartbeatInterval time.Duration // time between heartbeats to the same peer
 	Log               hclog.Logger
 	// OnPeerListVersion is called with the version of the instance list that a peer reported, and the start of the
-	// exchange. The peer used that version no earlier. May be nil.
+	// exchange. The peer still used that version at that moment or later. May be nil.
 	OnPeerListVersion func(version uint64, at time.Time)
 }
 
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// regainTimeout is how long an instance waits to regain trust after it has ended, before it rejects requests. A
+// regainTimeout is how long after the end of its trust an instance lets requests wait instead of rejecting them. A
 // heartbeat that waits for its interval, fails and is sent again to another peer fits in.
 const regainTimeout = time.Second
 
@@ -125,7 +125,7 @@
 	return trustEnd != 0 && now.Sub(trustEnd) < regainTimeout
 }
 
-// describeUntrusted states since when the instance has been without trust, for an error message.
+// describeUntrusted returns the part of an error message that states since when the instance has been without trust.
 func describeUntrusted(now, trustedUntil decide.Instant) string {
 	if trustedUntil == 0 {
 		return "none since the start or a pause"
@@ -293,7 +293,7 @@
 	})
 }
 
-// OnLoad applies what an upstream reports in its own answer: its boot, and whether it is leaving.
+// OnLoad applies what an upstream reports in its own answer: its boot id, and whether it is leaving.
 func (f *Follower) OnLoad(u *fleet.Upstream, boot string, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -35,6 +35,7 @@
 	down *atomic.Bool
 }
 
+// Get implements objects.Store.
 func (s failingStore) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
 	if s.down.Load() {
 		return wire.Object{}, errStoreDown
@@ -42,6 +43,7 @@
 	return s.Store.Get(ctx, key)
 }
 
+// Watch implements objects.Store.
 func (s failingStore) Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error) {
 	if s.down.Load() {
 		return wire.List{}, errStoreDown
@@ -55,12 +57,14 @@
 	current wire.InstanceList
 }
 
+// Instances implements objects.InstanceLister.
 func (l *instanceList) Instances(context.Context) (wire.InstanceList, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current, nil
 }
 
+// add appends an instance to the list and increments the list's version.
 func (l *instanceList) add(i wire.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
