--- a/internal/route/lanes.go
+++ b/internal/route/lanes.go
@@ -57,5 +57,6 @@
 	m.router.explain.Record("lanes", m.name, reason, "lanes", size, "engines", p.engineCount)
 }
 
-// minLanes returns a number of engines that can hold the longest prompt, given the memory of one in tokens.
+// minLanes returns a number of engines that can hold the longest prompt together. memory is the memory of one engine in
+// tokens.
 func minLanes(memory int64) int { return int(longestPromptTokens/max(memory, 1)) + 1 }
--- a/internal/route/meter.go
+++ b/internal/route/meter.go
@@ -29,6 +29,7 @@
 	loadReportsMissed gometrics.Counter
 }
 
+// newMeter returns a meter whose counters and gauges are registered in r.
 func newMeter(r *metrics.Registry) *meter {
 	m := &meter{
 		registry:          r,
--- a/internal/route/model.go
+++ b/internal/route/model.go
@@ -21,7 +21,8 @@
 	// initialTimePerToken is the answer time assumed for each allowed answer token until answers have been observed.
 	// It is low, so that no request is refused for the length of its answer before that length is known.
 	initialTimePerToken = time.Millisecond
-	// timePerTokenWeight is the weight of the latest answer in the moving average of times per token.
+	// timePerTokenWeight is the weight of the latest answer in the moving average of times per token. The average
+	// follows about the last twenty answers.
 	timePerTokenWeight = 0.05
 	// maxGrantAttempts bounds how often a request is admitted. It is admitted again when the chosen engine has become
 	// unavailable or has reached its limit before the grant.
@@ -51,6 +52,7 @@
 	decision chan admit.Decision // buffered: a decision is delivered under the model's mutex
 }
 
+// newModel returns the state of a model without lanes and without queued requests.
 func newModel(r *Router, name string) *model {
 	m := &model{router: r, name: name, waiters: map[*admit.Request]*waiter{}}
 	m.gate = admit.NewGate(&r.profile, pick.Default(m.gateFilter()), r.limits.QueueLength)
@@ -222,7 +224,7 @@
 }
 
 // wakeQueues lets the gate decide about the queued requests and delivers its decisions. It locks the mutex only if any
-// are queued. A request that isn't queued calls it only after its end.
+// are queued. A request that is dispatched without queueing calls it only when its grant is released.
 func (m *model) wakeQueues() {
 	if m.queueLength() == 0 {
 		return
@@ -258,7 +260,7 @@
 	a.model.router.meter.setQueueLengths(a.model)
 }
 
-// refusalError logs a refusal and returns its error, which tells the caller when to retry.
+// refusalError logs and counts a refusal and returns its error, which states when the caller may retry.
 func (a *admission) refusalError(d *admit.Decision) error {
 	a.model.router.recordDecision("refuse", a.request, d.Reason, "model", a.model.name, "class", a.admitRequest.Class,
 		"kind", d.Kind, "retry_after", d.RetryAfter)
--- a/internal/route/reservations.go
+++ b/internal/route/reservations.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// memoryTimeout is how long after its start a group retries engines that have no memory for it.
+	// memoryTimeout is how long after its start a group retries engines that have no memory for it. The prompt is then
+	// queued again, or refused if its deadline is too near.
 	memoryTimeout = time.Second
 	// callTimeout bounds one call to an engine to reserve or release memory.
 	callTimeout = 2 * time.Second
--- a/internal/route/reservations_test.go
+++ b/internal/route/reservations_test.go
@@ -25,6 +25,7 @@
 	loseReserveAnswer bool                                   // guarded by mu: Reserve succeeds, but its answer is lost
 }
 
+// Reserve implements Memory.
 func (f *fakeMemory) Reserve(_ context.Context, addr string, r wire.Reservation) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,6 +43,7 @@
 	return nil
 }
 
+// Release implements Memory.
 func (f *fakeMemory) Release(_ context.Context, addr, id string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,12 +51,14 @@
 	return nil
 }
 
+// update calls change with the mutex held.
 func (f *fakeMemory) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
+// count returns the number of reservations on all engines.
 func (f *fakeMemory) count() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -160,7 +160,8 @@
 	return f.(*limit.InFlight)
 }
 
-// OnLoad applies an engine's load report, whose figures held at time at.
+// OnLoad applies an engine's load report, whose figures held at time at. The report's AgeMs is ignored, because at
+// includes it already.
 func (r *Router) OnLoad(u *fleet.Upstream, l wire.LoadReport, at time.Time) {
 	l.AgeMs = 0
 	r.engine(u).UpdateReport(pick.NewReport(&l, r.instant(at)))
@@ -177,12 +178,13 @@
 	}
 }
 
-// OnSilent counts a load report that an upstream failed to deliver. Its last report stays in use and ages.
+// OnReportMissed counts a load report that an upstream failed to deliver. The upstream's last report stays in use and
+// ages.
 func (r *Router) OnReportMissed(*fleet.Upstream, error) { r.meter.loadReportsMissed.Inc(1) }
 
 // Acquire chooses an upstream for q and returns the grant to dispatch q to it. A prompt that has to wait blocks until
-// it gets an engine, is refused, or ctx ends. A refusal is returned as soon as it is decided, as a *fault.Error that
-// says that the request has not run.
+// it gets an engine, is refused, or ctx ends. A refusal is returned as soon as it is decided, as a *fault.Error with
+// RunNo.
 func (r *Router) Acquire(ctx context.Context, q Request) (*Grant, error) {
 	for {
 		g, err := r.acquire(ctx, &q)
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -37,6 +37,7 @@
 	lastRequest atomic.Int64
 }
 
+// newTestbench returns a testbench of n engines with the short-first profile. A nil gate sets no limits.
 func newTestbench(n int, gate Gate) *testbench {
 	return newTestbenchWithProfile(api.ProfileShortFirst, n, gate)
 }
@@ -47,6 +48,7 @@
 	return newTestbenchWithProfile(api.ProfileLongFirst, n, nil)
 }
 
+// newTestbenchWithProfile returns a testbench of n engines in three failure domains. A nil gate sets no limits.
 func newTestbenchWithProfile(profile string, n int, gate Gate) *testbench {
 	b := &testbench{
 		memory:   &fakeMemory{reservations: map[string]map[string]wire.Reservation{}},
@@ -85,6 +87,7 @@
 	}
 }
 
+// request returns a new request of workspace "w" for a prompt of the given length, with a deadline after timeout.
 func (b *testbench) request(tokens int, timeout time.Duration) Request {
 	return Request{
 		ID: fleet.RequestID(fmt.Sprintf("r%d", b.lastRequest.Add(1))), Workspace: "w", Model: "m",
@@ -148,7 +151,7 @@
 		_, err := b.Acquire(t.Context(), b.request(40_000, 10*time.Second)) // 2 s of prefill, 0.1 s of answer
 		is.True(fault.Is(err, fault.Infeasible))
 		is.Equal(fault.From(err).Run, fault.RunNo)
-		is.True(fault.From(err).RetryDelay() >= time.Second) // the error tells the caller when to retry
+		is.True(fault.From(err).RetryDelay() >= time.Second) // the error states when the caller may retry
 		waited := time.Since(started)
 		is.True(waited < 8*time.Second) // refused when it could no longer finish
 		is.True(waited > 7*time.Second)
@@ -202,12 +205,14 @@
 	inFlight map[fleet.UpstreamID]int // guarded by mu
 }
 
+// HasCapacity implements Gate.
 func (l *concurrencyGate) HasCapacity(u *fleet.Upstream) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.inFlight[u.ID] < 2
 }
 
+// Acquire implements Gate.
 func (l *concurrencyGate) Acquire(u *fleet.Upstream) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -218,6 +223,7 @@
 	return true
 }
 
+// Release implements Gate.
 func (l *concurrencyGate) Release(u *fleet.Upstream, _ Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -385,6 +391,8 @@
 	})
 }
 
+// BenchmarkAcquire measures the choice of an engine and its release under concurrent load, for several numbers of
+// engines.
 func BenchmarkAcquire(b *testing.B) {
 	for _, n := range []int{20, 400, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/route/stale_test.go
+++ b/internal/route/stale_test.go
@@ -20,6 +20,7 @@
 	refused   atomic.Int64
 }
 
+// Acquire implements Gate.
 func (g *singleUpstreamGate) Acquire(u *fleet.Upstream) bool {
 	if u.ID == g.accepting {
 		return true
