--- a/internal/routed/budget.go
+++ b/internal/routed/budget.go
@@ -26,6 +26,8 @@
 	shares map[catalog.ServiceName]*retry.Share // guarded by mu
 }
 
+// newBudgets returns budgets under the rules of the settings. It divides the limits by the number of instances that f
+// lists.
 func newBudgets(s api.Settings, f *watch.Follower) *budgets {
 	return newBudgetsWithRules(s.Routed.Retries, func() int { return len(f.Snapshot().Members) })
 }
@@ -42,10 +44,11 @@
 	b.rules = r
 }
 
+// now returns the time since the budgets were created.
 func (b *budgets) now() decide.Instant { return decide.Instant(time.Since(b.start)) }
 
-// of returns a service's share under the current rules. The caller holds mu.
-func (b *budgets) of(s catalog.ServiceName) *retry.Share {
+// shareOf returns a service's share under the current rules. The caller holds mu.
+func (b *budgets) shareOf(s catalog.ServiceName) *retry.Share {
 	share := b.shares[s]
 	if share == nil {
 		share = &retry.Share{}
@@ -55,23 +58,23 @@
 	return share
 }
 
-// Request implements gateway.Budget.
+// RecordRequest implements gateway.RetryBudget.
 func (b *budgets) RecordRequest(s catalog.ServiceName) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(s).RecordRequest(b.now())
+	b.shareOf(s).RecordRequest(b.now())
 }
 
-// Has implements gateway.Budget.
+// Allows implements gateway.RetryBudget.
 func (b *budgets) Allows(s catalog.ServiceName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(s).Allows(b.now())
+	return b.shareOf(s).Allows(b.now())
 }
 
-// Allow implements gateway.Budget.
+// Take implements gateway.RetryBudget.
 func (b *budgets) Take(s catalog.ServiceName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(s).Take(b.now())
+	return b.shareOf(s).Take(b.now())
 }
--- a/internal/routed/budget_test.go
+++ b/internal/routed/budget_test.go
@@ -15,8 +15,8 @@
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
 // Guards against a retry storm on a service that is already failing. This happens if the shares of the instances add up
-// to more than the fleet's limit, because they learn late which instances have joined or left. In any ten seconds, the
-// fleet makes no more retries than the rule allows, at any load and with any change of members.
+// to more than the fleet's limit, because they receive changes of the members late. In any ten seconds, the fleet makes
+// no more retries than the rule allows, at any load and with any change of members.
 func TestRetrySharesStayWithinFleetLimit(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) { checkRetryShares(t, r, rapid.IntRange(2, 9).Draw(r, "instances"), 800) })
 }
@@ -74,6 +74,7 @@
 	}
 }
 
+// retries returns a retry rule.
 func retries(ratio, slack float64) api.Retries { return api.Retries{Ratio: &ratio, Slack: &slack} }
 
 // checkRetryShares simulates a fleet in steps of 50 ms while one instance joins and one leaves, and checks the retries
@@ -82,7 +83,7 @@
 	const (
 		window = 10 * time.Second
 		step   = 50 * time.Millisecond
-		lag    = 3 * time.Second // until the instances know of a change of the members
+		lag    = 3 * time.Second // until the instances list a change of the members
 		ratio  = 0.2
 		slack  = 100
 	)
@@ -91,7 +92,7 @@
 	load := rapid.SliceOfN(rapid.IntRange(0, 3), 40, 40).Draw(r, "requests a step")
 	retriesWanted := rapid.SliceOfN(rapid.IntRange(0, 8), 40, 40).Draw(r, "retries wanted a step")
 	synctest.Test(t, func(t *testing.T) {
-		knownMembers, joining := instances, 1 // joining: 1 until the others know of the last instance, which knows of itself
+		knownMembers, joining := instances, 1 // joining: 1 until the others list the last instance, which lists itself at once
 		var all []*budgets
 		for n := range instances + 1 {
 			members := func() int { return knownMembers }
@@ -139,6 +140,7 @@
 	})
 }
 
+// sum returns the sum of all numbers.
 func sum(all []int) int {
 	total := 0
 	for _, n := range all {
--- a/internal/routed/routed.go
+++ b/internal/routed/routed.go
@@ -115,12 +115,14 @@
 	return n, nil
 }
 
+// newFollower returns the follower of the platform's store.
 func newFollower(s api.Settings, a Adapter, log hclog.Logger) *watch.Follower {
 	return watch.New(watch.Deps{
 		Store: a.Store, Kinds: a.Kinds, Decoder: a.Decoder, Log: log, ConfigWithin: time.Duration(s.Routed.Store.MaxConfigDelay),
 	})
 }
 
+// newPlacer returns the client that places this instance's requests through the dispatcher.
 func newPlacer(s api.Settings, f *watch.Follower, log hclog.Logger) *placement.Client {
 	return placement.NewClient(fleet.InstanceID(s.Instance), fleet.DomainID(s.FailureDomain), f, log)
 }
@@ -129,6 +131,7 @@
 // pause that a lossy link causes and far below the time of a request.
 const writeStallTimeout = 10 * time.Second
 
+// newGateway returns the gateway with the limits of the settings.
 func newGateway(s api.Settings, a Adapter, f *watch.Follower, p *placement.Client, c *upstream.Client, b *budgets, g *gate.Gate,
 	rec *explain.Recorder, m *metrics.Registry, log hclog.Logger) *gateway.Gateway {
 	l := s.Routed.Limits
@@ -270,7 +273,7 @@
 // LimitsInForce returns the number of upstreams' rate limits that this instance treats as in force.
 func (n *Node) LimitsInForce() int { return n.parts.Placer.LimitsInForce() }
 
-// Snapshot returns what the instance currently knows of the fleet.
+// Snapshot returns the instance's current snapshot of the fleet.
 func (n *Node) Snapshot() *catalog.Snapshot { return n.parts.Follower.Snapshot() }
 
 // CallersAddr returns the address that callers connect to.
--- a/internal/routed/status.go
+++ b/internal/routed/status.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	statusReadTimeout = 5 * time.Second
-	statusHeaderBytes = 4 << 10
+	statusReadTimeout = 5 * time.Second // for a complete request to the status server
+	statusHeaderBytes = 4 << 10         // largest head of such a request
 	metricsPath       = "/metrics"
 )
 
@@ -79,8 +79,8 @@
 	}
 }
 
-// listen binds both addresses. It returns no error if only that of the metrics can't be bound: its port is the same on
-// every instance, and a deployment may have given it to another listener.
+// listen binds both addresses. It returns no error if only the metrics address can't be bound: its port is the same on
+// every instance, and another listener may use it.
 func (s *statusServer) listen(l api.RoutedListen, log hclog.Logger) error {
 	var err error
 	if s.readyListener, err = net.Listen("tcp", l.Ready); err != nil {
--- a/internal/routed/status_test.go
+++ b/internal/routed/status_test.go
@@ -15,6 +15,7 @@
 // lateCloseListener delays the error that ends Accept, as for a goroutine that waits for a processor.
 type lateCloseListener struct{ net.Listener }
 
+// Accept implements net.Listener.
 func (l lateCloseListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
