--- a/internal/execute/cost_test.go
+++ b/internal/execute/cost_test.go
@@ -28,6 +28,7 @@
 	stateCalls, orderCalls   int
 }
 
+// Get implements objects.Store.
 func (c *countingStore) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
 	o, err := c.Store.Get(ctx, key)
 	c.gets++
@@ -35,6 +36,7 @@
 	return o, err
 }
 
+// List implements objects.Store.
 func (c *countingStore) List(ctx context.Context, kind string) (wire.List, error) {
 	l, err := c.Store.List(ctx, kind)
 	c.lists++
@@ -44,6 +46,7 @@
 	return l, err
 }
 
+// Put implements objects.Store.
 func (c *countingStore) Put(ctx context.Context, w objects.Write) (uint64, error) {
 	c.puts++
 	c.bytes += len(w.Value)
@@ -67,6 +70,7 @@
 	running  upstream.Order
 }
 
+// State implements execute.Engines. It completes an order that is finished by now.
 func (f *sizedFleet) State(_ context.Context, addr string) (upstream.EngineState, error) {
 	f.calls.stateCalls++
 	e := f.engines[addr]
@@ -79,6 +83,7 @@
 	return e.state, nil
 }
 
+// Order implements execute.Engines.
 func (f *sizedFleet) Order(_ context.Context, addr string, o upstream.Order) (upstream.OrderStatus, error) {
 	f.calls.orderCalls++
 	e := f.engines[addr]
@@ -88,6 +93,7 @@
 	return upstream.OrderStatus{}, nil
 }
 
+// modelName returns the name of the model that is loaded on engine i at first.
 func modelName(i int) string { return fmt.Sprintf("model-%02d", i%15) }
 
 // newSizedFleet returns a fleet in which every model is loaded on a fifteenth of the engines.
@@ -158,8 +164,8 @@
 	return p
 }
 
-// runPlan proposes such a plan and executes it. It returns the plan, its size in the store in bytes and the time that it
-// took.
+// runPlan proposes a plan with new versions of the first `changed` models and executes it. It returns the plan, its size
+// in the store in bytes and the virtual time that it took.
 func (f *sizedFleet) runPlan(t testing.TB, changed int) (p api.Plan, size int, took time.Duration) {
 	p = f.propose(t, changed)
 	for f.tick() {
@@ -175,8 +181,8 @@
 }
 
 // TestCostOfAPlan counts the calls to the store and the engines that a plan causes, at several sizes of the fleet, for a
-// small and a large plan. The figures are the same in each run; docs/design/execution.md lists them. The bounds detect a change that
-// increases them.
+// small and a large plan. The figures are the same in each run; docs/design/execution.md lists them. The bounds detect a
+// change that increases them.
 func TestCostOfAPlan(t *testing.T) {
 	cases := []struct {
 		instances, engines, changed int
--- a/internal/execute/execute.go
+++ b/internal/execute/execute.go
@@ -58,14 +58,15 @@
 
 // Defaults of Config. The first three are those of Config.Lease.
 const (
-	DefaultLeaseTTL     = 15 * time.Second
+	DefaultLeaseTTL     = 15 * time.Second // a shard whose holder failed gets no orders for at least that long
 	DefaultLeaseMargin  = time.Second
-	DefaultOrderDelay   = 5 * time.Second
+	DefaultOrderDelay   = 5 * time.Second // a new holder waits that long for late orders of the last one
 	DefaultTickInterval = 500 * time.Millisecond
 	DefaultIdleInterval = 5 * time.Second
 	DefaultConcurrency  = 16
 )
 
+// withDefaults returns c with the defaults in place of zero fields.
 func (c Config) withDefaults() Config {
 	setDefault(&c.Lease.TTL, DefaultLeaseTTL)
 	setDefault(&c.Lease.Margin, DefaultLeaseMargin)
@@ -167,7 +168,7 @@
 		return false
 	}
 	// An instance whose shards have no steps needn't read the progress. It decides this anew in each tick: after it
-	// takes over the shards of a failed instance, it has to know the stage.
+	// takes over the shards of a failed instance, it needs the stage.
 	needsProgress := !x.finished && x.job.hasStepsIn(owned)
 	if needsProgress {
 		if err := x.readRecords(ctx); err != nil {
@@ -212,7 +213,8 @@
 	return nil
 }
 
-// readRecords reads the records of all shards. It sets stopped or finished if they say so.
+// readRecords reads the records of all shards. It sets stopped if the plan was stopped, and finished if all stages and
+// the verification are done.
 func (x *Executor) readRecords(ctx context.Context) error {
 	l, err := x.Store.List(ctx, ObjectKind)
 	if err != nil {
--- a/internal/execute/execute_test.go
+++ b/internal/execute/execute_test.go
@@ -30,6 +30,7 @@
 	os.Exit(m.Run())
 }
 
+// drawIntent draws an intent for two models that fits a number of engines.
 func drawIntent(t *rapid.T, engines int) api.Intent {
 	var in api.Intent
 	for _, name := range []string{"m", "n"} {
@@ -60,8 +61,8 @@
 }
 
 // checkInvariants checks the properties that hold at all times: no order is sent while the other executor holds the
-// lease, and engines accept no order of an older holder or plan after one of a newer. The second doesn't hold if messages
-// may take longer than the lease's OrderDelay.
+// lease, and engines accept no order of an older holder or plan after one of a newer. The second property is checked
+// only if no message takes longer than the lease's OrderDelay, because it holds only then.
 func (sim *simulation) checkInvariants() {
 	if len(sim.overlaps) > 0 {
 		sim.t.Fatalf("two holders send orders: %v", sim.overlaps)
@@ -80,8 +81,8 @@
 }
 
 // runToCompletion ends all faults and runs both executors until all delayed messages have arrived and the engines have
-// had exactly what the last plan says, and nothing of an older one, for a number of consecutive steps. It fails the test
-// if they don't get there or if the plan's recorded progress is incomplete.
+// matched the last plan's target exactly for a number of consecutive steps. It fails the test if they don't reach that
+// state in time or if the plan's recorded progress is incomplete.
 func (sim *simulation) runToCompletion(p api.Plan) {
 	sim.faults = faults{}
 	const limit, quiet = 400, 20 // in steps of one second
@@ -131,8 +132,8 @@
 
 // An operator confirms a plan and, while it is executed, another one. Both instances have a view in which they own all
 // engines. Responses of the store and the engines are lost, orders and writes are delayed, the store fails, holders are
-// paused past their leases between a read and a decision, and engines reboot. At the end the engines must have what the
-// last plan says, and the loads must never exceed the weight store's rate.
+// paused past their leases between a read and a decision, and engines reboot. At the end the engines must match the last
+// plan's target, and the loads must never exceed the weight store's rate.
 func TestLastPlanIsCarriedOutWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, faults{
@@ -156,9 +157,9 @@
 	})
 }
 
-// Requests for a model would be refused if two instances changed an engine each, because both still see enough others
-// that serve the model. The stages of the plan, and the count of the engines that serve the model before
-// each order, keep the model at its floor.
+// Guards against refused requests for a model because two instances change an engine each at the same time: both still
+// see enough other engines that serve the model. The stages of the plan, and the count of the engines that serve the
+// model before each order, keep the model at its floor.
 func TestFloorsHoldWhileAPlanIsWorkedOff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, faults{lostResponse: 4, maxDelay: leaseConfig.OrderDelay, staleRead: 4, pause: 20, storeFailure: rapid.SampledFrom([]int{0, 4}).Draw(t, "down")})
--- a/internal/execute/job.go
+++ b/internal/execute/job.go
@@ -114,13 +114,13 @@
 	return models, first
 }
 
-// role says how a stage affects the serving of a model by an engine.
+// role describes how a stage affects the serving of a model by an engine.
 type role uint8
 
 const (
 	roleStable    role = iota // the engine continues to serve the model as it does now
 	rolePending               // the engine has a step for the model in this stage that is not done
-	roleDeviating             // the model or its version is not what earlier stages or the target say
+	roleDeviating             // the model or its version differs from the result of earlier stages or from the target
 )
 
 // role returns the role of an engine that has a version of a model, in a stage.
--- a/internal/execute/record.go
+++ b/internal/execute/record.go
@@ -35,8 +35,10 @@
 // StoppedPlanKey is the key of the object that names the stopped plan.
 var StoppedPlanKey = objects.Key{Kind: ObjectKind, Name: "stop"}
 
+// stoppedPlanName is the name in StoppedPlanKey.
 const stoppedPlanName = "stop"
 
+// shardName returns the name of the object of shard n.
 func shardName(n int) string { return fmt.Sprintf("shard-%02d", n) }
 
 // ShardOf returns the number of the shard that an engine belongs to.
--- a/internal/execute/simulation_test.go
+++ b/internal/execute/simulation_test.go
@@ -104,10 +104,12 @@
 	return sim
 }
 
+// discardRecorder is a Recorder that logs nothing.
 type discardRecorder struct{}
 
 func (discardRecorder) Record(string, string, decide.Reason, ...any) {}
 
+// newID returns a new write id.
 func (sim *simulation) newID() string {
 	sim.lastID++
 	return fmt.Sprint("w", sim.lastID)
@@ -200,6 +202,7 @@
 	finishAt decide.Instant
 }
 
+// reboot resets the engine to its initial state, as the next boot. Accepted orders are lost.
 func (e *fakeEngine) reboot() {
 	e.boot++
 	e.loaded, e.highestFence = map[string]string{"m": "1"}, 0
@@ -249,6 +252,7 @@
 	}
 }
 
+// state returns the state that the engine reports, with its models sorted by name.
 func (e *fakeEngine) state() upstream.EngineState {
 	s := upstream.EngineState{BootID: fmt.Sprint(e.boot), HighestFence: e.highestFence}
 	for m, v := range e.loaded {
@@ -261,6 +265,7 @@
 	return s
 }
 
+// engine returns the engine with an id.
 func (sim *simulation) engine(id string) *fakeEngine {
 	return sim.engines[slices.IndexFunc(sim.engines, func(e *fakeEngine) bool { return e.id == id })]
 }
--- a/internal/execute/takeover_test.go
+++ b/internal/execute/takeover_test.go
@@ -21,7 +21,7 @@
 		is := is.New(t)
 		f := newSizedFleet(instances, 30)
 		p := f.propose(t, 1)
-		for range 4 { // the order of the first stage is sent, that of the second is not
+		for range 4 { // the order of the first stage is sent, the one of the second stage is not
 			f.tick()
 		}
 		is.Equal(f.calls.orderCalls, 1)
