--- a/internal/objects/call/call.go
+++ b/internal/objects/call/call.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	dialTimeout      = time.Second
-	maxResponseBytes = 64 << 20 // large enough for a list of many objects
+	dialTimeout      = time.Second // of a connection attempt
+	maxResponseBytes = 64 << 20    // large enough for a list of many objects
 )
 
 // Client sends calls over persistent connections. It is safe for concurrent use.
@@ -66,7 +66,7 @@
 	RetryAfter string // value of the header, unparsed
 }
 
-// Do sends one call. An error that wraps objects.ErrUnavailable says that nothing was sent. After any other error,
+// Do sends one call. An error that wraps objects.ErrUnavailable means that nothing was sent. After any other error,
 // including the end of ctx, the call may have taken effect.
 func (c *Client) Do(ctx context.Context, q Request) (Response, error) {
 	if err := ctx.Err(); err != nil {
--- a/internal/objects/call/dial.go
+++ b/internal/objects/call/dial.go
@@ -21,7 +21,7 @@
 	owner *connTracker
 }
 
-// Close implements net.Conn.
+// Close closes the connection and removes it from its tracker.
 func (c *trackedConn) Close() error {
 	c.owner.mu.Lock()
 	delete(c.owner.open, c)
--- a/internal/objects/client/budget.go
+++ b/internal/objects/client/budget.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// tryCall takes one call from the budget and counts it. If the budget refuses it, tryCall returns the reason and the time
-// after which to try again.
+// tryCall takes one call from the budget and counts it. If the budget refuses it, tryCall returns the reason and the
+// time after which to try again.
 func (b *BudgetedStore) tryCall(c storebudget.Call) (decide.Reason, time.Duration) {
 	n := b.instanceCount()
 	b.mu.Lock()
--- a/internal/objects/client/budget_test.go
+++ b/internal/objects/client/budget_test.go
@@ -24,6 +24,7 @@
 	calls int
 }
 
+// Get implements objects.Store.
 func (l *failingStore) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
 	l.mu.Lock()
 	l.calls++
@@ -35,14 +36,15 @@
 	return l.Store.Get(ctx, key)
 }
 
+// setDown makes the store unavailable or available.
 func (l *failingStore) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-// The store becomes unavailable while callers continue to send calls. The calls must fail at once with an error that says
-// that nothing was sent, instead of waiting for a timeout each. Only probes may be sent.
+// The store becomes unavailable while callers continue to send calls. The calls must fail at once with ErrUnavailable,
+// because nothing was sent, instead of waiting for a timeout each. Only probes may be sent.
 func TestCallsFailAtOnceWhileTheStoreIsLost(t *testing.T) {
 	is := is.New(t)
 	ctx, key := context.Background(), objects.Key{Kind: "k", Name: "n"}
--- a/internal/objects/client/client.go
+++ b/internal/objects/client/client.go
@@ -82,6 +82,7 @@
 	}
 }
 
+// objectURL returns the URL of an object.
 func (c *Client) objectURL(key objects.Key) string {
 	return c.objects + "/objects/" + url.PathEscape(key.Kind) + "/" + url.PathEscape(key.Name)
 }
--- a/internal/objects/conformance/conformance.go
+++ b/internal/objects/conformance/conformance.go
@@ -1,5 +1,5 @@
-// Package conformance is a test suite of the contract of objects.Store. All implementations run it: the memory store, and
-// the client against the stand-in.
+// Package conformance is a test suite of the contract of objects.Store. All implementations run it: the memory store,
+// and the clients, among them the platform's, against their stand-ins.
 package conformance
 
 import (
@@ -46,8 +46,10 @@
 	}
 }
 
+// key returns the key of an object of the suite's kind.
 func key(name string) objects.Key { return objects.Key{Kind: "suite", Name: name} }
 
+// put writes an object and returns its version. It fails the test on an error.
 func put(t *testing.T, s objects.Store, k objects.Key, ifVersion uint64, id, value string) uint64 {
 	t.Helper()
 	version, err := s.Put(context.Background(), objects.Write{Key: k, IfVersion: ifVersion, WriteID: id, Value: []byte(value)})
@@ -66,6 +68,7 @@
 	}
 }
 
+// createIfAbsent checks that a write with version 0 creates an object, and is refused if the object exists.
 func createIfAbsent(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	_, err := s.Get(ctx, key("a"))
@@ -81,6 +84,7 @@
 	requireConflict(t, err, v, "w1")
 }
 
+// conditionalUpdate checks that an update takes effect only if the object has the expected version.
 func conditionalUpdate(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	first := put(t, s, key("a"), 0, "w1", `1`)
@@ -97,6 +101,7 @@
 	is.True(errors.Is(err, objects.ErrNotFound))
 }
 
+// conditionalDelete checks that a delete takes effect only if the object has the expected version.
 func conditionalDelete(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	is.True(errors.Is(s.Delete(ctx, key("a"), 1), objects.ErrNotFound))
@@ -108,6 +113,7 @@
 	is.True(errors.Is(err, objects.ErrNotFound))
 }
 
+// versionsGrow checks that each write gets a higher version than all earlier writes, to whichever object.
 func versionsGrow(t *testing.T, s objects.Store) {
 	is := is.New(t)
 	a := put(t, s, key("a"), 0, "w1", `1`)
@@ -126,6 +132,7 @@
 	is.True(second > first)
 }
 
+// oneWriterWins checks that exactly one of many concurrent updates of the same version takes effect.
 func oneWriterWins(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	base := put(t, s, key("a"), 0, "w0", `0`)
@@ -147,6 +154,7 @@
 	is.Equal(o.WriteID, <-won)
 }
 
+// objectNames returns the names of the objects of a list, in its order.
 func objectNames(l wire.List) []string {
 	var all []string
 	for _, o := range l.Objects {
@@ -155,6 +163,7 @@
 	return all
 }
 
+// list checks that a list has all objects, sorted by name, and a version that covers them.
 func list(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	l, err := s.List(ctx, "suite")
@@ -168,6 +177,7 @@
 	is.True(l.Version >= last)
 }
 
+// watchTimesOut checks that a watch without changes returns an empty list after its wait.
 func watchTimesOut(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	v := put(t, s, key("a"), 0, "w1", `1`)
@@ -177,6 +187,7 @@
 	is.True(l.Version >= v) // there is no change, and the next watch may start at this version
 }
 
+// watchReportsLatest checks that a watch reports only the latest version of a changed object, and reports it once.
 func watchReportsLatest(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	base := put(t, s, key("a"), 0, "w1", `1`)
@@ -191,6 +202,7 @@
 	is.Equal(len(l.Objects), 0)
 }
 
+// watchReportsDeletions checks that a watch reports an object that was deleted after the watched version.
 func watchReportsDeletions(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	v := put(t, s, key("a"), 0, "w1", `1`)
@@ -200,6 +212,7 @@
 	is.Equal(l.Deleted, []string{"a"})
 }
 
+// watchReturnsOnChange checks that a watch returns when an object is written while it waits.
 func watchReturnsOnChange(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	base := put(t, s, key("a"), 0, "w1", `1`)
@@ -215,6 +228,7 @@
 	is.Equal(objectNames(<-got), []string{"b"})
 }
 
+// kindsAreSeparate checks that lists and watches of a kind contain no objects of another kind.
 func kindsAreSeparate(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	base := put(t, s, key("a"), 0, "w1", `1`)
@@ -228,6 +242,7 @@
 	is.Equal(len(l.Objects), 0) // a change of another kind is not reported
 }
 
+// namesAreEscaped checks that names with spaces, slashes and other special characters are kept.
 func namesAreEscaped(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	for _, name := range []string{"a b", "a/b", "a?b=c", "a%2Fb", "ü"} {
@@ -239,6 +254,7 @@
 	}
 }
 
+// resolveLostWrite checks that objects.ResolveWrite finds out whether a write took effect.
 func resolveLostWrite(t *testing.T, s objects.Store) {
 	is, ctx := is.New(t), context.Background()
 	w := objects.Write{Key: key("a"), WriteID: "w1", Value: json.RawMessage(`1`)}
--- a/internal/objects/conformance/retry_test.go
+++ b/internal/objects/conformance/retry_test.go
@@ -27,22 +27,27 @@
 	}
 }
 
+// Get implements objects.Store.
 func (s retryingStore) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
 	return retryUnavailable(func() (wire.Object, error) { return s.store.Get(ctx, key) })
 }
 
+// List implements objects.Store.
 func (s retryingStore) List(ctx context.Context, kind string) (wire.List, error) {
 	return retryUnavailable(func() (wire.List, error) { return s.store.List(ctx, kind) })
 }
 
+// Watch implements objects.Store.
 func (s retryingStore) Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error) {
 	return retryUnavailable(func() (wire.List, error) { return s.store.Watch(ctx, kind, version, wait) })
 }
 
+// Put implements objects.Store.
 func (s retryingStore) Put(ctx context.Context, w objects.Write) (uint64, error) {
 	return retryUnavailable(func() (uint64, error) { return s.store.Put(ctx, w) })
 }
 
+// Delete implements objects.Store.
 func (s retryingStore) Delete(ctx context.Context, key objects.Key, ifVersion uint64) error {
 	_, err := retryUnavailable(func() (struct{}, error) { return struct{}{}, s.store.Delete(ctx, key, ifVersion) })
 	return err
--- a/internal/objects/memory/memory.go
+++ b/internal/objects/memory/memory.go
@@ -13,7 +13,8 @@
 	"github.com/damaskshelf/damaskshelf/internal/objects/wire"
 )
 
-// maxDeletions is the number of deletions that are kept for watches.
+// maxDeletions bounds the deletions that are kept for watches, and so the memory that they use. A watch that would need
+// an older one returns objects.ErrTooOld.
 const maxDeletions = 4096
 
 // Store is an in-memory object store. The zero value is not usable; see New.
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -15,15 +15,16 @@
 // Errors of the object API. After any other error of a write, its outcome is unknown: the caller reads the object back
 // and compares the write id with its own (see ResolveWrite).
 var (
-	// ErrNotFound says that the object does not exist.
+	// ErrNotFound reports that the object does not exist.
 	ErrNotFound = errors.New("object not found")
-	// ErrTooOld says that the store no longer keeps the changes since the watched version. The caller lists again.
+	// ErrTooOld reports that the store no longer keeps the changes since the watched version. The caller lists again.
 	ErrTooOld = errors.New("watched version is no longer kept")
-	// ErrUnavailable says that the call had no effect, as nothing of it was sent.
+	// ErrUnavailable reports that the call had no effect: nothing of it was sent, or the store refused to process it.
 	ErrUnavailable = errors.New("platform is unavailable")
 )
 
-// ConflictError says that a conditional write was refused, as the object has another version. The write had no effect.
+// ConflictError reports that a conditional write was refused because the object has another version. The write had no
+// effect.
 type ConflictError struct {
 	Key     Key
 	Current uint64 // version in the store; 0: absent
@@ -59,8 +60,8 @@
 	List(ctx context.Context, kind string) (wire.List, error)
 	// Watch waits for changes after version, for up to wait. It returns an empty list if there are none.
 	Watch(ctx context.Context, kind string, version uint64, wait time.Duration) (wire.List, error)
-	// Put returns the object's new version. Its error is a *ConflictError, ErrUnavailable, or one after which the outcome is
-	// unknown.
+	// Put returns the object's new version. Its error is a *ConflictError, ErrUnavailable, or one after which the
+	// outcome is unknown.
 	Put(ctx context.Context, w Write) (uint64, error)
 	// Delete removes the object if it has the version ifVersion. It returns the errors of Put, and ErrNotFound if there is
 	// no such object.
--- a/internal/objects/wire/wire.go
+++ b/internal/objects/wire/wire.go
@@ -31,8 +31,8 @@
 }
 
 // List is the response to a list or a watch. Version is the version of the store that it reflects. Deleted has the names
-// of the objects that were deleted since the watched version. TooOld says that the changes since the watched version are
-// no longer kept: the client lists again.
+// of the objects that were deleted since the watched version. TooOld reports that the changes since the watched version
+// are no longer kept: the client lists again.
 type List struct {
 	Version uint64   `json:"version"`
 	Objects []Object `json:"objects"`
