--- a/cmd/damaskstandin/main_test.go
+++ b/cmd/damaskstandin/main_test.go
@@ -77,7 +77,7 @@
 	o := testOptions()
 	is.NoErr(readConfig(path, &o.cluster))
 	is.Equal(o.cluster.EnginesPerDomain, 3)
-	is.Equal(o.cluster.Engine.KVCacheTokens, int64(5000))
+	is.Equal(o.cluster.Engine.Memory, int64(5000))
 	is.Equal(o.cluster.Domains, []string{"a", "b"}) // from the flags
 	is.True(errors.Is(readConfig(path+"x", &o.cluster), os.ErrNotExist))
 }
--- a/internal/route/cluster_test.go
+++ b/internal/route/cluster_test.go
@@ -24,7 +24,7 @@
 // startFleet starts two instances and six engines. Each engine holds 60,000 tokens, and its reservations don't expire.
 func startFleet(t *testing.T, cfg engine.Config) *local.Fleet {
 	t.Helper()
-	cfg.KVCacheTokens, cfg.NoExpiry = 60_000, true
+	cfg.Memory, cfg.NoExpiry = 60_000, true
 	f, err := local.Start(local.Config{
 		Cluster: cluster.Config{
 			Domains: []string{"north", "mid", "south"}, Region: "plains", EnginesPerDomain: 2,
--- a/internal/standin/engine/completions_test.go
+++ b/internal/standin/engine/completions_test.go
@@ -41,7 +41,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	e := startEngine(t, engine.Config{KVCacheTokens: 5000, Models: []wire.LoadedModel{{Model: model, Version: "v1", Adapters: []string{"ice"}}}})
+	e := startEngine(t, engine.Config{Memory: 5000, Models: []wire.LoadedModel{{Model: model, Version: "v1", Adapters: []string{"ice"}}}})
 	with := func(c wire.CompletionRequest) rawhttp.Call { return rawhttp.Completion("r1", c) }
 	cases := []struct {
 		name   string
@@ -172,7 +172,7 @@
 
 func TestCachedPrefixIsNotRecomputed(t *testing.T) {
 	is := is.New(t)
-	e := startEngine(t, engine.Config{EventDelay: time.Millisecond})
+	e := startEngine(t, engine.Config{EventLag: time.Millisecond})
 	is.NoErr(streamCall("r1", 2*wire.BlockTokens+100, 5).Do(e.Addr()).CheckStream("r1", 5))
 	is.Equal(e.Counters().CachedTokens, int64(0))
 	is.NoErr(streamCall("r2", 3*wire.BlockTokens, 5).Do(e.Addr()).CheckStream("r2", 5))
@@ -192,11 +192,11 @@
 	is.Equal(events.BootID, e.BootID())
 }
 
-// The load report shows an earlier state: an engine that has just started a job does not report it until ReportInterval
+// The load report shows an earlier state: an engine that has just started a job does not report it until ReportLag
 // has passed.
 func TestLoadReportLags(t *testing.T) {
 	is := is.New(t)
-	e := startEngine(t, engine.Config{ReportInterval: 10 * time.Hour, DecodeInterval: time.Hour})
+	e := startEngine(t, engine.Config{ReportLag: 10 * time.Hour, DecodeInterval: time.Hour})
 	done := startCall(t, e, streamCall("r1", 10, 1000))
 	load := fetch[wire.LoadReport](t, e, get(wire.PathLoad))
 	is.Equal(load.Running, 0)
@@ -205,7 +205,7 @@
 	e.Close()
 	<-done
 
-	current := startEngine(t, engine.Config{ReportInterval: time.Millisecond, DecodeInterval: time.Hour})
+	current := startEngine(t, engine.Config{ReportLag: time.Millisecond, DecodeInterval: time.Hour})
 	done = startCall(t, current, streamCall("r1", 10, 1000))
 	var fresh wire.LoadReport
 	waitFor(t, "the report shows the request", func() bool {
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -7,7 +7,7 @@
 )
 
 // Config holds the settings of an engine. Durations and rates are in engine time, which runs TimeScale times as fast as
-// wall-clock time. A field that is zero has its default.
+// wall-clock time. A field that is zero has its default. The names of the fields are keys of the stand-ins' config file.
 type Config struct {
 	ID         string
 	Models     []wire.LoadedModel // loaded at every boot
@@ -21,18 +21,18 @@
 	PrefillRate    int64         // prompt tokens a second; jobs of higher priority get their share first
 	DecodeInterval time.Duration // time between two tokens of one answer
 	MaxRunning     int           // requests that run at the same time
-	KVCacheTokens  int64         // size of the KV cache
+	Memory         int64         // size of the KV cache
 
 	ColdLimit    int           // requests in flight while cold; one more makes the engine collapse
 	ColdSlowdown int64         // divisor of the prefill rate while cold
 	WarmAfter    int           // completed requests until a cold engine is warm
 	CollapseTime time.Duration // time out of service after a collapse
 
-	ReportInterval time.Duration // time between two updates of the load report
-	EventDelay     time.Duration // time until a cache event is published
-	EventHistory   int           // cache events kept
-	EventLoss      uint64        // one event in so many, on average, is never published; 0: none
-	LoadTime       time.Duration // time that a load order takes
+	ReportLag    time.Duration // time between two updates of the load report
+	EventLag     time.Duration // time until a cache event is published
+	EventHistory int           // cache events kept
+	EventLoss    uint64        // one event in so many, on average, is never published; 0: none
+	LoadTime     time.Duration // time that a load order takes
 }
 
 // Defaults of Config, in the units of its fields.
@@ -58,14 +58,14 @@
 	orDefault(&c.PrefillRate, DefaultPrefillRate)
 	orDefault(&c.DecodeInterval, DefaultDecodeInterval)
 	orDefault(&c.MaxRunning, DefaultMaxRunning)
-	orDefault(&c.KVCacheTokens, DefaultKVCacheTokens)
+	orDefault(&c.Memory, DefaultKVCacheTokens)
 	orDefault(&c.QueueLimit, DefaultQueueLimit)
 	orDefault(&c.ColdLimit, DefaultColdLimit)
 	orDefault(&c.ColdSlowdown, DefaultColdSlowdown)
 	orDefault(&c.WarmAfter, DefaultWarmAfter)
 	orDefault(&c.CollapseTime, DefaultCollapseTime)
-	orDefault(&c.ReportInterval, DefaultReportInterval)
-	orDefault(&c.EventDelay, DefaultEventDelay)
+	orDefault(&c.ReportLag, DefaultReportInterval)
+	orDefault(&c.EventLag, DefaultEventDelay)
 	orDefault(&c.EventHistory, DefaultEventHistory)
 	orDefault(&c.LoadTime, DefaultLoadTime)
 	return c
--- a/internal/standin/engine/control_test.go
+++ b/internal/standin/engine/control_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestReservations(t *testing.T) {
-	e := startEngine(t, engine.Config{KVCacheTokens: 1000})
+	e := startEngine(t, engine.Config{Memory: 1000})
 	cases := []struct {
 		name   string
 		call   rawhttp.Call
@@ -89,7 +89,7 @@
 func TestPromptLargerThanOneEngine(t *testing.T) {
 	is := is.New(t)
 	const memory = 10_000
-	first, second, third := startEngine(t, engine.Config{KVCacheTokens: memory}), startEngine(t, engine.Config{KVCacheTokens: memory}), startEngine(t, engine.Config{KVCacheTokens: memory})
+	first, second, third := startEngine(t, engine.Config{Memory: memory}), startEngine(t, engine.Config{Memory: memory}), startEngine(t, engine.Config{Memory: memory})
 	is.Equal(reserve("a", 9000, 60_000).Do(first.Addr()).Status, 201)
 	is.Equal(reserve("b", 9000, 60_000).Do(second.Addr()).Status, 201)
 	is.Equal(reserve("c", 9000, 60_000).Do(third.Addr()).Status, 201)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -41,7 +41,7 @@
 	warmup       warmup
 	reservations map[string]*reservation
 	orders       orderState
-	report       wire.LoadReport // refreshed every ReportInterval
+	report       wire.LoadReport // refreshed every ReportLag
 	reportedAt   time.Duration   // time of report
 	counters     Counters
 }
@@ -73,7 +73,7 @@
 func (e *Engine) Addr() string { return e.server.Addr() }
 
 // KVCacheTokens returns the size of the engine's KV cache in tokens.
-func (e *Engine) KVCacheTokens() int64 { return e.cfg.KVCacheTokens }
+func (e *Engine) KVCacheTokens() int64 { return e.cfg.Memory }
 
 // Fencing reports whether the engine refuses orders with a fencing number lower than the highest that it has seen.
 func (e *Engine) Fencing() bool { return e.cfg.Fencing }
@@ -122,7 +122,7 @@
 	e.reservations = map[string]*reservation{}
 	e.orders = newOrderState(e.cfg)
 	e.warmup = warmup{cold: cold, firstCounted: e.nextJobSeq}
-	e.report = wire.LoadReport{BootID: e.bootID, Cold: cold, ColdLimit: e.cfg.ColdLimit, MemoryTotal: e.cfg.KVCacheTokens, PrefillRate: e.wallPrefillRate()}
+	e.report = wire.LoadReport{BootID: e.bootID, Cold: cold, ColdLimit: e.cfg.ColdLimit, MemoryTotal: e.cfg.Memory, PrefillRate: e.wallPrefillRate()}
 	e.reportedAt = e.now()
 }
 
@@ -189,9 +189,9 @@
 // ignores ColdSlowdown.
 func (e *Engine) wallPrefillRate() int64 { return int64(float64(e.cfg.PrefillRate) * e.cfg.TimeScale) }
 
-// refreshReport replaces the load report if it is at least ReportInterval old.
+// refreshReport replaces the load report if it is at least ReportLag old.
 func (e *Engine) refreshReport(now time.Duration) {
-	if now-e.reportedAt < e.cfg.ReportInterval {
+	if now-e.reportedAt < e.cfg.ReportLag {
 		return
 	}
 	running := e.countRunning()
@@ -207,7 +207,7 @@
 	e.report = wire.LoadReport{
 		BootID: e.bootID, Seq: e.report.Seq + 1, Cold: e.warmup.cold, ColdLimit: e.cfg.ColdLimit,
 		Running: running, Queued: len(e.jobs) - running, QueuedTokens: int64(queuedTokens),
-		MemoryUsed: e.memoryInUse(), MemoryTotal: e.cfg.KVCacheTokens, PrefillRate: e.wallPrefillRate(),
+		MemoryUsed: e.memoryInUse(), MemoryTotal: e.cfg.Memory, PrefillRate: e.wallPrefillRate(),
 		Leaving: e.faults.On(faults.Leaving),
 	}
 }
--- a/internal/standin/engine/faults_test.go
+++ b/internal/standin/engine/faults_test.go
@@ -107,7 +107,7 @@
 // orders are lost.
 func TestKilledEngineLosesItsState(t *testing.T) {
 	is := is.New(t)
-	e := startEngine(t, engine.Config{KVCacheTokens: 100_000, DecodeInterval: time.Hour})
+	e := startEngine(t, engine.Config{Memory: 100_000, DecodeInterval: time.Hour})
 	running := startCall(t, e, streamCall("r1", 3000, 1000))
 	is.Equal(post(wire.PathReservations, wire.Reservation{ID: "a", Tokens: 10}).Do(e.Addr()).Status, 201)
 	is.Equal(post(wire.PathOrders, wire.Order{ID: "o", Fence: 9, Kind: engine.OrderRole, Role: engine.RoleLong}).Do(e.Addr()).Status, 202)
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -76,12 +76,12 @@
 	e.locked(func(now time.Duration) {
 		report = e.report
 		report.AgeMs = e.wallTime(now - e.reportedAt).Milliseconds()
-		report.CacheNext = e.cache.nextPublished(now - e.cfg.EventDelay)
+		report.CacheNext = e.cache.nextPublished(now - e.cfg.EventLag)
 	})
 	serve.JSON(ctx, fasthttp.StatusOK, report)
 }
 
-// getCacheEvents answers with the cache events that are at least EventDelay old, from a sequence number on.
+// getCacheEvents answers with the cache events that are at least EventLag old, from a sequence number on.
 func (e *Engine) getCacheEvents(ctx *fasthttp.RequestCtx) {
 	from, err := strconv.ParseUint(string(ctx.QueryArgs().Peek("from")), 10, 64)
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 	var answer wire.CacheEvents
 	e.locked(func(now time.Duration) {
-		answer = e.cache.eventsFrom(from, now-e.cfg.EventDelay)
+		answer = e.cache.eventsFrom(from, now-e.cfg.EventLag)
 		answer.BootID = e.bootID
 	})
 	serve.JSON(ctx, fasthttp.StatusOK, answer)
--- a/internal/standin/engine/job.go
+++ b/internal/standin/engine/job.go
@@ -76,7 +76,7 @@
 		if j.running {
 			continue
 		}
-		if running >= e.cfg.MaxRunning || e.memoryInUse()+j.memory > e.cfg.KVCacheTokens {
+		if running >= e.cfg.MaxRunning || e.memoryInUse()+j.memory > e.cfg.Memory {
 			return
 		}
 		j.running = true
@@ -85,7 +85,7 @@
 		e.counters.CachedTokens += int64(cachedBlocks) * wire.BlockTokens
 		j.prefillLeft = max(1, float64(j.promptTokens+j.offset-cachedBlocks*wire.BlockTokens))
 		e.cache.add(j.blocks[:cachedBlocks], now)
-		e.cache.evictTo(e.cfg.KVCacheTokens-e.memoryInUse(), now)
+		e.cache.evictTo(e.cfg.Memory-e.memoryInUse(), now)
 	}
 }
 
@@ -108,7 +108,7 @@
 			return
 		}
 		e.cache.add(j.blocks, now)
-		e.cache.evictTo(e.cfg.KVCacheTokens-e.memoryInUse(), now)
+		e.cache.evictTo(e.cfg.Memory-e.memoryInUse(), now)
 		e.addTokens(j, 1)
 	}
 }
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -124,7 +124,7 @@
 	blocks := req.Blocks[:min(int64(len(req.Blocks)), tokens/wire.BlockTokens)]
 	e.locked(func(now time.Duration) {
 		e.cache.add(blocks, now)
-		e.cache.evictTo(e.cfg.KVCacheTokens-e.memoryInUse(), now)
+		e.cache.evictTo(e.cfg.Memory-e.memoryInUse(), now)
 	})
 	serve.JSON(ctx, fasthttp.StatusOK, wire.KVExportResult{ID: req.ID, Blocks: len(blocks), Tokens: int64(len(blocks)) * wire.BlockTokens})
 }
--- a/internal/standin/engine/reservations.go
+++ b/internal/standin/engine/reservations.go
@@ -56,13 +56,13 @@
 		}
 		return fasthttp.StatusConflict
 	}
-	if e.memoryInUse()+r.Tokens > e.cfg.KVCacheTokens {
+	if e.memoryInUse()+r.Tokens > e.cfg.Memory {
 		return fasthttp.StatusServiceUnavailable
 	}
 	e.reservations[r.ID] = &reservation{
 		Reservation: r, createdAt: now, expiresAt: e.afterWallMs(r.TTLMs, now), deadline: e.afterWallMs(r.DeadlineMs, now),
 	}
-	e.cache.evictTo(e.cfg.KVCacheTokens-e.memoryInUse(), now)
+	e.cache.evictTo(e.cfg.Memory-e.memoryInUse(), now)
 	return fasthttp.StatusCreated
 }
 
--- a/internal/standin/engine/submit.go
+++ b/internal/standin/engine/submit.go
@@ -142,7 +142,7 @@
 		memory -= reserved.Tokens + groupTokens
 	}
 	j.memory = max(0, memory)
-	if j.memory > e.cfg.KVCacheTokens {
+	if j.memory > e.cfg.Memory {
 		return &refusal{fasthttp.StatusRequestEntityTooLarge, "larger than the memory", false}
 	}
 	return nil
