--- a/internal/standin/engine/completions_test.go
+++ b/internal/standin/engine/completions_test.go
@@ -200,7 +200,7 @@
 	done := startCall(t, e, streamCall("r1", 10, 1000))
 	load := fetch[wire.LoadReport](t, e, get(wire.PathLoad))
 	is.Equal(load.Running, 0)
-	is.Equal(load.MemoryTotal, int64(engine.DefaultKVCacheTokens))
+	is.Equal(load.MemoryTotal, int64(engine.DefaultMemory))
 	is.Equal(load.PrefillRate, int64(engine.DefaultPrefillRate*fastTimeScale))
 	e.Close()
 	<-done
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -21,7 +21,7 @@
 	PrefillRate    int64         // prompt tokens a second; jobs of higher priority get their share first
 	DecodeInterval time.Duration // time between two tokens of one answer
 	MaxRunning     int           // requests that run at the same time
-	Memory         int64         // size of the KV cache
+	Memory         int64         // size of the KV cache in tokens
 
 	ColdLimit    int           // requests in flight while cold; one more makes the engine collapse
 	ColdSlowdown int64         // divisor of the prefill rate while cold
@@ -40,14 +40,14 @@
 	DefaultPrefillRate    = 20_000
 	DefaultDecodeInterval = 10 * time.Millisecond
 	DefaultMaxRunning     = 32
-	DefaultKVCacheTokens  = 400_000
+	DefaultMemory         = 400_000
 	DefaultQueueLimit     = 256
 	DefaultColdLimit      = 2
 	DefaultColdSlowdown   = 4
 	DefaultWarmAfter      = 8
 	DefaultCollapseTime   = 2 * time.Second
-	DefaultReportInterval = 500 * time.Millisecond
-	DefaultEventDelay     = 500 * time.Millisecond
+	DefaultReportLag      = 500 * time.Millisecond
+	DefaultEventLag       = 500 * time.Millisecond
 	DefaultEventHistory   = 4096
 	DefaultLoadTime       = 2 * time.Second
 )
@@ -58,14 +58,14 @@
 	orDefault(&c.PrefillRate, DefaultPrefillRate)
 	orDefault(&c.DecodeInterval, DefaultDecodeInterval)
 	orDefault(&c.MaxRunning, DefaultMaxRunning)
-	orDefault(&c.Memory, DefaultKVCacheTokens)
+	orDefault(&c.Memory, DefaultMemory)
 	orDefault(&c.QueueLimit, DefaultQueueLimit)
 	orDefault(&c.ColdLimit, DefaultColdLimit)
 	orDefault(&c.ColdSlowdown, DefaultColdSlowdown)
 	orDefault(&c.WarmAfter, DefaultWarmAfter)
 	orDefault(&c.CollapseTime, DefaultCollapseTime)
-	orDefault(&c.ReportLag, DefaultReportInterval)
-	orDefault(&c.EventLag, DefaultEventDelay)
+	orDefault(&c.ReportLag, DefaultReportLag)
+	orDefault(&c.EventLag, DefaultEventLag)
 	orDefault(&c.EventHistory, DefaultEventHistory)
 	orDefault(&c.LoadTime, DefaultLoadTime)
 	return c
