--- a/internal/decide/relay/fault_test.go
+++ b/internal/decide/relay/fault_test.go
@@ -179,6 +179,7 @@
 	inject func(*sim)
 }
 
+// faults lists the faults under which the bounds are checked; the last one is the worst.
 var faults = []fault{
 	{"none", func(*sim) {}},
 	{"the store's watch lags", func(s *sim) { s.store.lag = 10 * time.Second }},
--- a/internal/decide/relay/propagation_test.go
+++ b/internal/decide/relay/propagation_test.go
@@ -10,7 +10,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide"
 )
 
-// heartbeatBytes is the application bytes of one message, as measured by TestBytesOfAHeartbeat of internal/peer.
+// heartbeatBytes is the application bytes of one message, as measured by TestHeartbeatBytes of internal/peer.
 const heartbeatBytes = 133
 
 const second = decide.Instant(time.Second)
@@ -28,6 +28,7 @@
 	n, domains, regions int
 }
 
+// sizes lists the fleets that the tests simulate.
 var sizes = []size{{6, 3, 1}, {9, 3, 1}, {100, 16, 4}, {930, 16, 4}}
 
 // seeds returns the number of runs for a size.
@@ -38,7 +39,8 @@
 	return 5
 }
 
-// measure accepts a version through one instance and waits until it is in force everywhere.
+// measure accepts a version through one instance, waits until it is in force everywhere, and returns the worst result
+// over all seeds.
 func measure(t *testing.T, z size, loss float64) propagation {
 	var worst propagation
 	for seed := range z.seeds() {
--- a/internal/decide/relay/shared.go
+++ b/internal/decide/relay/shared.go
@@ -53,7 +53,7 @@
 // did.
 //
 // The check guards against a configuration that reverts, which shows as a failure domain that gets work again
-// after it was drained. Stale reads of the store, late answers and peers that are behind all deliver old versions.
+// after it was drained. Stale reads of the store, late replies and peers that are behind all deliver old versions.
 // The object API assigns a higher version to each accepted write, so applying only higher versions never reverts.
 func (st *SharedState) Apply(c Config) bool {
 	if c.Version <= st.config.Version || len(c.Packed) == 0 {
--- a/internal/decide/relay/sim_test.go
+++ b/internal/decide/relay/sim_test.go
@@ -16,7 +16,7 @@
 	heartbeatTimeout = 400 * time.Millisecond // as in internal/peer
 	pullTimeout      = time.Second            // as in internal/peer
 	storeTimeout     = 2 * time.Second        // as in platform/client
-	interval         = 500 * time.Millisecond
+	interval         = 500 * time.Millisecond // between heartbeats to one peer
 )
 
 // sim drives nodes under virtual time: calls take a fixed delay with jitter, messages are lost, failure domains
@@ -184,8 +184,8 @@
 		(a.Domain != b.Domain && (s.cutDomains[a.Domain] || s.cutDomains[b.Domain])) || s.rand.Float64() < s.loss
 }
 
-// exchange delivers a call to another instance and returns its response. If either message is lost, timedOut runs
-// once the timeout is over.
+// exchange delivers a call from a to another instance and, later, its response to a. If either message is lost, a
+// handles timedOut once the timeout is over.
 func (s *sim) exchange(a *simNode, to fleet.InstanceID, timeout time.Duration, deliver func(b *simNode) func() []relay.Effect, timedOut func() []relay.Effect) {
 	b := s.byID[to]
 	fail := func(elapsed time.Duration) {
--- a/internal/decide/relay/store.go
+++ b/internal/decide/relay/store.go
@@ -92,7 +92,7 @@
 }
 
 // compressionRatio is the approximate ratio of a configuration's size in the store to its packed size.
-// TestBytesOfAConfigurationChange of internal/peer prints both.
+// TestConfigurationChangeBytes of internal/peer prints both.
 const compressionRatio = 10
 
 // recordStoreAnswer updates the backoff after a call to the store, and logs when the store becomes unavailable and
