--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -47,8 +47,8 @@
 	// DefaultTrustDuration keeps the guarantee that a leaving upstream gets no new work after two seconds. The
 	// remaining half second is for the sign to reach the instances that this one last exchanged heartbeats with.
 	DefaultTrustDuration = 1500 * time.Millisecond
-	// At least intervalsPerTrustDuration heartbeats to each peer fit in the trust duration: with six peers, all of
-	// them have to be lost before a reachable instance considers itself cut off.
+	// intervalsPerTrustDuration is how many heartbeats to each peer fit in the trust duration at least. With six
+	// peers, all of these have to be lost before a reachable instance loses its trust.
 	intervalsPerTrustDuration = 3
 	// maxIntervalRatio is the ratio of MaxInterval to the trust duration.
 	maxIntervalRatio = 2
@@ -96,7 +96,7 @@
 	others         []fleet.Instance // the instance list without self, sorted by id
 	peers          []*Peer
 	callers        []caller
-	noPeers        bool // the list contains no other instance
+	noPeers        bool // the list contains no other instance, or only leaving ones
 	hasOutsidePeer bool // at least one peer is in another failure domain
 	trustedUntil   decide.Instant
 	quorumSince    decide.Instant // since when a majority of peers has been in contact; never: not at present
@@ -254,7 +254,8 @@
 	return reason, true
 }
 
-// HeartbeatFailed records that a peer did not reply.
+// HeartbeatFailed records that a peer did not reply. It returns PeerUnreachable if this failure made a
+// reachable peer unreachable.
 func (m *Members) HeartbeatFailed(now decide.Instant, to fleet.InstanceID) decide.Reason {
 	p := findPeer(m.peers, to)
 	if p == nil {
--- a/internal/decide/member/member_test.go
+++ b/internal/decide/member/member_test.go
@@ -24,6 +24,7 @@
 	return all
 }
 
+// sizes lists the fleets that the tests use.
 var sizes = []struct{ n, domains int }{{9, 3}, {100, 16}, {930, 16}}
 
 // Regression bound: the cost of membership for an instance is its peers and callers, and neither number grows with
@@ -168,6 +169,7 @@
 	}
 }
 
+// BenchmarkChoose measures the choice of one instance's peers for each size of the fleet.
 func BenchmarkChoose(b *testing.B) {
 	for _, z := range sizes {
 		b.Run(fmt.Sprint(z.n), func(b *testing.B) {
--- a/internal/decide/member/trust.go
+++ b/internal/decide/member/trust.go
@@ -99,8 +99,8 @@
 }
 
 // TrustedUntil returns the instant after which this instance sends no new work. Trust doesn't end if the list
-// contains no other instance: no peer could extend it, and reads of the store keep the state current only as far
-// as they succeed.
+// contains no instance that could be a peer: no exchange could extend it, and reads of the store keep the state
+// current only as far as they succeed.
 func (m *Members) TrustedUntil() decide.Instant {
 	if m.listVersion > 0 && m.noPeers {
 		return never
