--- a/internal/decide/readers/readers.go
+++ b/internal/decide/readers/readers.go
@@ -3,7 +3,7 @@
 //
 // Every call to the store is paid for and counts against a rate limit that all instances share. If each instance
 // without recent changes read by itself, the calls would grow with the fleet just when the store can serve the
-// fewest, for example while it refuses the calls of a third of the machines. Therefore the dispatcher names two
+// fewest, for example while it refuses the calls of a third of the instances. Therefore the dispatcher names two
 // readers. A turn is the time during which an instance is a reader. A reader whose reads fail loses its turn to
 // another instance after a timeout, and the timeout grows while no reader succeeds, so that the calls don't grow
 // with the fleet.
@@ -43,7 +43,7 @@
 // Report is a reader's report on its reads.
 type Report struct {
 	FailingFor time.Duration // how long its reads have failed or hung; 0: they succeed
-	ProofAge   time.Duration // age of its newest proof that its copy is current, of the kind that it reads first
+	ProofAge   time.Duration // age of its newest proof that a copy is current, over all kinds that it reads
 }
 
 // reader is an instance that has been chosen at least once.
@@ -215,7 +215,7 @@
 	return best
 }
 
-// preferred reports whether a is preferred to b.
+// preferred reports whether bestCandidate prefers a to b; chosen holds the readers that are chosen already.
 func (sel *Selector) preferred(now decide.Instant, a, b Candidate, chosen []Candidate) bool {
 	backoffA, backoffB := sel.backoffEnd(now, a), sel.backoffEnd(now, b)
 	if backoffA != backoffB {
