--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -43,7 +43,8 @@
 	OrderDelay time.Duration
 }
 
-// A holder renews TTL/renewalsPerTTL after its last write, so that two renewals may fail before the lease expires.
+// renewalsPerTTL is how many renewals fit in the TTL. A holder renews TTL/renewalsPerTTL after its last write, so
+// that two renewals may fail before the lease expires.
 const renewalsPerTTL = 3
 
 // Effect is the next action for the driver.
@@ -88,9 +89,9 @@
 // Step returns the next action to acquire or keep the lease, and the reason for it.
 func (l *Lease) Step(now decide.Instant) (Effect, decide.Reason) {
 	if l.held && !now.Before(l.validUntil) {
-		// The holder was paused or cut off past the end of its lease and still considers itself the holder. It
-		// shows as a jump of its clock. An instance that took over has written another version, which the
-		// conditional update detects.
+		// Guards against a holder that was paused or cut off past the end of its lease and goes on acting as the
+		// holder. A pause shows as a jump of its clock. An instance that took over has written another version,
+		// which the conditional update detects.
 		l.held = false
 		l.isRead = false
 		return Read, Expired
