--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -4,8 +4,8 @@
 // A key is claimed in its shard object before the request is dispatched, and the outcome is recorded in the
 // same entry.
 //
-// Guarantee: the request of a key runs at most once. It rests on the conditional update of the shard object alone. A claim is
-// granted only after its write is known to have taken effect. While the claim is in the store, no other
+// Guarantee: the request of a key runs at most once. It rests on the conditional update of the shard object alone.
+// A claim is granted only after its write is known to have taken effect. While the claim is in the store, no other
 // attempt is granted the key, even if the holder of the claim has died.
 package claim
 
--- a/internal/decide/claim/claim_test.go
+++ b/internal/decide/claim/claim_test.go
@@ -11,6 +11,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/fault"
 )
 
+// now is the wall-clock time at which the tests start.
 const now = claim.WallTime(1_800_000_000_000)
 
 // instant returns the instant d after the start of a test.
--- a/internal/decide/claim/commit.go
+++ b/internal/decide/claim/commit.go
@@ -9,7 +9,7 @@
 // OpID identifies an operation. It is unique within its Committer.
 type OpID uint64
 
-// Put is a conditional write of the shard that the shell has to send.
+// Put is a conditional write of the shard that the driver has to send.
 type Put struct {
 	IfVersion uint64 // version that the stored shard must have; 0: absent
 	Shard     Shard
@@ -21,7 +21,7 @@
 	Result Result
 }
 
-// Effects lists what the shell has to do, in the order of the fields. At most one of Read and Put is set, and
+// Effects lists what the driver has to do, in the order of the fields. At most one of Read and Put is set, and
 // neither is set while an earlier one is in flight.
 type Effects struct {
 	Responses []Response
@@ -88,7 +88,7 @@
 	return id, c.step(Effects{}, now, wall)
 }
 
-// Tick starts a read or write that has become due. The shell calls it at Effects.Wake.
+// Tick starts a read or write that has become due. The driver calls it at Effects.Wake.
 func (c *Committer) Tick(now decide.Instant, wall WallTime) Effects {
 	return c.step(Effects{}, now, wall)
 }
@@ -256,7 +256,7 @@
 	return e
 }
 
-// Idle reports whether no operation is queued and no read or write is in flight. The shell may discard an idle
+// Idle reports whether no operation is queued and no read or write is in flight. The driver may discard an idle
 // Committer.
 func (c *Committer) Idle() bool {
 	return !c.reading && len(c.inFlight) == 0 && len(c.queue) == 0
