--- a/internal/decide/plan/plan.go
+++ b/internal/decide/plan/plan.go
@@ -42,7 +42,7 @@
 
 // Input is the input of Make.
 type Input struct {
-	Before     api.Intent // the intent in force; gives the sizes of versions that are replaced
+	Before     api.Intent // the intent in force, with the sizes of the versions that are replaced
 	After      api.Intent
 	Engines    []Engine // in any order
 	WeightRate int64    // rate of the weight store in gigabytes per hour; 0: not known
