--- a/internal/decide/order/order_test.go
+++ b/internal/decide/order/order_test.go
@@ -50,6 +50,7 @@
 	is.Equal(order.Next(in).Reason, order.MatchesPlan)
 }
 
+// Checks, for changes to the base input, the reason of the decision and whether an order is sent.
 func TestReasons(t *testing.T) {
 	cases := []struct {
 		change func(*order.Input)
