--- a/internal/decide/storebudget/storebudget.go
+++ b/internal/decide/storebudget/storebudget.go
@@ -28,7 +28,7 @@
 const (
 	Read Call = iota
 	Write
-	callCount
+	callCount // number of kinds
 )
 
 // Limits are the rates that the store accepts from all instances together, in calls per second.
--- a/internal/decide/storebudget/storebudget_test.go
+++ b/internal/decide/storebudget/storebudget_test.go
@@ -46,6 +46,7 @@
 	return perSecond
 }
 
+// peak returns the highest number of calls in one second.
 func peak(perSecond []int) int {
 	most := 0
 	for _, n := range perSecond {
@@ -54,6 +55,7 @@
 	return most
 }
 
+// newCallers returns n callers that share the default limits.
 func newCallers(n int) []*caller {
 	all := make([]*caller, n)
 	for i := range all {
