--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -30,8 +30,8 @@
 }
 
 // Parameters of the budgets: retries permitted per hundred requests, and retries permitted in a Window at any
-// number of requests. The instance's budget bounds the load amplification; the others prevent one upstream or one
-// workspace from consuming all of it.
+// number of requests. The instance's budget keeps the dispatches within 1.1 per request, with a margin for
+// concurrent calls. The others prevent one upstream or one workspace from consuming all of it.
 const (
 	InstancePercent                       = 9
 	UpstreamPercent, UpstreamMinRetries   = 50, 20
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -12,6 +12,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/retry"
 )
 
+// newBudgets returns budgets with the default parameters in which the given number of requests are counted at now.
 func newBudgets(requests int, now decide.Instant) retry.Budgets {
 	b := retry.Budgets{
 		retry.NewBudget(retry.InstancePercent, retry.InstanceMinRetries(9)),
@@ -24,6 +25,7 @@
 	return b
 }
 
+// Checks the verdict for each kind of failure, with and without an exhausted budget.
 func TestAfter(t *testing.T) {
 	const now = decide.Instant(100 * time.Second)
 	retryable := retry.Failure{Started: true, Idempotent: true, Attempts: 1, TimeLeft: time.Minute, OtherUpstream: true}
@@ -106,6 +108,7 @@
 	is.True(retry.DefaultParams().Decide(f, retry.Budgets{instance, up, quiet}, r, now).Retry)
 }
 
+// Requests and retries older than the window no longer count.
 func TestBudgetForgetsOldRequestsAndRetries(t *testing.T) {
 	is := is.New(t)
 	b := retry.NewBudget(10, 0)
--- a/internal/decide/retry/storm_test.go
+++ b/internal/decide/retry/storm_test.go
@@ -24,6 +24,7 @@
 	ok, failed           int
 }
 
+// failure is the state of the engines of a failure domain.
 type failure uint8
 
 const (
@@ -32,6 +33,7 @@
 	failsAfterStart            // work starts and then fails
 )
 
+// instance is one instance with its budgets and its list of suspect engines.
 type instance struct {
 	all          *retry.Budget
 	workspaces   [10]*retry.Budget
@@ -39,8 +41,11 @@
 	suspectUntil [12]decide.Instant // not chosen before this instant
 }
 
+// domainEngines is the number of engines in each failure domain.
 const domainEngines = 4
 
+// newSimulation returns a simulation of engines with the given mean service time. failureAt returns the state of a
+// failure domain at an instant.
 func newSimulation(service time.Duration, noBudgets bool, failureAt func(int, decide.Instant) failure) *simulation {
 	s := &simulation{
 		random: rand.New(rand.NewPCG(9, 9)), params: retry.DefaultParams(), noBudgets: noBudgets,
@@ -113,7 +118,8 @@
 	})
 }
 
-// watch ends a dispatch at the given instant, or as soon as its engine refuses connections.
+// watch ends a dispatch at the given instant, or as soon as its engine refuses connections. It then calls done with
+// whether the dispatch succeeded.
 func (s *simulation) watch(e int, end decide.Instant, done func(ok bool)) {
 	now := s.loop.Now()
 	switch {
