--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -28,8 +28,8 @@
 }
 
 const (
-	engineMemory = 400_000
-	prefillRate  = 20_000
+	engineMemory = 400_000 // tokens
+	prefillRate  = 20_000  // tokens per second
 )
 
 // fixture is a gate in front of one engine. view holds the current instant.
@@ -40,6 +40,7 @@
 	requests int
 }
 
+// newFixture returns a gate with room for length queued requests, in front of one idle engine.
 func newFixture(length int) *fixture {
 	profile := pick.ProfileOf(api.ProfileShortFirst)
 	e := pick.NewEngine("e", nil)
@@ -74,7 +75,8 @@
 	}
 }
 
-const busyTokens = 60_000 // tokens, 3 s of work: more than the maximum wait of every class
+// busyTokens is the queue of a busy engine, in tokens. It is 3 s of work, more than the maximum wait of every class.
+const busyTokens = 60_000
 
 func TestIdleEngineGetsThePromptAtOnce(t *testing.T) {
 	is := is.New(t)
@@ -131,6 +133,7 @@
 	is.Equal(d.RetryAfter, 10*time.Second) // 20 s of waiting; 15 s less 4 s and 1 s are available
 }
 
+// A queued prompt that can no longer finish before its deadline is refused without a report of the engine.
 func TestExpiredPromptIsRefusedAtTheNextWake(t *testing.T) {
 	is := is.New(t)
 	b := newFixture(10)
--- a/internal/decide/admit/gate.go
+++ b/internal/decide/admit/gate.go
@@ -111,7 +111,7 @@
 	switch {
 	case choice.Engine == nil && choice.Reason == pick.NoEngine:
 		return refuse(r, fault.NoUpstream, NoEngine, 0)
-	case choice.Engine == nil: // no engine has enough memory now, or the caller's gate rejects all of them now
+	case choice.Engine == nil: // no engine has enough memory now, or the pipeline's gates reject all of them now
 		return Decision{Verb: Enqueue, Request: r, Reason: choice.Reason}
 	case v.Now.Add(choice.Estimate.FirstToken-choice.Estimate.Wait+r.DecodeTime).Sub(r.Deadline) > 0:
 		return refuse(r, fault.Infeasible, TooLate, 0)
@@ -243,8 +243,8 @@
 	return Decision{Verb: Refuse, Request: r, Kind: kind, RetryAfter: bounded, Reason: reason}
 }
 
-// ProcessQueues goes through the queues and appends to out the decisions that can be made now. The shell calls it after
-// a change: a load report, the end of an answer, or the passing of time.
+// ProcessQueues goes through the queues and appends to out the decisions that can be made now. The driver calls it
+// after a change: a load report, the end of an answer, or the passing of time.
 func (g *Gate) ProcessQueues(v *View, out []Decision) []Decision {
 	for i := range g.queues {
 		q := &g.queues[i]
--- a/internal/decide/admit/queue.go
+++ b/internal/decide/admit/queue.go
@@ -20,15 +20,23 @@
 // byLatestStart is a heap of requests, the earliest latest start first.
 type byLatestStart []*Request
 
+// Len returns the number of requests, for heap.Interface.
 func (h byLatestStart) Len() int { return len(h) }
+
+// Less orders requests by latest start, and by id if these are equal.
 func (h byLatestStart) Less(i, j int) bool {
 	if h[i].latestStart != h[j].latestStart {
 		return h[i].latestStart < h[j].latestStart
 	}
 	return h[i].ID < h[j].ID
 }
+
+// Swap and Push implement heap.Interface.
 func (h byLatestStart) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *byLatestStart) Push(x any)   { *h = append(*h, x.(*Request)) }
+
+// Pop removes the last element of the slice, as heap.Interface requires. It clears the slot, so that the request can
+// be garbage-collected.
 func (h *byLatestStart) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -228,7 +236,7 @@
 // addServed counts the tokens of a request that left the queue to be served.
 func (d *drainMeter) addServed(tokens int) { d.tokens += int64(tokens) }
 
-// tick takes a sample if one is due; waiting is the length of the queue. The end of a backlog gives no sample, because
+// tick takes a sample if one is due; waiting is the length of the queue. None is taken at the end of a backlog, because
 // its last period includes idle time.
 func (d *drainMeter) tick(now decide.Instant, waiting int) {
 	if !d.backlogged {
--- a/internal/decide/admit/request.go
+++ b/internal/decide/admit/request.go
@@ -36,7 +36,7 @@
 	query       pick.Query
 }
 
-// Verb is the action that the shell carries out.
+// Verb is the action that the driver carries out.
 type Verb uint8
 
 // The verbs.
