--- a/internal/decide/reserve/group.go
+++ b/internal/decide/reserve/group.go
@@ -26,7 +26,7 @@
 	Tokens   int64 // amount of memory, in tokens of KV cache
 }
 
-// Verb is the action that the shell carries out.
+// Verb is the action that the driver carries out.
 type Verb uint8
 
 // The verbs.
@@ -38,7 +38,7 @@
 	Done                // all parts are released; no action follows
 )
 
-// Effect is one action for the shell. Part is the index of a part, for Reserve and Release.
+// Effect is one action for the driver. Part is the index of a part, for Reserve and Release.
 type Effect struct {
 	Verb   Verb
 	Part   int
@@ -91,14 +91,14 @@
 type phase uint8
 
 const (
-	acquiring phase = iota
-	ready
-	ending
-	done
+	acquiring phase = iota // the parts are being reserved, one after the other
+	ready                  // all parts are held
+	ending                 // the parts are being released
+	done                   // all parts are released
 )
 
 // Group is the state machine of one request's reservations. A request that needs one engine has a group of one part.
-// The shell must call its methods from one goroutine.
+// The driver must call its methods from one goroutine.
 type Group struct {
 	parts     []part
 	phase     phase
--- a/internal/decide/reserve/model_test.go
+++ b/internal/decide/reserve/model_test.go
@@ -42,6 +42,7 @@
 	apply     func()
 }
 
+// newModel returns engines without reservations.
 func newModel(ids ...fleet.UpstreamID) *engineModel {
 	m := &engineModel{held: map[fleet.UpstreamID]map[string]wire.Reservation{}, createdAt: map[string]decide.Instant{}}
 	for _, e := range ids {
@@ -110,6 +111,7 @@
 	done       bool
 }
 
+// deadline is the time from the start of a request to its deadline.
 const deadline = 30 * time.Second
 
 // holder returns a holder whose group has one part with the given tokens on each of the engines.
@@ -166,6 +168,7 @@
 	h.m.pending = append(h.m.pending, c)
 }
 
+// step calls onStep, if it is set.
 func (h *holder) step(f reserve.Effect, answered bool) {
 	if h.onStep != nil {
 		h.onStep(f.Verb, f.Part, answered)
@@ -206,7 +209,7 @@
 	m.now = end
 }
 
-// deliver lets a call arrive.
+// deliver removes a call from those in transit, and carries it out if its caller still exists.
 func (m *engineModel) deliver(c *call) {
 	m.pending = slices.DeleteFunc(m.pending, func(x *call) bool { return x == c })
 	m.now = max(m.now, c.arrivesAt)
