--- a/internal/decide/stream/silence.go
+++ b/internal/decide/stream/silence.go
@@ -42,7 +42,7 @@
 	minReadRate = 4 << 20 // lowest rate at which an upstream reads a request, bytes per second
 )
 
-// Action is the next action of the shell.
+// Action is the next action of the driver.
 type Action uint8
 
 // The actions.
--- a/internal/decide/stream/silence_test.go
+++ b/internal/decide/stream/silence_test.go
@@ -13,8 +13,10 @@
 	"github.com/damaskshelf/damaskshelf/internal/vtime"
 )
 
+// gap is the setting stream_gap in these tests.
 const gap = 2 * time.Second
 
+// instant returns the instant d after the start of a test.
 func instant(d time.Duration) decide.Instant { return decide.Instant(d) }
 
 // A silent connection is probed first. It is resumed if the upstream answers the probe; if the upstream does not, the
@@ -50,10 +52,11 @@
 	}
 }
 
+// probeWait is the time from a probe to its result.
 const probeWait = 100 * time.Millisecond
 
-// Guards against a dead verdict on a stream whose engine stalls briefly for another prompt. The next part arrives before
-// the probe's result, so the stream continues and that result must not count for the next silence.
+// Guards against declaring a connection dead while its engine stalls briefly for another prompt. The next part arrives
+// before the probe's result, so the stream continues and that result must not count for the next silence.
 func TestStallIsNoSilence(t *testing.T) {
 	is := is.New(t)
 	d := stream.NewSilenceDetector(stream.NewParams(gap), false, 0, 0, instant(time.Minute))
--- a/internal/decide/stream/stream_test.go
+++ b/internal/decide/stream/stream_test.go
@@ -167,6 +167,8 @@
 	return all
 }
 
+// FuzzAssembly checks, for three arbitrary parts, that the delivered ones belong to the answer and follow each other
+// without a gap.
 func FuzzAssembly(f *testing.F) {
 	f.Add("a", 0, 2, "x", "", "a", 2, 1, "y", "stop")
 	f.Add("a", 2, 1, "y", "stop", "a", 0, 2, "x", "")
