--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -23,6 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// errAnswerLost is the error of a write whose answer is lost.
 var errAnswerLost = errors.New("answer lost")
 
 // faultyStore is an object store with faults that a test switches on.
@@ -47,6 +48,7 @@
 	return nil
 }
 
+// Get reads an object unless the store is unavailable or hanging.
 func (s *faultyStore) Get(ctx context.Context, key objects.Key) (o wire.Object, err error) {
 	if err := s.blocked(ctx); err != nil {
 		return o, err
@@ -54,6 +56,7 @@
 	return s.Store.Get(ctx, key)
 }
 
+// Put writes an object unless the store is unavailable, hanging or drops the write. The answer may be lost.
 func (s *faultyStore) Put(ctx context.Context, w objects.Write) (uint64, error) {
 	if err := s.blocked(ctx); err != nil {
 		return 0, err
@@ -69,6 +72,7 @@
 	return v, err
 }
 
+// newKeeper returns a Keeper with short delays, which is closed at the end of the test.
 func newKeeper(t *testing.T, store objects.Store, name string) *shell.Keeper {
 	t.Helper()
 	now, wall := shell.Clocks()
@@ -81,10 +85,12 @@
 	return k
 }
 
+// request returns a request with the given key and a minute until its deadline.
 func request(key string) shell.Request {
 	return shell.Request{Workspace: "ice", Key: key, Fingerprint: "f", Deadline: time.Now().Add(time.Minute)}
 }
 
+// flush waits until the store has all outcomes and withdrawals of k, and fails the test if that takes too long.
 func flush(t *testing.T, k *shell.Keeper) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -265,6 +271,7 @@
 	is.Equal(err, objects.ErrNotFound) // the shard was deleted in the end
 }
 
+// timedKey is an idempotency key that carries its issue time.
 const timedKey = "01890a5d-ac96-774b-bcce-b302099a8057"
 
 // An instance confirms a booking and dies at once. If the outcome were only in its memory, repeats through another
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -32,6 +32,7 @@
 	evictTimer *time.Timer                        // guarded by mu: removes the shard from the Keeper; nil: not scheduled yet
 }
 
+// newShard returns the shard of the object with that name, which is not read yet.
 func newShard(k *Keeper, name string) *shard {
 	return &shard{
 		keeper: k, key: objects.Key{Kind: claim.ObjectKind, Name: name},
