--- a/internal/entry/again/again.go
+++ b/internal/entry/again/again.go
@@ -34,8 +34,10 @@
 // jitterSource is the random source of jitter. It is safe for concurrent use.
 type jitterSource struct{}
 
+// Uint64 returns 64 random bits.
 func (jitterSource) Uint64() uint64 { return rand.Uint64() }
 
+// now returns the monotonic time since the Retrier was made.
 func (r *Retrier) now() decide.Instant { return decide.Instant(time.Since(r.start)) }
 
 // budgets returns the budgets that a retry consumes for a workspace after a failure of an upstream.
@@ -62,7 +64,7 @@
 }
 
 // AwaitRetry waits until a request may be dispatched again after a failed dispatch to u, and returns true. If the request
-// must not be retried, it returns false as soon as that is known. The reason belongs to the decision.
+// must not be retried, it returns false as soon as that is known. It also returns the reason for that decision.
 func (r *Retrier) AwaitRetry(ctx context.Context, f retry.Failure, w fleet.WorkspaceID, u fleet.UpstreamID) (bool, decide.Reason) {
 	r.overall.SetMinRetries(retry.InstanceMinRetries(r.instanceCount()))
 	b := r.budgets(w, u)
--- a/internal/entry/command/claims.go
+++ b/internal/entry/command/claims.go
@@ -47,7 +47,7 @@
 		return upstream.Answer{}, false, err
 	}
 	// The answer waits until the store has the outcome. Otherwise, if the instance died right after the answer, a
-	// repeat with the key would be answered with "unknown" although the caller had been told the outcome.
+	// repeat with the key would be answered with "unknown" although the caller had received the outcome.
 	grant.RecordWithin(decideclaim.Outcome{
 		Run: intake.RunOutcome(a), Status: a.Status, ContentType: a.ContentType, Body: a.Body,
 	}, recordTimeout)
@@ -90,8 +90,8 @@
 	return fault.UpstreamFailed
 }
 
-// fingerprint returns a hash of the call, by which different calls with the same key are told apart. Each field is hashed
-// with its length, so that moving bytes from one field to the next changes the hash.
+// fingerprint returns a hash of the call, by which different calls with the same key are distinguished. Each field is
+// hashed with its length, so that moving bytes from one field to the next changes the hash.
 func fingerprint(call intake.Call) string {
 	h := sha256.New()
 	for _, field := range [][]byte{
--- a/internal/entry/command/command.go
+++ b/internal/entry/command/command.go
@@ -157,7 +157,7 @@
 }
 
 // call sends the call once, to the upstream of the grant, and ends the grant. It uses a new connection, since a pooled
-// one that is dead could leave the outcome unknown; see upstream.Client.CallFresh.
+// one that is dead could leave the outcome unknown; see upstream.Client.CallNewConnection.
 func (h *Handler) call(ctx context.Context, g *route.Grant, m intake.Meta, call intake.Call, attempt int) (upstream.Answer, *upstream.CallError) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/entry/gate/gate.go
+++ b/internal/entry/gate/gate.go
@@ -9,6 +9,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/fault"
 )
 
+// state is the state of a Gate, as stored in an atomic.Int32.
 type state = int32
 
 const (
--- a/internal/entry/intake/intake.go
+++ b/internal/entry/intake/intake.go
@@ -23,7 +23,7 @@
 	maxIDLength = 128 // characters of a request id, workspace or idempotency key
 )
 
-// Idempotence is the caller's statement on whether its request may be repeated.
+// Idempotence is whether a request may be repeated, as its caller specified.
 type Idempotence uint8
 
 // The values of Idempotence.
@@ -146,6 +146,7 @@
 	}
 }
 
+// priority returns the priority in its header, or 0 if the header is absent or invalid.
 func (p *parser) priority() int {
 	v := p.single(wire.HeaderPriority)
 	if v == "" {
@@ -159,6 +160,7 @@
 	return n
 }
 
+// idempotence returns the value of the idempotence header, or Unspecified if it is absent or invalid.
 func (p *parser) idempotence() Idempotence {
 	switch v := p.single(wire.HeaderIdempotent); strings.ToLower(v) {
 	case "":
--- a/internal/entry/outcome_test.go
+++ b/internal/entry/outcome_test.go
@@ -44,11 +44,13 @@
 	requests int
 }
 
+// startFleet starts a fleet with the default test settings.
 func startFleet(t *testing.T) *testFleet {
 	t.Helper()
 	return startFleetWith(t, func(*api.Settings) {})
 }
 
+// startFleetWith starts a fleet whose settings tune changes. The fleet is closed at the end of the test.
 func startFleetWith(t *testing.T, tune func(*api.Settings)) *testFleet {
 	t.Helper()
 	f, err := local.Start(local.Config{
@@ -99,9 +101,12 @@
 	}
 }
 
+// services returns the names of the service instances.
 func (b *testFleet) services() []string {
 	return []string{service + "-0", service + "-1", service + "-2"}
 }
+
+// engines returns the names of the engines.
 func (b *testFleet) engines() []string {
 	return []string{"engine-north-0", "engine-mid-0", "engine-south-0"}
 }
@@ -242,6 +247,7 @@
 	}
 }
 
+// promptTokens and answerTokens are the lengths of a prompt and of its answer.
 const promptTokens, answerTokens = 500, 40 // about 25 ms of prefill and 400 ms of decoding
 
 // checkPrompt sends a prompt while f affects targets, and checks its answer and run outcome.
--- a/internal/entry/query/answer.go
+++ b/internal/entry/query/answer.go
@@ -36,7 +36,7 @@
 	gotPart             bool      // the first part of the current dispatch has arrived
 	consecutiveFailures int       // failed dispatches in a row; one that delivered a part restarts the count at 1
 	stream              *upstream.Stream
-	run                 fault.Run // what is known of all dispatches so far
+	run                 fault.Run // whether it ran, as far as is known from all dispatches
 }
 
 // next returns the next part in order, and io.EOF after the part with the end mark. Any other error is a *fault.Error and
--- a/internal/entry/query/handler.go
+++ b/internal/entry/query/handler.go
@@ -124,6 +124,7 @@
 	}()
 }
 
+// count adds 1 to a counter.
 func (h *Handler) count(name string, labels ...string) { h.metrics.Counter(name, labels...).Inc(1) }
 
 // refuse answers with err, logs it and counts it.
@@ -214,18 +215,20 @@
 	s.h.gate.Leave()
 }
 
-// choice, usage and chunk are types of the usual completions API. A chunk is an event of a stream, or the whole answer.
+// choice is the text of a chunk, in the form of the usual completions API.
 type choice struct {
 	Index        int     `json:"index"`
 	Text         string  `json:"text"`
 	FinishReason *string `json:"finish_reason"`
 }
 
+// usage is the number of tokens of the prompt and of its answer.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 }
 
+// chunk is one event of a stream, or the whole answer, in the form of the usual completions API.
 type chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
--- a/internal/entry/query/prompt.go
+++ b/internal/entry/query/prompt.go
@@ -26,7 +26,7 @@
 }
 
 // parsePrompt parses and checks the body of a completions request. Fields of the usual completions API that are not in
-// wire.Completion are accepted and ignored.
+// wire.CompletionRequest are accepted and ignored.
 func parsePrompt(meta intake.Meta, data []byte, maxTokens int) (*prompt, error) {
 	p := &prompt{meta: meta}
 	if err := json.Unmarshal(data, &p.body); err != nil {
--- a/internal/entry/query/read.go
+++ b/internal/entry/query/read.go
@@ -48,7 +48,7 @@
 	ctx         context.Context
 	meta        intake.Meta
 	serviceCall intake.Call
-	run         fault.Run // what is known of all dispatches so far
+	run         fault.Run // whether it ran, as far as is known from all dispatches
 	tried       []fleet.UpstreamID
 	attempt     int
 }
