--- a/api/plan.go
+++ b/api/plan.go
@@ -50,7 +50,7 @@
 	Base    Base           `json:"base"`
 	After   Config         `json:"after"` // configuration that the confirmation writes
 	Steps   []Step         `json:"steps,omitempty"`
-	Target  Target         `json:"target,omitempty"` // models that each usable engine has loaded at the end
+	Target  Target         `json:"target,omitempty"` // models that each available engine has loaded at the end
 	Floors  map[string]int `json:"floors,omitempty"` // by model: number of engines that serve at every step
 	Summary []string       `json:"summary"`          // what changes, one sentence an entry
 	Impact  []string       `json:"hurt,omitempty"`   // what callers lose, one sentence an entry
--- a/api/routed.go
+++ b/api/routed.go
@@ -16,7 +16,7 @@
 	ReadyPath string       `json:"ready_path"` // path of the balancer's readiness check
 	Store     RoutedStore  `json:"store"`
 	CPUShare  float64      `json:"cpu_share"` // CPU cores that this instance may use, a fraction allowed; 0 means 1
-	LinkMbps  float64      `json:"link_mbps"` // bandwidth of this machine's own link in Mbit/s; 0: unknown
+	LinkMbps  float64      `json:"link_mbps"` // bandwidth of this instance's own link in Mbit/s; 0: unknown
 	Retries   Retries      `json:"retries"`
 	Stop      RoutedStop   `json:"stop"`
 	Limits    RoutedLimits `json:"limits,omitempty"`
@@ -65,13 +65,14 @@
 const (
 	defaultRoutedMaxHeaderBytes = 64 << 10
 	defaultRoutedMaxBodyBytes   = 16 << 20
-	// The balancer checks readiness once a second and removes an instance after two failed checks.
+	// defaultRoutedBalancerLag covers a balancer that checks readiness once a second and removes an instance after two
+	// failed checks.
 	defaultRoutedBalancerLag = Duration(2500 * time.Millisecond)
 	defaultRoutedStopGrace   = Duration(8 * time.Second)
 	// defaultRetryRatio applies on platforms that specify no bound.
 	defaultRetryRatio = 0.2
-	// Callers reuse connections for up to four fifths of the idle time in the configuration. Closing one
-	// sooner would break off a request that is sent at that moment.
+	// defaultRoutedIdleTimeout is long because callers reuse connections for up to four fifths of the idle time in the
+	// configuration. Closing one sooner would break off a request that is sent at that moment.
 	defaultRoutedIdleTimeout = Duration(120 * time.Second)
 )
 
--- a/api/settings.go
+++ b/api/settings.go
@@ -181,18 +181,21 @@
 	}
 }
 
+// setDefaultInt sets *v to def if it is 0.
 func setDefaultInt(v *int, def int) {
 	if *v == 0 {
 		*v = def
 	}
 }
 
+// setDefaultFloat sets *v to point to def if it is nil.
 func setDefaultFloat(v **float64, def float64) {
 	if *v == nil {
 		*v = &def
 	}
 }
 
+// setDefaultDuration sets *v to def if it is 0.
 func setDefaultDuration(v *Duration, def Duration) {
 	if *v == 0 {
 		*v = def
@@ -262,6 +265,7 @@
 	return nil
 }
 
+// validateLimits returns a *FieldError for the first limit out of its range.
 func (s *Settings) validateLimits() error {
 	l := s.Limits
 	ints := []struct {
@@ -288,6 +292,7 @@
 	})
 }
 
+// validateIntervals returns a *FieldError for the first interval out of its range.
 func (s *Settings) validateIntervals() error {
 	i := s.Intervals
 	return s.validateDurations([]durationRange{
@@ -301,7 +306,7 @@
 }
 
 // maxHeartbeatInterval is the longest interval between heartbeats with which an upstream or failure domain that
-// is taken out of service stops receiving new work within the promised time (docs/design/membership.md).
+// is taken out of service stops receiving new work within the guaranteed time (docs/design/membership.md).
 const maxHeartbeatInterval = 500 * time.Millisecond
 
 // durationRange is a setting's value and the range in which it must be, bounds included.
--- a/api/target.go
+++ b/api/target.go
@@ -37,7 +37,7 @@
 	return json.Marshal(groups)
 }
 
-// UnmarshalJSON decodes groups.
+// UnmarshalJSON decodes groups into a target that is sorted by upstream.
 func (t *Target) UnmarshalJSON(data []byte) error {
 	var groups []targetGroup
 	if err := json.Unmarshal(data, &groups); err != nil {
