--- a/cmd/damaskctl/client.go
+++ b/cmd/damaskctl/client.go
@@ -21,7 +21,7 @@
 	defaultAddr    = "127.0.0.1:8081"
 	tokenFileEnv   = "DAMASKCTL_TOKEN_FILE"
 	callTimeout    = 15 * time.Second // longer than the instance's own limit, so that its answer arrives
-	maxAnswerBytes = 8 << 20
+	maxAnswerBytes = 8 << 20          // limits the memory for one answer
 )
 
 // environment holds the standard streams of a command.
@@ -31,8 +31,8 @@
 	err io.Writer
 }
 
-// envOf returns the environment among the arguments of a command's Execute, or the process's output streams if there
-// is none.
+// envOf returns the environment among the arguments of a command's Execute, or the process's output streams, without
+// standard input, if there is none.
 func envOf(args []any) environment {
 	if len(args) == 1 {
 		if e, ok := args[0].(environment); ok {
@@ -45,6 +45,7 @@
 // printer holds the flag that selects a command's output format.
 type printer struct{ output string }
 
+// setOutputFlag defines the flag -o.
 func (p *printer) setOutputFlag(f *flag.FlagSet) {
 	f.StringVar(&p.output, "o", "text", "output `format`: text or json")
 }
@@ -56,6 +57,7 @@
 	tokenFile string
 }
 
+// setFlags defines the flags -addr, -token-file and -o.
 func (t *target) setFlags(f *flag.FlagSet) {
 	f.StringVar(&t.addr, "addr", defaultAddr, "operators' `address` of any instance, IP and port")
 	f.StringVar(&t.tokenFile, "token-file", os.Getenv(tokenFileEnv), "`file` with the operators' token; default $"+tokenFileEnv)
--- a/cmd/damaskctl/confirm.go
+++ b/cmd/damaskctl/confirm.go
@@ -43,6 +43,7 @@
 	f.DurationVar(&cmd.wait, "wait", 0, "how long to wait until the configuration is in force on every instance")
 }
 
+// Execute confirms the plan and, with -wait, waits until its configuration is in force on every instance.
 func (cmd *confirmCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
 	if !cmd.checkUsage(e, f, 1) {
@@ -73,7 +74,7 @@
 			return reportError(e, err)
 		}
 		if s.InForce == nil {
-			fmt.Fprintln(e.err, "this instance does not know where the version is in force")
+			fmt.Fprintln(e.err, "this instance does not report where the version is in force")
 			return exitFailed
 		}
 		line := fmt.Sprintf("in force on %d of %d instances", s.InForce.Applied, s.InForce.Instances)
--- a/cmd/damaskctl/demo.go
+++ b/cmd/damaskctl/demo.go
@@ -48,6 +48,7 @@
 	f.StringVar(&cmd.logLevel, "log", "error", "log level of the instances")
 }
 
+// Execute validates the flags and runs the demo until it ends or a signal stops it.
 func (cmd *demoCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() > 0 || cmd.opts.Instances < 1 || cmd.opts.Requests < 1 || cmd.opts.Rate <= 0 || cmd.opts.TimeScale <= 0 {
 		fmt.Fprintln(os.Stderr, "damaskctl demo: entries, n, rate and scale must be above zero, and no arguments may follow")
--- a/cmd/damaskctl/drain.go
+++ b/cmd/damaskctl/drain.go
@@ -34,6 +34,7 @@
 	f.BoolVar(&cmd.force, "force", false, "accept a plan that leaves a model without an engine")
 }
 
+// Execute requests and prints a plan that takes the failure domain out, or with -store takes it out at once.
 func (cmd *drainCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
 	if !cmd.checkUsage(e, f, 1) {
--- a/cmd/damaskctl/explain.go
+++ b/cmd/damaskctl/explain.go
@@ -39,6 +39,7 @@
 	f.StringVar(&cmd.logFile, "log", "", "read logs from this file instead of asking an instance; \"-\" is standard input")
 }
 
+// Execute prints the lines about the request, from the instance or, with -log, from a file.
 func (cmd *explainCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
 	if !cmd.checkUsage(e, f, 1) {
--- a/cmd/damaskctl/losses.go
+++ b/cmd/damaskctl/losses.go
@@ -45,6 +45,8 @@
 	f.StringVar(&cmd.plotFile, "plot", "", "draw the causes over time, or the stages, into this `file`, as SVG")
 }
 
+// Execute prints the report on the logs and, with -plot, draws it. It lists the first answer lines that
+// could not be used on standard error.
 func (cmd *lossesCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
 	if !cmd.checkFlags(e, f) {
--- a/cmd/damaskctl/plan.go
+++ b/cmd/damaskctl/plan.go
@@ -36,6 +36,8 @@
 	f.BoolVar(&cmd.force, "force", false, "accept a plan that breaks a floor")
 }
 
+// Execute reads the intent file, and requests and prints a plan for it. An unreadable or invalid file is a
+// usage error.
 func (cmd *planCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
 	if !cmd.checkUsage(e, f, 0) {
@@ -64,6 +66,7 @@
 	return exitDone
 }
 
+// printPlan prints the plan: its effects, its steps with their cost, and how to confirm it while it is only proposed.
 func printPlan(w io.Writer, p api.Plan) {
 	fmt.Fprintf(w, "plan %s (%s), made from configuration version %d\n", p.ID, p.State, p.Base.ConfigVersion)
 	for _, line := range p.Summary {
--- a/cmd/damaskctl/restore.go
+++ b/cmd/damaskctl/restore.go
@@ -31,6 +31,7 @@
 	cmd.setStoreFlag(f)
 }
 
+// Execute requests and prints a plan that brings the failure domain back, or with -store brings it back at once.
 func (cmd *restoreCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
 	if !cmd.checkUsage(e, f, 1) {
--- a/cmd/damaskctl/status.go
+++ b/cmd/damaskctl/status.go
@@ -37,6 +37,7 @@
 	cmd.setStoreFlag(f)
 }
 
+// Execute prints the status that the instance returns or, with -store, the one from the metadata store.
 func (cmd *statusCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
 	if !cmd.checkUsage(e, f, 0) {
@@ -53,6 +54,7 @@
 	return exitDone
 }
 
+// printStatus prints the status that an instance returned, one line per subject. Lines without a value are left out.
 func printStatus(w io.Writer, s api.Status) {
 	fmt.Fprintf(w, "instance       %s\n", s.Instance)
 	fmt.Fprintf(w, "configuration  version %d", s.ConfigVersion)
--- a/cmd/damaskctl/stop.go
+++ b/cmd/damaskctl/stop.go
@@ -27,6 +27,7 @@
 
 func (cmd *stopCommand) SetFlags(f *flag.FlagSet) { cmd.setFlags(f) }
 
+// Execute stops the plan and prints its state.
 func (cmd *stopCommand) Execute(_ context.Context, f *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
 	if !cmd.checkUsage(e, f, 1) {
--- a/cmd/damaskctl/store.go
+++ b/cmd/damaskctl/store.go
@@ -26,13 +26,14 @@
 const (
 	// storeTimeout limits all calls of a command to the metadata store together; each of them may take 1 s.
 	storeTimeout      = 5 * time.Second
-	storePollInterval = 5 * time.Millisecond
+	storePollInterval = 5 * time.Millisecond // between two checks of the local copy; they make no calls
 )
 
 // storeTarget holds the flag that selects the metadata store of a fleet that forwards routed requests. Operators of such
 // a fleet read and write the store directly; commands call no instance.
 type storeTarget struct{ storeAddr string }
 
+// setStoreFlag defines the flag -store.
 func (t *storeTarget) setStoreFlag(f *flag.FlagSet) {
 	f.StringVar(&t.storeAddr, "store", "", "`address` of the metadata store, IP and port, instead of an instance's")
 }
@@ -128,6 +129,8 @@
 	return s
 }
 
+// printFleetStatus prints the status read from the metadata store. The first instance is the dispatcher if it is
+// reachable.
 func printFleetStatus(w io.Writer, s api.FleetStatus) {
 	fmt.Fprintf(w, "configuration  version %d at revision %d\n", s.ConfigVersion, s.ConfigRevision)
 	fmt.Fprintf(w, "store          revision %d\n", s.FleetRevision)
--- a/cmd/damaskctl/version.go
+++ b/cmd/damaskctl/version.go
@@ -18,6 +18,7 @@
 
 func (*versionCommand) SetFlags(*flag.FlagSet) {}
 
+// Execute prints the version, the VCS revision and the Go version from the build information.
 func (*versionCommand) Execute(_ context.Context, _ *flag.FlagSet, args ...any) subcommands.ExitStatus {
 	e := envOf(args)
 	info, ok := debug.ReadBuildInfo()
