--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -17,11 +17,12 @@
 )
 
 const (
-	// HeartbeatTimeout is the timeout of one heartbeat including its dial. It is shorter than the time for which
-	// decide/member trusts an instance without contact. A silent connection therefore costs one exchange and not the
-	// trust.
+	// HeartbeatTimeout is the timeout of one heartbeat including its dial. It is far shorter than
+	// member.DefaultTrustDuration, for which an instance may act on its state after an exchange. A heartbeat that fails
+	// on a silent connection therefore leaves time for another one.
 	HeartbeatTimeout = 400 * time.Millisecond
-	// PullTimeout is the timeout of one pull of a configuration including its dial.
+	// PullTimeout is the timeout of one pull of a configuration including its dial. It is longer than HeartbeatTimeout
+	// because a configuration is larger than a digest.
 	PullTimeout = time.Second
 	// maxConnAge is the age at which a kept connection is replaced. Network devices between the peers drop the state
 	// of old connections first.
@@ -167,6 +168,7 @@
 	}
 }
 
+// isClosed reports whether the connection is closed, without blocking.
 func isClosed(conn *drpcconn.Conn) bool {
 	select {
 	case <-conn.Closed():
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// limitListener closes connections over maxConns at once. In the backlog they would look like silent connections to
-// the peer that opened them.
+// limitListener immediately closes each connection above maxConns. If it were left in the backlog, it would look like a
+// silent connection to the peer that opened it.
 type limitListener struct {
 	net.Listener
 	openConns atomic.Int64
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -31,6 +31,7 @@
 	config   relay.Config
 }
 
+// Heartbeat implements peer.Handler.
 func (h *fakeHandler) Heartbeat(d relay.Digest) relay.Digest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -143,7 +144,7 @@
 	return l.Addr().String()
 }
 
-// copyBytes copies one direction of a connection opened in that epoch.
+// copyBytes copies one direction of a connection opened in that epoch. It discards the bytes once mute has been called.
 func (p *mutingProxy) copyBytes(to, from net.Conn, epoch int64) {
 	defer func() { _ = to.Close() }()
 	buf := make([]byte, 4096)
@@ -167,6 +168,7 @@
 	bytes atomic.Int64
 }
 
+// Accept implements net.Listener.
 func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -175,17 +177,20 @@
 	return &countingConn{Conn: c, bytes: &l.bytes}, nil
 }
 
+// countingConn adds the number of bytes that it reads and writes to the count of its listener.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
+// Read implements net.Conn.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c *countingConn) Write(b []byte) (int, error) {
 	c.bytes.Add(int64(len(b)))
 	return c.Conn.Write(b)
