--- a/internal/warm/probe.go
+++ b/internal/warm/probe.go
@@ -16,8 +16,8 @@
 }
 
 const (
-	probeTimeout        = time.Second
-	maxConcurrentProbes = 16
+	probeTimeout        = time.Second      // of one probe including its connection
+	maxConcurrentProbes = 16               // limits the connections that one round of probes opens at once
 	probationTime       = 10 * time.Second // time in state Cold after which an answered probe ends it
 )
 
--- a/internal/warm/warm_test.go
+++ b/internal/warm/warm_test.go
@@ -35,6 +35,7 @@
 	return &fleet.Upstream{ID: fleet.UpstreamID(id), Addr: id, Kind: fleet.Engine}
 }
 
+// newTestLimits returns the Limits of instance self with these upstreams in its view. Its slots are not settled.
 func newTestLimits(self string, ups ...*fleet.Upstream) *testLimits {
 	l := &testLimits{}
 	l.setView(1, ups...)
