--- a/internal/losses/cause.go
+++ b/internal/losses/cause.go
@@ -20,7 +20,7 @@
 	LateResume        Cause = "paused_resume"       // the stream was interrupted and resumed elsewhere too late
 	RefusedTooLate    Cause = "refused_too_late"    // no upstream available within the caller's deadline
 	RefusedNoSlack    Cause = "refused_no_slack"    // needs more than one engine's memory, and the fleet was busy
-	RefusedTooLarge   Cause = "refused_too_large"   // needs more memory than all engines that could hold it together have
+	RefusedTooLarge   Cause = "refused_too_large"   // needs more memory than the largest group of engines has
 	RefusedQueueFull  Cause = "refused_queue_full"  // the queue was full
 	RefusedLimit      Cause = "refused_limit"       // every upstream had reached a rate limit of its own
 	RefusedNoUpstream Cause = "refused_no_upstream" // no upstream of the service could take work
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -75,7 +75,7 @@
 	dispatched map[requestKey]firstDispatch // requests that are dispatched but not answered yet
 	classes    map[string]*Class
 	windows    map[time.Time]*Window
-	stages     stageTimes
+	stages     stageHistograms
 }
 
 // maxProblems is the maximum number of unusable lines that a report describes.
@@ -93,7 +93,7 @@
 func Summarize(lines []explain.Line, windowLength time.Duration) *Report {
 	r := summarizer{
 		report: &Report{WindowLength: windowLength, Lines: len(lines)}, dispatched: map[requestKey]firstDispatch{},
-		classes: map[string]*Class{}, windows: map[time.Time]*Window{}, stages: stageTimes{},
+		classes: map[string]*Class{}, windows: map[time.Time]*Window{}, stages: stageHistograms{},
 	}
 	for _, l := range lines {
 		r.processLine(l)
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -15,6 +15,7 @@
 
 const windowLength = 2 * time.Second
 
+// summarize returns the report of the raw logs and the number of lines that are not log lines of an instance.
 func summarize(t *testing.T, raw []byte) (*losses.Report, int) {
 	t.Helper()
 	lines, skipped, err := explain.ReadLines(bytes.NewReader(raw))
@@ -24,6 +25,7 @@
 	return losses.Summarize(lines, windowLength), skipped
 }
 
+// readTestLog returns the logs in testdata, which contain an example of each outcome.
 func readTestLog(t *testing.T) []byte {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/instances.log")
@@ -66,7 +68,7 @@
 }
 
 // Logs may be truncated anywhere and contain corrupted bytes. The summary must still complete, and must not count more
-// lines than in the whole logs.
+// lines than the complete logs have.
 func TestTruncatedAndCorruptedLogs(t *testing.T) {
 	is := is.New(t)
 	raw := readTestLog(t)
--- a/internal/losses/reasons_test.go
+++ b/internal/losses/reasons_test.go
@@ -18,7 +18,7 @@
 			answer["fault"] = "no_upstream"
 		}
 		if c, counted := refusalCause(answer); !counted || c == Other {
-			t.Errorf("%s: cause %q, owed %v", reason, c, counted)
+			t.Errorf("%s: cause %q, counted %v", reason, c, counted)
 		}
 	}
 }
--- a/internal/losses/stages.go
+++ b/internal/losses/stages.go
@@ -27,7 +27,7 @@
 // Stages lists all stages in that order.
 var Stages = []Stage{StageQueued, StageFirstEvent, StageStreaming}
 
-// maxStageTime is the longest time that is recorded; no caller waits that long. Longer times count as maxStageTime.
+// maxStageTime is the upper bound of the histograms; no caller waits that long. Longer times count as maxStageTime.
 const maxStageTime = 10 * time.Minute
 
 // ticksPerHalfDistance is the number of points in a drawn distribution each time that the distance to 100% of the
@@ -56,12 +56,12 @@
 	stage Stage
 }
 
-// stageTimes holds a histogram of stage times, in ms, for each class and stage.
-type stageTimes map[stageKey]*hdrhistogram.Histogram
+// stageHistograms holds a histogram of stage times, in ms, for each class and stage.
+type stageHistograms map[stageKey]*hdrhistogram.Histogram
 
 // recordAnswer records the stages of a completely answered request, which was queued for queueTime. It ignores other
 // answers.
-func (t stageTimes) recordAnswer(answer fields, queueTime time.Duration) {
+func (t stageHistograms) recordAnswer(answer fields, queueTime time.Duration) {
 	class := answer["class"]
 	switch answer["reason"] {
 	case "served":
@@ -75,7 +75,7 @@
 }
 
 // record adds one time to the histogram of a class and stage.
-func (t stageTimes) record(class string, stage Stage, elapsed time.Duration) {
+func (t stageHistograms) record(class string, stage Stage, elapsed time.Duration) {
 	h := t[stageKey{class, stage}]
 	if h == nil {
 		h = hdrhistogram.New(1, maxStageTime.Milliseconds(), 3)
@@ -87,7 +87,7 @@
 }
 
 // report returns the distributions, sorted by class and stage.
-func (t stageTimes) report() []StageTimes {
+func (t stageHistograms) report() []StageTimes {
 	var all []StageTimes
 	for key, h := range t {
 		times := StageTimes{
