--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -30,6 +30,7 @@
 
 func domainName(i, n int) string { return fmt.Sprintf("domain-%02d", i%n) }
 
+// instanceList returns an instance list of all entry instances and engines, with entries of usual length.
 func (s fleetSize) instanceList(version uint64) platform.InstanceList {
 	l := platform.InstanceList{Version: version}
 	for i := range s.instanceCount {
@@ -49,6 +50,7 @@
 	return l
 }
 
+// config returns a configuration with all models and workspaces.
 func (s fleetSize) config() api.Config {
 	var c api.Config
 	for i := range s.models {
@@ -65,6 +67,7 @@
 	return c
 }
 
+// fleetInstances returns the entry instances as the membership code uses them.
 func (s fleetSize) fleetInstances() []fleet.Instance {
 	all := make([]fleet.Instance, s.instanceCount)
 	for i := range all {
@@ -89,6 +92,7 @@
 	return k
 }
 
+// marshal returns v as JSON and fails the test on an error.
 func marshal(tb testing.TB, v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -203,7 +207,7 @@
 
 // The allocations of one second of membership decisions must not exceed one bound for all fleet sizes.
 func TestMembershipAllocations(t *testing.T) {
-	const bound = 45
+	const bound = 45 // allocations
 	for _, s := range fleetSizes {
 		n := testing.AllocsPerRun(100, s.newMembershipSecond())
 		t.Logf("%s: %.0f allocations a second", s, n)
--- a/internal/capacity/poll_test.go
+++ b/internal/capacity/poll_test.go
@@ -35,6 +35,7 @@
 	return c
 }
 
+// serve accepts connections and forwards each to target, until the listener is closed.
 func (c *countingProxy) serve() {
 	for {
 		in, err := c.Accept()
@@ -51,6 +52,7 @@
 	}
 }
 
+// copyBytes forwards and counts one direction of a connection until it ends.
 func (c *countingProxy) copyBytes(to, from net.Conn) {
 	defer func() { _ = to.Close() }()
 	_, _ = io.Copy(to, io.TeeReader(from, c))
@@ -62,6 +64,7 @@
 	return len(p), nil
 }
 
+// startEngine starts a stand-in engine, which stays idle until the test ends.
 func startEngine(tb testing.TB) *engine.Engine {
 	e, err := engine.Start("127.0.0.1:0", engine.Config{ID: "engine-00000", TimeScale: 1})
 	if err != nil {
