--- a/internal/operate/command/command.go
+++ b/internal/operate/command/command.go
@@ -108,6 +108,7 @@
 	return err
 }
 
+// planID returns the plan's id from the path.
 func planID(rc *fasthttp.RequestCtx) string {
 	id, _ := rc.UserValue("id").(string)
 	return id
@@ -143,6 +144,7 @@
 	return o.Version, decodeObject(o, out)
 }
 
+// decodeObject decodes an object's JSON value into out. Its error names the object.
 func decodeObject(o wire.Object, out any) error {
 	if err := json.Unmarshal(o.Value, out); err != nil {
 		return fmt.Errorf("decode object %s/%s: %w", o.Kind, o.Name, err)
--- a/internal/operate/command/confirm.go
+++ b/internal/operate/command/confirm.go
@@ -137,6 +137,7 @@
 // maxShownSteps is the largest number of steps that a conflict names.
 const maxShownSteps = 6
 
+// describeStep describes a step as a conflict names it: action, model, version, upstream and stage.
 func describeStep(s api.Step) string {
 	return fmt.Sprintf("%s %s@%s on %s in stage %d", s.Kind, s.Model, s.Version, s.Upstream, s.Stage)
 }
--- a/internal/operate/cost_test.go
+++ b/internal/operate/cost_test.go
@@ -18,16 +18,19 @@
 	reads, writes int
 }
 
+// Get counts a read.
 func (c *countingStore) Get(ctx context.Context, key objects.Key) (wire.Object, error) {
 	c.reads++
 	return c.Store.Get(ctx, key)
 }
 
+// Put counts a write.
 func (c *countingStore) Put(ctx context.Context, w objects.Write) (uint64, error) {
 	c.writes++
 	return c.Store.Put(ctx, w)
 }
 
+// Delete counts a write.
 func (c *countingStore) Delete(ctx context.Context, key objects.Key, ifVersion uint64) error {
 	c.writes++
 	return c.Store.Delete(ctx, key, ifVersion)
--- a/internal/operate/lost_test.go
+++ b/internal/operate/lost_test.go
@@ -26,7 +26,7 @@
 	is.Equal(c.PlanID, p.ID)
 }
 
-// lostAnswerStore performs one write and returns an error for it.
+// lostAnswerStore is a store that loses the response of one write: the write takes effect, but Put returns an error.
 type lostAnswerStore struct {
 	*memory.Store
 	armed       atomic.Bool // the next write's response is lost
@@ -34,6 +34,7 @@
 	afterWrite  func()      // runs after the write, before its response is lost
 }
 
+// Put performs the write. If the store is armed, it returns an error nevertheless, and the store is no longer armed.
 func (l *lostAnswerStore) Put(ctx context.Context, w objects.Write) (uint64, error) {
 	if !l.armed.CompareAndSwap(true, false) {
 		return l.Store.Put(ctx, w)
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -121,6 +121,7 @@
 	s.writeJSON(ctx, e.Kind.Rule().Status, ErrorBody{Error: e.Kind.String(), Run: e.Run.String(), Detail: e.Detail})
 }
 
+// writeJSON writes out as JSON with the status. If out can't be encoded, the response has status 500 and no body.
 func (s *server) writeJSON(ctx *fasthttp.RequestCtx, status int, out any) {
 	body, err := json.Marshal(out)
 	if err != nil {
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -38,6 +38,7 @@
 
 const token = "s3cret-token"
 
+// newTestServer serves the operators' API over store until the test ends. Its view holds the fleet of newView.
 func newTestServer(t *testing.T, store objects.Store) *testServer {
 	s := &testServer{t: t, store: store, prober: &fakeProber{loaded: map[string]string{}}}
 	s.view.Store(newView(api.Config{}, 0))
@@ -68,6 +69,7 @@
 	busy   int64             // memory in use, of 100
 }
 
+// State implements command.Prober.
 func (p *fakeProber) State(_ context.Context, addr string) (upstream.EngineState, error) {
 	version := p.loaded[addr]
 	switch version {
@@ -79,6 +81,7 @@
 	return upstream.EngineState{Loaded: []upstream.LoadedModel{{Model: "m", Version: version}}}, nil
 }
 
+// Load implements command.Prober.
 func (p *fakeProber) Load(context.Context, string) (upstream.LoadReport, error) {
 	return upstream.LoadReport{MemoryUsed: p.busy, MemoryTotal: 100}, nil
 }
@@ -102,6 +105,7 @@
 	return s.callWithAuth("Bearer "+token, method, path, body, out)
 }
 
+// callWithAuth is call with the given Authorization header.
 func (s *testServer) callWithAuth(auth, method, path string, body, out any) int {
 	s.t.Helper()
 	is := is.New(s.t)
--- a/internal/operate/query/query.go
+++ b/internal/operate/query/query.go
@@ -22,7 +22,8 @@
 	statusTimeout = 500 * time.Millisecond // shorter, since a status is useful without the store too
 )
 
-const kindPlan = "plans" // as in package command
+// kindPlan is the kind of the objects that hold plans; it equals command.KindPlan.
+const kindPlan = "plans"
 
 // Service handles the calls that only read.
 type Service struct {
@@ -75,6 +76,7 @@
 	return nil, fault.New(fault.NotFound, "this instance keeps no decision of request %q; ask the instance that took it", id)
 }
 
+// pathID returns the id of a plan or a request from the path.
 func pathID(rc *fasthttp.RequestCtx) string {
 	id, _ := rc.UserValue("id").(string)
 	return id
