--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -67,12 +67,14 @@
 	return c.Invoke(use)
 }
 
+// newPlatform returns the client of the platform's object API, instance list and weight store.
 func newPlatform(s api.Settings) *platformclient.Client {
 	return platformclient.New(platformclient.Addresses{
 		Objects: s.Platform.Objects, Instances: s.Platform.Instances, Weights: s.Platform.Weights,
 	})
 }
 
+// newKeeper returns a keeper whose view is empty until the follower sets a configuration and an instance list.
 func newKeeper() *keeper.Keeper { return keeper.New(nil) }
 
 // newRouter returns the router. It dispatches only while the follower has a usable, trusted view of the fleet.
@@ -99,6 +101,7 @@
 	}
 }
 
+// newQueries returns the handler of callers' requests that change nothing: prompts and reads of plain services.
 func newQueries(s api.Settings, r *route.Router, c *upstream.Client, rt *again.Retrier, l *warm.Limits,
 	rec *explain.Recorder, m *metrics.Registry, g *gate.Gate, log hclog.Logger, id idFunc) *query.Handler {
 	return query.New(query.Deps{
@@ -108,6 +111,7 @@
 	})
 }
 
+// newCommands returns the handler of callers' requests that change something, such as a booking.
 func newCommands(s api.Settings, r *route.Router, c *upstream.Client, cl command.Claims, rt *again.Retrier,
 	m *metrics.Registry, g *gate.Gate, log hclog.Logger, id idFunc) *command.Handler {
 	return command.New(command.Deps{
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -18,13 +18,13 @@
 	"github.com/damaskshelf/damaskshelf/internal/standin/engine"
 )
 
-// hangGuard limits waits that normally end within milliseconds.
-const hangGuard = 20 * time.Second
+// testTimeout limits waits that normally end within milliseconds.
+const testTimeout = 20 * time.Second
 
-// eventually waits until cond returns true, and fails the test after hangGuard.
+// eventually waits until cond returns true, and fails the test after testTimeout.
 func eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(hangGuard); !cond(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !cond(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("timed out waiting until " + what)
 		}
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -32,12 +32,13 @@
 	}, log)
 }
 
+// newStoredClaims returns the claims that the handler of commands uses, which are kept in the store.
 func newStoredClaims(k *claim.Keeper, rec *explain.Recorder) command.Claims {
 	return command.NewStoredClaims(k, rec)
 }
 
 // newClaimSweep returns a function that runs until its context ends. Every sweepInterval it deletes the expired claim
-// shards that this instance owns, which no request can ask for any more.
+// shards that this instance owns, which no request can refer to any more.
 func newClaimSweep(s api.Settings, claims *claim.Keeper, k *keeper.Keeper, log hclog.Logger) func(context.Context) {
 	ownsShard := func(shard string) bool {
 		var ids []string
--- a/internal/node/domains_test.go
+++ b/internal/node/domains_test.go
@@ -89,7 +89,7 @@
 	appliedAt := time.Now()
 	version, err := f.Apply(api.Change{Drain: domain})
 	is.NoErr(err)
-	is.NoErr(f.WaitInForce(version, hangGuard))
+	is.NoErr(f.WaitInForce(version, testTimeout))
 	drainDelay := time.Since(appliedAt)
 	runsAtDrain := runCount(drained)
 	answersBefore := l.answers.Load()
@@ -103,7 +103,7 @@
 	runsBeforeRestore := runCount(drained)
 	version, err = f.Apply(api.Change{Restore: domain})
 	is.NoErr(err)
-	is.NoErr(f.WaitInForce(version, hangGuard))
+	is.NoErr(f.WaitInForce(version, testTimeout))
 	eventually(t, "the domain's engine has work again and is warm", func() bool { return runCount(drained) > runsBeforeRestore+20 && !drained.Counters().Cold })
 	is.Equal(len(l.stopAndWait()), 0) // every answer was complete
 	c := drained.Counters()
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -26,6 +26,7 @@
 	done   chan struct{}      // closed when the execution has stopped
 }
 
+// newExecutor returns an executor of plans that is not running yet. Its incarnation is unique to this process.
 func newExecutor(s api.Settings, cfg execute.Config, store objects.Store, weights *platformclient.Client, c *upstream.Client,
 	k *keeper.Keeper, f *follow.Follower, observed *execute.ObservedModels, rec *explain.Recorder, log hclog.Logger, id idFunc) *executor {
 	startTime := time.Now()
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -32,6 +32,7 @@
 	buf bytes.Buffer // guarded by mu
 }
 
+// Write implements io.Writer.
 func (l *decisionLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,6 +44,7 @@
 	return len(p), nil
 }
 
+// String returns the lines that were kept.
 func (l *decisionLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -30,10 +30,10 @@
 }
 
 // startWithSettings is startFleet with changes to each instance's settings.
-func startWithSettings(t *testing.T, instances int, tune func(*api.Settings)) *local.Fleet {
+func startWithSettings(t *testing.T, instances int, editSettings func(*api.Settings)) *local.Fleet {
 	t.Helper()
 	f, err := local.Start(local.Config{
-		Instances: instances, EditSettings: tune,
+		Instances: instances, EditSettings: editSettings,
 		Intent: api.Intent{Models: []api.Model{{Name: model, Version: cluster.ModelVersion, Replicas: 3, Floor: 1}}},
 		Cluster: cluster.Config{
 			Domains: []string{"north", "mid", "south"}, Region: "plains", EnginesPerDomain: 1,
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -24,7 +24,7 @@
 
 // Limits of the operators' listener: bytes, connections and times.
 const (
-	operatorsMaxBodyBytes   = 1 << 20
+	operatorsMaxBodyBytes   = 1 << 20 // as much as the object API accepts for one value
 	operatorsMaxHeaderBytes = 16 << 10
 	operatorsMaxConns       = 64
 	operatorsReadTimeout    = 10 * time.Second
--- a/internal/node/warm.go
+++ b/internal/node/warm.go
@@ -14,7 +14,8 @@
 	"github.com/damaskshelf/damaskshelf/internal/warm"
 )
 
-// warmUpInterval is the time between two warm-up prompts to one engine.
+// warmUpInterval is the time between two rounds of warm-up prompts. A round skips an engine whose last prompt
+// still runs.
 const warmUpInterval = 100 * time.Millisecond
 
 // newLimits returns the limits of what this instance sends to cold or unhealthy upstreams.
@@ -33,7 +34,7 @@
 	limits *warm.Limits
 }
 
-// Instances implements objects.Instances.
+// Instances implements objects.InstanceLister.
 func (t listObserver) Instances(ctx context.Context) (wire.InstanceList, error) {
 	start := time.Now()
 	l, err := t.list.Instances(ctx)
