--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -17,6 +17,7 @@
 	pool     *pick.Pool
 }
 
+// newDirect returns a direct policy for an instance. It considers every engine of the fleet.
 func newDirect(inst *instance, pipeline pick.Pipeline) *direct {
 	return &direct{instance: inst, pipeline: pipeline, pool: pick.NewPool(inst.views, nil, inst.sim.model().KVCacheTokens), profile: pick.Profile{RandomChoices: len(inst.views)}}
 }
@@ -51,6 +52,7 @@
 	}
 }
 
+// submit implements policy. It dispatches the request, or starts its reservations if it needs a group of engines.
 func (d *direct) submit(r *request) {
 	if r.class == cost.Group {
 		d.reserveGroup(r)
@@ -89,6 +91,7 @@
 	return rest
 }
 
+// reservationResult implements policy. After a refusal it tries other reservations, half of reserveTimeout later.
 func (d *direct) reservationResult(r *request, granted bool) {
 	if granted {
 		r.dispatchGroup()
--- a/internal/bench/bounds_test.go
+++ b/internal/bench/bounds_test.go
@@ -16,14 +16,14 @@
 
 // The runs are short and repeat exactly. The tables of docs/MEASURES.md come from longer ones.
 const (
-	ciSpan    = 4 * time.Minute
-	ciEntries = 6
-	ciSeed    = 1
+	ciSpan      = 4 * time.Minute
+	ciInstances = 6
+	ciSeed      = 1
 )
 
 // ciConfig returns the configuration of one of the runs.
 func ciConfig(d *Deployment, load float64, policy string) Config {
-	return Config{Deployment: d, Instances: ciEntries, Load: load, Span: ciSpan, Seed: ciSeed, Policy: policy}
+	return Config{Deployment: d, Instances: ciInstances, Load: load, Span: ciSpan, Seed: ciSeed, Policy: policy}
 }
 
 // Long prompts must neither slow down short and medium ones by more than a bound nor starve.
--- a/internal/bench/instance.go
+++ b/internal/bench/instance.go
@@ -83,6 +83,7 @@
 	submitted int                         // number of requests, from which their ids come
 }
 
+// newGated returns a gated policy for an instance. It sets the number of lanes, which is updated every resizeInterval.
 func newGated(inst *instance, profile pick.Profile, pipeline *pick.Pipeline) *gated {
 	g := &gated{instance: inst, profile: profile, requests: map[*admit.Request]*request{}}
 	g.gate = admit.NewGate(&g.profile, pipeline, queueLength)
@@ -140,6 +141,8 @@
 	return &admit.View{Pool: g.pool, Instances: g.instance.sim.config.Instances, Now: g.instance.sim.clock.Now(), Rand: g.instance.rng}
 }
 
+// submit implements policy. The gate dispatches, queues or refuses the request, or reserves memory for it. If the queue
+// is full, the gate may instead queue it and refuse another request.
 func (g *gated) submit(r *request) {
 	g.submitted++
 	r.admission = r.newAdmission(g.submitted*100 + g.instance.number)
@@ -172,6 +175,8 @@
 	}
 }
 
+// reservationResult implements policy. A request whose reservation is granted is dispatched. After a refusal the gate
+// decides again.
 func (g *gated) reservationResult(r *request, granted bool) {
 	plan := pick.Plan{Parts: r.parts}
 	d := g.gate.ReservationResult(r.admission, &plan, granted, g.view())
@@ -190,12 +195,14 @@
 	r.dispatchGroup()
 }
 
+// requestEnded implements policy. It removes the request from the gate, which may free capacity for queued requests.
 func (g *gated) requestEnded(r *request) {
 	g.gate.Cancel(r.admission.ID)
 	delete(g.requests, r.admission)
 	g.processQueues()
 }
 
+// processQueues implements policy.
 func (g *gated) processQueues() {
 	if g.gate.QueueLength(cost.Short)+g.gate.QueueLength(cost.Medium)+g.gate.QueueLength(cost.Long) == 0 {
 		return
--- a/internal/bench/passes/passes.go
+++ b/internal/bench/passes/passes.go
@@ -1,6 +1,6 @@
 // Package passes simulates engines that work in passes, in virtual time, under a mix of prompts that changes every ten
-// seconds. It compares policies that choose engines with instances that do not share their state, and with an upper
-// bound that no policy reaches. A simulation takes seconds. It can include an outage of all instances, of part of the
+// seconds. It compares policies that choose engines with instances that do not share their state, and with an
+// approximate upper bound. A simulation takes seconds. It can include an outage of all instances, of part of the
 // engines, and a surge of one workspace's requests.
 package passes
 
--- a/internal/bench/passes/result.go
+++ b/internal/bench/passes/result.go
@@ -132,6 +132,7 @@
 	return meanResult(seeds, func(seed uint64) Result { return New(w, newPolicy, scenario).Run(seed) })
 }
 
+// meanResult calls run with the seeds from 1 to seeds and returns the mean of each figure.
 func meanResult(seeds int, run func(seed uint64) Result) Result {
 	sum := Result{InTime: map[string]float64{}, LargestAnswered: map[string]float64{}, LargestEarned: map[string]float64{}}
 	n := float64(seeds)
--- a/internal/bench/passes/workload.go
+++ b/internal/bench/passes/workload.go
@@ -199,5 +199,5 @@
 const (
 	// instanceCount is the number of instances that serve the callers.
 	instanceCount = 6
-	domain        = "a"
+	domain        = "a" // failure domain of all engines and instances
 )
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -83,6 +83,7 @@
 	return res
 }
 
+// quantile returns the q-quantile of sorted values, or 0 if there are none.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -163,6 +163,7 @@
 	return s.result(end)
 }
 
+// newSim returns a simulation with idle engines and schedules their reports, which are spread over reportInterval.
 func newSim(c Config) *sim {
 	s := &sim{config: c, byID: map[fleet.UpstreamID]*engine{}}
 	for i := range c.Deployment.Engines {
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -87,8 +87,8 @@
 // hashMultiplier spreads consecutive block numbers over the range of hashes.
 const hashMultiplier = 0x9e3779b97f4a7c15
 
-func newWorkload(d *Deployment, model EngineModel, entries int, seed uint64) *workload {
-	return &workload{d, model, entries, rand.New(rand.NewPCG(seed, 1)), 1, map[uint64]bool{}}
+func newWorkload(d *Deployment, model EngineModel, instances int, seed uint64) *workload {
+	return &workload{d, model, instances, rand.New(rand.NewPCG(seed, 1)), 1, map[uint64]bool{}}
 }
 
 // generate returns the arrivals of a run. Load 1.0 is the work that keeps all engines busy for the whole span if each
