--- a/cmd/damaskbench/flip.go
+++ b/cmd/damaskbench/flip.go
@@ -15,7 +15,7 @@
 	"github.com/damaskshelf/damaskshelf/internal/decide/dispatch"
 )
 
-// Faults of the simulations, which last some tens of seconds.
+// Faults that the command simulates. They lie within the default length of a simulation, 40 s of virtual time.
 var (
 	allInstancesStop = passes.Fault{StartMs: 34_000, DurationMs: 1000}
 	enginesLost      = passes.Fault{StartMs: 12_000, DurationMs: 12_000, EngineShare: 0.33}
@@ -48,6 +48,7 @@
 	f.Float64Var(&c.seconds, "seconds", 40, "length of a simulation in seconds of virtual time")
 }
 
+// Execute prints one table with the rows of all workloads, loads, policies and faults.
 func (c *flipCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	var loads []float64
 	for _, word := range strings.Split(c.loads, ",") {
--- a/cmd/damaskbench/options.go
+++ b/cmd/damaskbench/options.go
@@ -21,6 +21,7 @@
 	workers     int
 }
 
+// setFlags defines the flags of all options.
 func (o *options) setFlags(f *flag.FlagSet) {
 	f.StringVar(&o.deployments, "deployments", "coteau,asrq", "deployments")
 	f.StringVar(&o.instances, "entries", "6,9", "numbers of entry instances")
--- a/cmd/damaskbench/outage.go
+++ b/cmd/damaskbench/outage.go
@@ -32,6 +32,7 @@
 	outageSpan  = 22 * time.Minute // leaves time for the longest timeout after the last window
 )
 
+// Execute prints the tables of the phases before, during and after the outage.
 func (o *outageCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if err := o.run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/damaskbench/plot.go
+++ b/cmd/damaskbench/plot.go
@@ -33,6 +33,7 @@
 	f.StringVar(&p.out, "out", "docs/plots", "directory of the plots")
 }
 
+// Execute runs the selected configurations and saves their plots.
 func (p *plotCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	points, err := p.runAll()
 	if err != nil {
--- a/cmd/damaskbench/table.go
+++ b/cmd/damaskbench/table.go
@@ -25,6 +25,7 @@
 
 func (t *tableCommand) SetFlags(f *flag.FlagSet) { t.setFlags(f) }
 
+// Execute runs the selected configurations and prints their tables.
 func (t *tableCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	points, err := t.runAll()
 	if err != nil {
@@ -35,6 +36,7 @@
 	return subcommands.ExitSuccess
 }
 
+// tableHeader is the header of a table in Markdown.
 const tableHeader = `| load | policy | short p50/p95/p99 | medium | long | group | all over 100k p95 | slowdown of short, medium p95 | refused, late % | goodput k tokens/s (answers/s) |
 |---|---|---|---|---|---|---|---|---|---|
 `
--- a/cmd/damaskbench/vary.go
+++ b/cmd/damaskbench/vary.go
@@ -54,6 +54,7 @@
 	f.StringVar(&v.values, "values", "2,4,8", "values of the parameter, comma-separated")
 }
 
+// Execute prints the tables with a row for each value of the parameter.
 func (v *varyCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if err := v.run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
