--- a/internal/demo/check.go
+++ b/internal/demo/check.go
@@ -14,8 +14,8 @@
 	result  caller.Result
 }
 
-// violation describes how the answer to the request is wrong, or returns nothing if it is correct. An explicit refusal
-// or failure is correct. Answers of the plain service are checked by commandViolations.
+// violation describes how the answer to the request is wrong, or returns "" if it is correct. An explicit refusal or
+// failure is correct. Answers of the plain service are checked by commandViolations.
 func (s sample) violation() string {
 	switch {
 	case s.result.Err != nil:
@@ -31,7 +31,8 @@
 }
 
 // commandViolations compares the answers to callers of the plain service with the runs there, which are counted by
-// request id. It returns one sorted line for each request that ran more than once or whose answer is untrue.
+// request id. It returns one line, sorted, for each request that ran more than once or whose answer misstates whether it
+// ran.
 func commandViolations(samples []sample, runs map[string]int) []string {
 	var violations []string
 	for _, s := range samples {
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -20,7 +20,7 @@
 	{"1k-4k", 4_000}, {"4k-32k", 32_000}, {"32k-100k", 100_000}, {"over 100k", maxPromptTokens + 1},
 }
 
-// maxFirstTokenMs limits the recorded first-token times, in milliseconds.
+// maxFirstTokenMs limits the recorded first-token times, in milliseconds. It is ten times the timeout of a prompt.
 const maxFirstTokenMs = 600_000
 
 // row holds the results of one length class in one phase.
--- a/internal/demo/workload.go
+++ b/internal/demo/workload.go
@@ -89,7 +89,7 @@
 	return int(low * math.Pow(high/low, u*u))
 }
 
-// prompt returns a prompt of n tokens. Prompts of one workload share prefixes, as questions about the same log do.
+// prompt returns a prompt of n tokens about one of eight logs. Prompts about the same log share a prefix.
 func (w *workload) prompt(n int) string {
 	topic := w.rng.IntN(8)
 	var b strings.Builder
