--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	maxEventBytes = 1 << 20
-	maxBodyBytes  = 64 << 20
+	maxEventBytes = 1 << 20  // maximum size of one event of a stream
+	maxBodyBytes  = 64 << 20 // fasthttp's limit of an answer; it does not apply to streamed bodies, as New requests
 	dialTimeout   = 2 * time.Second
 	timeoutGrace  = 5 * time.Second // added to a request's timeout before the client stops waiting for the instance
 )
@@ -71,8 +71,8 @@
 	Detail     string
 	RetryAfter time.Duration
 	Text       string
-	Completed  bool // the answer includes its end mark; a plain service's body was read completely
-	Replayed   bool
+	Completed  bool          // the answer includes its end mark; a plain service's body was read completely
+	Replayed   bool          // the answer is the recorded outcome of an earlier run
 	FirstToken time.Duration // until a stream's first event, or the end of another completion; 0: none came
 	Total      time.Duration // until the end of the answer, or until the error
 	Err        error         // transport or decoding error
