--- a/internal/decide/dispatch/job.go
+++ b/internal/decide/dispatch/job.go
@@ -98,7 +98,7 @@
 		GapShare:           0.9, // the rest is for the network
 		ShortPrefillMs:     100, // about 19,000 tokens
 		MinGainPerHelperMs: 5,   // a few round trips between instance and engine
-		MaxBacklogMs:       200, // this and the next two are a few passes of a busy engine
+		MaxBacklogMs:       200,
 		StreamPenaltyMs:    150,
 		CoLocationBonusMs:  200,
 		MemoryShare:        0.95,                  // only the upper bound of an answer's length is known
--- a/internal/settle/settle_test.go
+++ b/internal/settle/settle_test.go
@@ -72,7 +72,7 @@
 }
 
 // Guards against the outcome "not done" for a change that takes effect seconds later. It happens when the write is
-// delayed and the object is read back before it arrives. Reading back alone, as objects.Settle does, reports a
+// delayed and the object is read back before it arrives. Reading back alone, as objects.ResolveWrite does, reports a
 // conflict here.
 func TestDelayedWriteCannotTakeEffectTwice(t *testing.T) {
 	is := is.New(t)
