--- a/internal/bench/passes/passes_test.go
+++ b/internal/bench/passes/passes_test.go
@@ -29,7 +29,7 @@
 
 // At the stated rates, under the changing mix, the dispatcher answers far more in time than instances that know only
 // their own work, and no more than the upper bound.
-func TestThePolicyBeatsEachEntryAlone(t *testing.T) {
+func TestPolicyBeatsIndependentInstances(t *testing.T) {
 	is := is.New(t)
 	policy := MeanResult(&Coteau, dispatcher(&Coteau), statedRates, seedCount).InTime
 	alone := MeanResult(&Coteau, Uncoordinated(&Coteau), statedRates, seedCount).InTime
--- a/internal/decide/relay/fault_test.go
+++ b/internal/decide/relay/fault_test.go
@@ -33,7 +33,7 @@
 
 // A lagging replica of the store answers a watcher's read with the previous version. A drained failure domain
 // would get work again although no operator restored it.
-func TestAStaleReadDoesNotRevert(t *testing.T) {
+func TestStaleReadDoesNotRevert(t *testing.T) {
 	is := is.New(t)
 	s := newSim(9, 3, 1, 0)
 	s.run(5*second, nil)
@@ -49,7 +49,7 @@
 // An operator confirms a plan and the command fails: the response to the write is lost, and the writing instance
 // stops before it can read the object back. The write took effect, so it must come into force everywhere although
 // no instance was notified of it.
-func TestAnEffectiveWriteWithALostAnswerComesInForce(t *testing.T) {
+func TestEffectiveWriteWithLostAnswerComesInForce(t *testing.T) {
 	is := is.New(t)
 	s := newSim(9, 3, 1, 0)
 	s.store.lag = time.Hour // watches do not show the write either
@@ -63,7 +63,7 @@
 
 // An instance is replaced by one with the same id while a change propagates. The replacement must not bring the
 // old version back, and late replies to the earlier incarnation must not count for it.
-func TestAnInstanceReplacedInTheMiddle(t *testing.T) {
+func TestInstanceReplacedDuringPropagation(t *testing.T) {
 	is := is.New(t)
 	s := newSim(100, 16, 4, 0.05)
 	s.run(5*second, nil)
@@ -108,7 +108,7 @@
 // The whole fleet is replaced at once during an outage of the store, so that no instance has a configuration. No
 // instance may become ready, so that requests are refused as not run, and no old version may come into force. Once
 // the store is available, all instances apply its highest version.
-func TestTheWholeFleetReplacedWhileTheStoreIsDown(t *testing.T) {
+func TestWholeFleetReplacedDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
 	s := newSim(9, 3, 1, 0)
 	s.run(5*second, nil)
@@ -135,7 +135,7 @@
 
 // A failure domain is cut off from everything while a change is accepted elsewhere, and then reconnected. Its
 // instances must stop sending work within the bound, and must have the change before they send again.
-func TestADomainCutOffAndReturned(t *testing.T) {
+func TestPartitionedDomainReturns(t *testing.T) {
 	for _, z := range sizes {
 		t.Run(fmt.Sprint(z.n), func(t *testing.T) {
 			is := is.New(t)
@@ -199,7 +199,7 @@
 
 // A failure domain is drained. An instance that is cut off, or whose watch lags, must not send requests there
 // after the guaranteed few seconds.
-func TestADomainTakenOutGetsNoWorkWithinTheBound(t *testing.T) {
+func TestDrainedDomainGetsNoWorkWithinBound(t *testing.T) {
 	for _, z := range sizes {
 		for _, h := range faultsFor(z) {
 			t.Run(fmt.Sprintf("%d/%s", z.n, h.name), func(t *testing.T) {
@@ -218,7 +218,7 @@
 
 // An upstream reports to one instance that it is leaving. The other instances must stop sending work to it within the
 // bound.
-func TestALeavingUpstreamGetsNoWorkWithinTheBound(t *testing.T) {
+func TestLeavingUpstreamGetsNoWorkWithinBound(t *testing.T) {
 	for _, z := range sizes {
 		for _, h := range faultsFor(z) {
 			t.Run(fmt.Sprintf("%d/%s", z.n, h.name), func(t *testing.T) {
@@ -281,7 +281,7 @@
 // An upstream takes longer to leave than a sign lasts, and one instance polls it. The sign must not lapse on other
 // instances in between, as these would send work to the upstream again for a moment. Known signs must not enlarge
 // every heartbeat either.
-func TestASignLivesWhileASourceSeesIt(t *testing.T) {
+func TestSignLastsWhileSourceReportsIt(t *testing.T) {
 	is := is.New(t)
 	s := newSim(9, 3, 1, 0.05)
 	s.run(5*second, nil)
@@ -310,7 +310,7 @@
 // An instance is paused, for a minute or only slightly longer than the pause threshold, while a failure domain is
 // drained. When it resumes, it must not send a request that it accepted earlier to that domain. It must first
 // complete an exchange with a peer.
-func TestAPausedInstanceAsksBeforeItSends(t *testing.T) {
+func TestPausedInstanceAwaitsExchange(t *testing.T) {
 	for _, gap := range []time.Duration{1150 * time.Millisecond, time.Minute} {
 		t.Run(gap.String(), func(t *testing.T) {
 			for i := range 8 {
@@ -345,7 +345,7 @@
 }
 
 // A long outage of the store alone must not stop service: instances that exchange heartbeats go on.
-func TestAStoreOutageDoesNotStopService(t *testing.T) {
+func TestStoreOutageDoesNotStopService(t *testing.T) {
 	s := newSim(9, 3, 1, 0.05)
 	s.run(10*second, nil)
 	s.store.down = true
@@ -364,7 +364,7 @@
 // During an outage of the store the network fails everywhere for several seconds and every instance stops sending.
 // Afterwards no instance is trusted, so none can restore the trust of another in the usual way. Service must still
 // resume, except on an instance that remains isolated.
-func TestAFleetWideBlipDuringAStoreOutage(t *testing.T) {
+func TestFleetWideLossDuringStoreOutage(t *testing.T) {
 	for _, z := range sizes[:3] {
 		t.Run(fmt.Sprint(z.n), func(t *testing.T) {
 			is := is.New(t)
