--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -199,7 +199,7 @@
 	is.Equal(len(s.Step(at(1001))), 10) // of the next second
 }
 
-// A job that no upstream can serve is refused at once, with the reason.
+// A job that no upstream can serve is refused at once, with the reason and a delay after which to retry.
 func TestUnservableJobIsRefusedImmediately(t *testing.T) {
 	is := is.New(t)
 	s := newEngineState(2)
@@ -251,8 +251,8 @@
 }
 
 // Guards against one of the largest prompts that occupies nine engines for ten seconds, while all other jobs wait, and
-// whose caller leaves before its prefill is done. It starts only with as many engines as slack requires, and if it can
-// be on time for its caller.
+// whose caller leaves before its prefill is done. It starts only with as many engines as slack requires, and if its
+// first event can come before its caller gives up.
 func TestPromptThatCannotMeetTargetWaitsForEnoughEngines(t *testing.T) {
 	is := is.New(t)
 	m := passes.CoteauShifted.Model
--- a/internal/decide/dispatch/place.go
+++ b/internal/decide/dispatch/place.go
@@ -32,14 +32,13 @@
 	// current pass on average, and the request's own.
 	passesToFirstEvent = 1.5
 	// maxUnplacedLong bounds the failed attempts to place long prompts in one step. Prompts further back in the queue
-	// are longer and even less likely to be placed.
+	// are usually longer and even less likely to be placed.
 	maxUnplacedLong = 16
 	// idleBelowMs is the pending prefill below which an engine counts as having none: sums of parts leave fractions.
 	idleBelowMs = 1.0
-	// minFreeToReserve is the least free KV cache, in tokens, of an engine on which a reservation is made, about the
-	// length of the longest short prompt.
+	// minFreeToReserve is the least free KV cache, in tokens, for which a reservation on an engine is worthwhile.
 	minFreeToReserve = 20_000
-	// minRetryAfter and maxRetryAfter bound the RetryAfter of refusals.
+	// minRetryAfter and maxRetryAfter bound the RetryAfter of refusals; that of RateLimited has no upper bound.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 	// coldWindow is the time over which the starts on a cold upstream are counted.
@@ -270,8 +269,8 @@
 func (e *engine) load(m *Model) float64 { return float64(len(e.runs)) / float64(e.slots(m)) }
 
 // prefillRoomMs returns how much more prefill, in ms, the engine can do in its next pass without exceeding the event
-// gaps of its streams and maxGap. A maxGap of 0 sets no bound. It is
-// infinite for an engine without streams, and if no gap bounds it.
+// gaps of its streams and maxGap. A maxGap of 0 sets no bound. The result is infinite for an engine without streams,
+// and if no gap bounds it.
 func (s *State) prefillRoomMs(e *engine, maxGap time.Duration) float64 {
 	slowdown := e.slowdown(s.now)
 	if e.shortestGap > 0 && (maxGap == 0 || e.shortestGap < maxGap) {
--- a/internal/decide/dispatch/slowdown.go
+++ b/internal/decide/dispatch/slowdown.go
@@ -18,8 +18,8 @@
 	slowThreshold = 1.6
 	// maxSlowRatio bounds the effect of a single stalled run.
 	maxSlowRatio = 8.0
-	// slowRatioDecayMs is the time after which half of the measured slowdown still counts. A slow engine receives no
-	// jobs that could measure it, and must be tried again.
+	// slowRatioDecayMs is the time after which half of the measured slowdown still counts. An engine that receives no
+	// jobs because it is slow is not measured any more, and must be tried again.
 	slowRatioDecayMs = 1500.0
 )
 
--- a/internal/decide/dispatch/spread.go
+++ b/internal/decide/dispatch/spread.go
@@ -77,7 +77,7 @@
 
 // prefillCandidates returns the engines that may prefill the prompt, ordered by prefillDelay, and the engine that is
 // to answer the job, nil if none can. For a job that fits one engine's memory it returns at most twice the number of
-// engines that can share a prompt.
+// engines that can share a prompt, as more would be of no use.
 //
 // Engines with a backlog are left out. The job waits instead, so that more urgent jobs that arrive meanwhile are
 // placed before it.
--- a/internal/decide/pick/engine.go
+++ b/internal/decide/pick/engine.go
@@ -23,8 +23,8 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// StaleAfter is the age above which a load report is stale. An engine with a stale report is chosen only if no engine
-// with a recent one can be.
+// StaleAfter is the age above which a load report is stale. An engine with a stale report is chosen only if none of
+// the scored engines has a recent one.
 const StaleAfter = 3 * time.Second
 
 // Report is an engine's load report, with its time on this instance's clock.
--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -205,8 +205,8 @@
 // StalePenalty ranks engines without a recent load report behind all others.
 //
 // It guards against an engine that stops, or whose reports can't be read any more, after a report that showed it idle:
-// all instances would send their prompts there. The penalty of one hour lets the engine be chosen only if no other can
-// be.
+// all instances would send their prompts there. The penalty of one hour lets the engine be chosen only if no scored
+// engine has a recent report.
 var StalePenalty = Scorer{"silent", func(q *Query, c *Candidate) time.Duration {
 	if c.HasFreshReport(q.Now) {
 		return 0
--- a/internal/decide/warm/measure_test.go
+++ b/internal/decide/warm/measure_test.go
@@ -200,7 +200,8 @@
 // at schedules f at d after start.
 func (sim *simulation) at(d time.Duration, f func()) { sim.loop.At(start.Add(d), f) }
 
-// slotHolder returns the instance with the first slot of engine 0, whose failures have the most effect.
+// slotHolder returns the instance with the first slot of engine 0, which also owns the engine under grantPolicy. Its
+// failures have the most effect.
 func (sim *simulation) slotHolder() *instance { return sim.instances[sim.slotHolderIndex()] }
 
 // slotHolderIndex returns the index in instances of the one with the first slot of engine 0.
--- a/internal/decide/warm/ramp.go
+++ b/internal/decide/warm/ramp.go
@@ -19,9 +19,11 @@
 
 // Caps limit the dispatches of one instance to one upstream.
 type Caps struct {
-	InFlight          int  // dispatches in flight
-	AwaitingFirstByte int  // dispatches without a first byte
-	FromSlots         bool // InFlight is a share of slots; see Slots.ValidUntil and Params.MaxDispatch
+	InFlight          int // dispatches in flight
+	AwaitingFirstByte int // dispatches without a first byte
+	// FromSlots is whether InFlight is a share of slots. It is then valid only until Slots.ValidUntil, and for
+	// dispatches that take at most Params.MaxDispatch.
+	FromSlots bool
 }
 
 // Growth holds the caps of one upstream, which grow with successful dispatches. The zero value is for a cold upstream.
--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -278,11 +278,12 @@
 	return m
 }
 
-// handleSessionEnd clears an ended session and backs off from its peer if the session timed out or was short-lived.
-// After an orderly handover or a reset, the instance attaches again at once, to the same peer if that still answers.
-// A backoff in these cases would make this instance its own dispatcher for half a second at each planned stop of the
-// dispatcher, or would leave the dispatcher with only its own requests after its connections were reset. In both cases
-// two dispatchers would place on the same engines, and short prompts would be late.
+// handleSessionEnd clears an ended session. It backs off from the peer if the session timed out, or was short-lived and
+// not handed over. After an orderly handover, or the reset of a longer session, the instance attaches again, to the same
+// peer if that still answers: at once, or after handoverPause if a short-lived session was handed over. A backoff in
+// these cases would make this instance its own dispatcher for half a second at each planned stop of the dispatcher, or
+// would leave the dispatcher with only its own requests after its connections were reset. In both cases two dispatchers
+// would place on the same engines, and short prompts would be late.
 func (c *Client) handleSessionEnd(ctx context.Context, s *session) {
 	c.mu.Lock()
 	if c.session == s {
--- a/internal/placement/limits.go
+++ b/internal/placement/limits.go
@@ -30,7 +30,7 @@
 	log   hclog.Logger
 	start time.Time
 	count atomic.Int32 // limits in force, read on the request path
-	known atomic.Int32 // processes that have ever advertised a limit, read on the request path
+	known atomic.Int32 // processes that are known to have advertised a limit, read on the request path
 
 	mu     sync.Mutex
 	limits *advertised.Limits // guarded by mu
@@ -131,7 +131,8 @@
 // LimitsInForce returns the number of upstreams whose limit is known to be in force.
 func (c *Client) LimitsInForce() int { return int(c.limits.count.Load()) }
 
-// applyLimits records the limits that an instance reports, and broadcasts those that changed; mu is held.
+// applyLimits records the limits that an instance reports, and broadcasts those that begin, change or end, but not
+// renewals; mu is held.
 func (h *hub) applyLimits(now decide.Instant, all []*pb.Limit) {
 	var changed []*pb.Limit
 	for _, m := range all {
--- a/internal/placement/reading_test.go
+++ b/internal/placement/reading_test.go
@@ -55,8 +55,9 @@
 	})
 }
 
-// Guards against a starting instance that knows no members for as long as the store refuses its reads, as it does for
-// a third of the machines. The dispatcher knows the instance from the store and sends it its address.
+// Guards against starting instances that know no members for as long as the store refuses their reads, which can affect
+// a third of the machines. The dispatcher sees in the store that they join, or knows them from before, and sends them
+// its address.
 func TestInstanceWithoutMembersIsInvited(t *testing.T) {
 	p, newcomer, _ := newTestClients(t)
 	p.setMembers(t, 1, map[fleet.InstanceID]string{p.self: p.addr})
--- a/internal/placement/relay_test.go
+++ b/internal/placement/relay_test.go
@@ -214,8 +214,7 @@
 }
 
 // Guards against store entries of replaced instances that accumulate and each reduce the other instances' shares of
-// limits.
-// Only the dispatcher reports members that have had no session for long.
+// limits. Only the dispatcher reports members that have had no session for long.
 func TestDispatcherReportsAbsentMembers(t *testing.T) {
 	is := is.New(t)
 	first, second, third := newTestClients(t)
