--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -17,8 +17,8 @@
 )
 
 // Sweeper deletes expired shards of keys that carry an issue time. Every instance refuses keys of that age because of
-// their issue time, without reading the shard, so the deletion changes no answer. Several sweepers may work on one
-// shard.
+// their issue time, whether the shard exists or not, so the deletion changes no answer. Several sweepers may work on
+// one shard.
 type Sweeper struct {
 	keeper     *Keeper
 	owns       func(shard string) bool // reports whether this instance sweeps the shard, by rendezvous hashing
--- a/internal/decide/admit/request.go
+++ b/internal/decide/admit/request.go
@@ -67,7 +67,7 @@
 
 // Reasons of a decision besides those of package pick.
 const (
-	EnginesBusy  decide.Reason = "engines_busy"    // on every engine considered, the predicted wait exceeds the class's maximum
+	EnginesBusy  decide.Reason = "engines_busy"    // the predicted wait for the best choice exceeds the class's maximum
 	MemoryBusy   decide.Reason = "memory_busy"     // no engine or group of engines has enough free memory now
 	BehindOthers decide.Reason = "behind_others"   // other requests of the class are queued
 	TooLate      decide.Reason = "too_late"        // the request can't finish before its deadline
--- a/internal/decide/claim/claim.go
+++ b/internal/decide/claim/claim.go
@@ -126,7 +126,7 @@
 	KeyReused           // the key belongs to a request with another fingerprint
 	KeyExpired          // the key's outcome is no longer kept, or its issue time is outside the accepted range
 	ShardFull           // the shard has no room; the key was not claimed
-	Unavailable         // the claim was not committed, as the store is unavailable, the queue is full or it was canceled
+	Unavailable         // no claim is granted, as the store is unavailable, the queue is full or the claim was canceled
 	Done                // Record or Withdraw needs no further write
 )
 
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -9,7 +9,7 @@
 //
 // Times of two clocks are never compared. Two assumptions remain. The rates of the clocks differ by less than
 // Margin within TTL. The clocks run on while a process is paused, which holds for a stopped process; a suspended
-// virtual machine may violate it, and the fence then rejects the old holder's orders.
+// virtual machine may violate it, and engines that check fences then refuse the old holder's orders.
 //
 // The fence of a holding is the store's version of the write that acquired it. Versions grow over the whole store,
 // so a later holder's fence is always higher.
--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -45,7 +45,8 @@
 const (
 	DefaultFanout = 6
 	// DefaultTrustDuration keeps the guarantee that a leaving upstream gets no new work after two seconds. The
-	// remaining half second is for the sign to reach the instances that this one last exchanged heartbeats with.
+	// remaining half second is for the leaving sign to reach the instances that this one last exchanged heartbeats
+	// with.
 	DefaultTrustDuration = 1500 * time.Millisecond
 	// intervalsPerTrustDuration is how many heartbeats to each peer fit in the trust duration at least. With six
 	// peers, all of these have to be lost before a reachable instance loses its trust.
--- a/internal/decide/order/order.go
+++ b/internal/decide/order/order.go
@@ -82,7 +82,7 @@
 // Decision is what to do with the engine now.
 type Decision struct {
 	Reason    decide.Reason
-	Done      bool        // the engine matches the plan, and no old order can change that
+	Done      bool        // the engine matches the plan and, under a valid lease, no old order can change that
 	Order     *wire.Order // to be sent; nil: none
 	LastOrder LastOrder   // to be stored when Order is sent
 	Model     string      // the model that the decision is about
--- a/internal/decide/plan/plan.go
+++ b/internal/decide/plan/plan.go
@@ -3,9 +3,9 @@
 //
 // A model's floor is the minimum number of engines that serve it at any time.
 //
-// Guarantee: no step of a plan takes a served model below its floor or out of its second failure domain. The
-// steps of a stage may run in any order on different engines. Each stage is therefore checked as if all of its
-// unloads had happened and none of its loads.
+// Guarantee: unless the operator forces a plan, none of its steps takes a served model below its floor or out of its
+// second failure domain. The steps of a stage may run in any order on different engines. Each stage is therefore
+// checked as if all of its unloads had happened and none of its loads.
 package plan
 
 import (
--- a/internal/decide/plan/target.go
+++ b/internal/decide/plan/target.go
@@ -9,7 +9,8 @@
 const maxRounds = 8
 
 // stableTarget returns a target from which a second plan would have no steps. One round can free memory that a
-// model placed earlier in that round could have used, so rounds are repeated until nothing changes.
+// model placed earlier in that round could have used, so rounds are repeated until nothing changes, at most maxRounds
+// times.
 func (p *planner) stableTarget() placement {
 	current := p.currentPlacement()
 	for range maxRounds {
--- a/internal/decide/relay/pull.go
+++ b/internal/decide/relay/pull.go
@@ -94,7 +94,7 @@
 // PullDone handles the outcome of a PullConfig.
 func (n *Node) PullDone(now decide.Instant, sent PullConfig, c Config, ok bool) []Effect {
 	if ok {
-		n.applyConfig(now, c) // trust is extended by the peer's reply to the next heartbeat
+		n.applyConfig(now, c) // extends no trust; the peer's reply to the next heartbeat may
 	}
 	if sent.Bootstrap {
 		n.bootstrapPullDone()
--- a/internal/decide/relay/shared.go
+++ b/internal/decide/relay/shared.go
@@ -32,10 +32,10 @@
 
 // heldSign is a LeavingSign with its age as an instant on the clock of this instance.
 type heldSign struct {
-	upstream  fleet.UpstreamID
-	boot      string
-	round     uint32
-	firstSeen decide.Instant // when a source started this round
+	upstream   fleet.UpstreamID
+	boot       string
+	round      uint32
+	roundStart decide.Instant // when a source started this round
 }
 
 // compare orders signs by upstream, then boot.
@@ -66,9 +66,9 @@
 // ObserveLeaving records that this instance itself observed an upstream leaving, which makes it a source of the
 // sign. It reports whether the sign is new or starts a new round.
 func (st *SharedState) ObserveLeaving(now decide.Instant, upstream fleet.UpstreamID, boot string) bool {
-	s := heldSign{upstream: upstream, boot: boot, firstSeen: now}
+	s := heldSign{upstream: upstream, boot: boot, roundStart: now}
 	if i, found := slices.BinarySearchFunc(st.signs, s, heldSign.compare); found {
-		if now.Sub(st.signs[i].firstSeen) < renewAfter {
+		if now.Sub(st.signs[i].roundStart) < renewAfter {
 			return false
 		}
 		s.round = st.signs[i].round + 1
@@ -84,7 +84,7 @@
 			continue
 		}
 		changed = st.merge(heldSign{
-			upstream: s.Upstream, boot: s.Boot, round: s.Round, firstSeen: now.Add(-max(s.Age, 0)),
+			upstream: s.Upstream, boot: s.Boot, round: s.Round, roundStart: now.Add(-max(s.Age, 0)),
 		}) || changed
 	}
 	return changed
@@ -112,7 +112,7 @@
 func (st *SharedState) dropOldest() {
 	oldest := 0
 	for i, s := range st.signs {
-		if s.firstSeen < st.signs[oldest].firstSeen {
+		if s.roundStart < st.signs[oldest].roundStart {
 			oldest = i
 		}
 	}
@@ -122,7 +122,7 @@
 // ExpireSigns removes the signs that have reached LeavingSignTTL and reports whether there were any.
 func (st *SharedState) ExpireSigns(now decide.Instant) bool {
 	before := len(st.signs)
-	st.signs = slices.DeleteFunc(st.signs, func(s heldSign) bool { return now.Sub(s.firstSeen) >= LeavingSignTTL })
+	st.signs = slices.DeleteFunc(st.signs, func(s heldSign) bool { return now.Sub(s.roundStart) >= LeavingSignTTL })
 	return len(st.signs) != before
 }
 
@@ -133,7 +133,7 @@
 	}
 	out := make([]LeavingSign, 0, len(st.signs))
 	for _, s := range st.signs {
-		out = append(out, LeavingSign{Upstream: s.upstream, Boot: s.boot, Round: s.round, Age: now.Sub(s.firstSeen)})
+		out = append(out, LeavingSign{Upstream: s.upstream, Boot: s.boot, Round: s.round, Age: now.Sub(s.roundStart)})
 	}
 	return out
 }
--- a/internal/decide/storebudget/storebudget.go
+++ b/internal/decide/storebudget/storebudget.go
@@ -42,8 +42,8 @@
 var DefaultLimits = Limits{Reads: 2000, Writes: 400}
 
 const (
-	// refillFraction is the fraction of a limit at which the buckets refill. The rest is left for bursts: as no
-	// bucket holds more than one second of its refill, all instances together stay within the limit in any second.
+	// refillFraction is the fraction of a limit at which the buckets refill. The rest is left for bursts: as long as
+	// no bucket holds more than one second of its refill, all instances together stay within the limit in any second.
 	refillFraction = 0.5
 	// minBurst is the smallest capacity of a bucket, in calls; with less, an instance could make no call. With
 	// more than Limits/2 instances, a simultaneous burst of all of them exceeds the limit; docs/CAPACITY.md has
--- a/internal/execute/execute.go
+++ b/internal/execute/execute.go
@@ -6,8 +6,8 @@
 // stored in the object of its lease, so that an instance that lost the lease can't record progress. A stage begins
 // when every shard with steps has recorded the stage before it.
 //
-// After a plan is done, its target stays the reference. The engines are still read, less often, and an engine that
-// differs from its target is repaired: it rebooted, or an order of an older plan reached it late.
+// After a plan is done, its target stays the reference, and ticks are less frequent. An engine whose last reported
+// models differ from its target is read and repaired: it rebooted, or an order of an older plan reached it late.
 package execute
 
 import (
@@ -58,9 +58,9 @@
 
 // Defaults of Config. The first three are those of Config.Lease.
 const (
-	DefaultLeaseTTL     = 15 * time.Second // a shard whose holder failed gets no orders for at least that long
+	DefaultLeaseTTL     = 15 * time.Second // a lease is taken over once its version was seen unchanged for that long
 	DefaultLeaseMargin  = time.Second
-	DefaultOrderDelay   = 5 * time.Second // a new holder waits that long for late orders of the last one
+	DefaultOrderDelay   = 5 * time.Second // a new holder waits that long before it orders engines that ignore fences
 	DefaultTickInterval = 500 * time.Millisecond
 	DefaultIdleInterval = 5 * time.Second
 	DefaultConcurrency  = 16
--- a/internal/execute/shard.go
+++ b/internal/execute/shard.go
@@ -169,7 +169,8 @@
 }
 
 // acquireTransfer takes transfer budget from the weight store for a load, and reports whether the order may be sent. A
-// load is sent only after its budget is granted, so that all instances together never exceed the store's rate.
+// load whose size is known is sent only after its budget is granted, so that all instances together stay within the
+// store's rate.
 func (x *Executor) acquireTransfer(ctx context.Context, rd *reading, o *wire.Order) bool {
 	if x.WeightStore == nil || o.Kind != api.StepLoad || o.Adapter != "" {
 		return true
