--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -73,7 +73,7 @@
 	kindCount
 )
 
-// NoRetry is the Retry-After of kinds for which a retry cannot succeed.
+// NoRetry is the Retry-After of kinds that the caller should not retry.
 const NoRetry time.Duration = 0
 
 // Rule is a kind's row in the table: its wire name, its HTTP status, the run outcomes that it may carry, and the
@@ -93,8 +93,8 @@
 )
 
 const (
-	// otherInstanceDelay is the Retry-After of a refusal that concerns one instance only: other instances accept the
-	// request at once.
+	// otherInstanceDelay is the Retry-After of a refusal that concerns one instance only: another instance may have
+	// room for the request already.
 	otherInstanceDelay = 20 * time.Millisecond
 	// startupDelay is twice the time that an instance takes from its start until it has a configuration, while the
 	// store answers.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -129,5 +129,5 @@
 // Placer grants upstreams to requests. Place blocks while the request waits for an upstream. It returns a *fault.Error
 // with RunNo and a retry delay as soon as the request is refused.
 type Placer interface {
-	Place(ctx context.Context, a PlacementRequest) (Grant, error)
+	Place(ctx context.Context, q PlacementRequest) (Grant, error)
 }
--- a/internal/gateway/lifecycle.go
+++ b/internal/gateway/lifecycle.go
@@ -20,8 +20,8 @@
 const (
 	// maxPlainBytes bounds a plain answer, which is buffered until it is complete.
 	maxPlainBytes = 16 << 20
-	// maxUnusableGrants bounds how many unusable grants are released without a send before the request is refused, so
-	// that a dispatcher with an outdated state doesn't keep the request busy until its deadline.
+	// maxUnusableGrants bounds how often a request releases a grant that turns out unusable, without a send, and asks
+	// for another one.
 	maxUnusableGrants = 8
 	// trustTimeout bounds the wait until the instance is trusted again after a pause. That takes one answer of the
 	// store, or two heartbeats of the dispatcher.
--- a/internal/gateway/memory.go
+++ b/internal/gateway/memory.go
@@ -59,7 +59,7 @@
 	tickets      []string // one for each of items
 	stopRenewals context.CancelFunc
 	renewals     sync.WaitGroup // goroutines that renew
-	log          func(what string, h Reservation, err error)
+	log          func(what string, r Reservation, err error)
 }
 
 // reserveAll makes all reservations or none, and starts their renewal. name must be unique to the send.
@@ -91,9 +91,9 @@
 // reserveOne makes one reservation. It retries until the engine accepts or refuses it, or ctx ends. Repeating a call
 // with the same ticket is safe.
 func (r *reservationSet) reserveOne(ctx context.Context, i int) error {
-	h := r.items[i]
+	item := r.items[i]
 	for {
-		err := r.memory.Reserve(ctx, h.Upstream, r.tickets[i], h.Tokens, reservationTTL)
+		err := r.memory.Reserve(ctx, item.Upstream, r.tickets[i], item.Tokens, reservationTTL)
 		if err == nil || errors.Is(err, ErrNoMemory) {
 			return err
 		}
@@ -106,12 +106,12 @@
 // renew renews one reservation until ctx ends. A failed renewal is retried after callRetryInterval, because an
 // expired reservation breaks off the request that uses the memory.
 func (r *reservationSet) renew(ctx context.Context, i int) {
-	h := r.items[i]
+	item := r.items[i]
 	pause := renewInterval
 	for wait.For(ctx, pause) {
 		pause = renewInterval
-		if err := r.memory.Reserve(ctx, h.Upstream, r.tickets[i], h.Tokens, reservationTTL); err != nil && ctx.Err() == nil {
-			r.log("renewal failed", h, err)
+		if err := r.memory.Reserve(ctx, item.Upstream, r.tickets[i], item.Tokens, reservationTTL); err != nil && ctx.Err() == nil {
+			r.log("renewal failed", item, err)
 			pause = callRetryInterval
 		}
 	}
@@ -160,8 +160,8 @@
 			return nil, f
 		}
 		l.reservations = set
-		for i, h := range reservations {
-			helpers = append(helpers, Helper{Addr: h.Upstream.Addr, Ticket: set.tickets[i]})
+		for i, item := range reservations {
+			helpers = append(helpers, Helper{Addr: item.Upstream.Addr, Ticket: set.tickets[i]})
 		}
 	}
 	for _, addr := range l.grant.Helpers() {
@@ -175,6 +175,6 @@
 const ticketSuffixes = 1_000_000
 
 // logReservation logs a failed call for a reservation; what is the message.
-func (l *lifecycle) logReservation(what string, h Reservation, err error) {
-	l.g.log.Warn(what, "request", l.r.ID, "upstream", h.Upstream.ID, "tokens", h.Tokens, "error", err)
+func (l *lifecycle) logReservation(what string, r Reservation, err error) {
+	l.g.log.Warn(what, "request", l.r.ID, "upstream", r.Upstream.ID, "tokens", r.Tokens, "error", err)
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -127,21 +127,21 @@
 		// target.
 		start, target = lastEventAt, r.route.MaxGap
 	}
-	a := PlacementRequest{
+	q := PlacementRequest{
 		ID: fleet.RequestID(r.ID), Service: r.service, Kind: r.route.Kind, Workspace: r.workspace,
 		Priority: r.priority, PromptTokens: r.PromptTokens, MaxOutputTokens: r.MaxOutputTokens, MaxGap: r.route.MaxGap,
 		Resumed:  !lastEventAt.IsZero() || r.LastEventID != "", // by this instance, or by the caller on another connection
 		TimeLeft: r.deadline.Sub(now), Waited: now.Sub(start), Attempt: attempt, Avoid: avoid,
 	}
 	if target > 0 {
-		a.HasTarget = true
-		a.TargetLeft = start.Add(target).Sub(now)
+		q.HasTarget = true
+		q.TargetLeft = start.Add(target).Sub(now)
 	}
-	a.FirstEventTimeout = a.TimeLeft
+	q.FirstEventTimeout = q.TimeLeft
 	if r.isStream() {
-		a.FirstEventTimeout = min(a.TimeLeft, start.Add(r.silenceTolerance()).Sub(now))
+		q.FirstEventTimeout = min(q.TimeLeft, start.Add(r.silenceTolerance()).Sub(now))
 	}
-	return a
+	return q
 }
 
 // silenceTolerance returns how long the caller waits for a silent stream before it gives up.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -116,8 +116,8 @@
 	l.resetWatchdog()
 }
 
-// Read returns buffered events. If there are none, it waits for the next event, and adds the complete events that have
-// already arrived after it.
+// Read returns buffered data. If nothing is buffered, it waits for the next event first. It also buffers the complete
+// events that have already arrived.
 func (s *streamBody) Read(p []byte) (int, error) {
 	for len(s.buffered) == 0 && s.endErr == nil {
 		s.accept(s.nextEvent())
--- a/internal/route/reservations.go
+++ b/internal/route/reservations.go
@@ -116,12 +116,12 @@
 	}
 }
 
-// sendOutcome counts the group's outcome and sends it to acquireAll, if that still waits.
+// sendOutcome counts the group's outcome and sends it to acquireAll, which may have returned already.
 func (rs *reservations) sendOutcome(ok bool, e reserve.Effect) {
 	rs.router.meter.countDecision("hold", e.Reason)
 	select {
 	case rs.outcome <- ok:
-	default: // acquireAll has returned
+	default: // an earlier outcome fills the buffer
 	}
 }
 
--- a/internal/settle/settle.go
+++ b/internal/settle/settle.go
@@ -24,9 +24,10 @@
 // ErrUnknown reports that the write may have taken effect and that the outcome could not be determined in time.
 var ErrUnknown = errors.New("outcome of the write is unknown")
 
-// Put makes the write and returns its version once the write is known to have taken effect. *objects.ConflictError
-// and objects.ErrUnavailable mean that the write had no effect. ErrUnknown means that it may have taken effect or
-// may still do so: ctx ended first, or another writer's version hides the outcome.
+// Put makes the write and returns its version once the write is known to have taken effect. ErrUnknown means that
+// the write may have taken effect or may still do so: ctx ended first, or another writer's version hides the outcome.
+// *objects.ConflictError and objects.ErrUnavailable mean that the write had no effect, unless the error is also
+// ErrUnknown, which can wrap either of them.
 func Put(ctx context.Context, s objects.Store, w objects.Write) (uint64, error) {
 	sent := false
 	backoff := initialBackoff
--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -127,8 +127,9 @@
 }
 
 // presence returns a function that decides by the instance list whether a holder is present. The list doesn't show
-// incarnations, so a holder whose instance has restarted counts as present, and its reservations are released by their
-// deadline. Only this instance's own earlier incarnations are recognized as missing in that case, whatever the list is.
+// incarnations, so a holder whose instance has restarted counts as present, and its reservations are released only
+// after their deadline. Only this instance's own earlier incarnations are recognized as missing in that case, whatever
+// the list is.
 func (s *Sweeper) presence(v *fleet.View) func(reserve.Holder) reserve.Presence {
 	undetermined := v.ListVersion == 0 || s.deps.CheckUsable() != nil
 	return func(h reserve.Holder) reserve.Presence {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -18,7 +18,7 @@
 type CallError struct {
 	Sent           bool // a byte of the request may have reached the upstream
 	NotStarted     bool // the upstream itself reported that it did not start the request
-	Timeout        bool // no byte arrived within the time
+	Timeout        bool // the connection was silent for too long, or the exchange exceeded its time limit
 	UpstreamDead   bool // the upstream does not answer on a new connection either
 	DeadlinePassed bool // the deadline of the dispatch itself passed
 	Status         int  // HTTP status of an error answer; 0: none arrived
--- a/internal/upstream/forward.go
+++ b/internal/upstream/forward.go
@@ -58,10 +58,10 @@
 	err      error // of the last Read
 }
 
-// Forward sends o and reads the head of its answer. The deadline of ctx bounds each read and write of the exchange,
+// Forward sends q and reads the head of its answer. The deadline of ctx bounds each read and write of the exchange,
 // and the end of ctx interrupts them. A *CallError describes what is known of the effect.
-func (c *Client) Forward(ctx context.Context, o ForwardRequest) (*Exchange, error) {
-	cn, err := c.connect(ctx, o)
+func (c *Client) Forward(ctx context.Context, q ForwardRequest) (*Exchange, error) {
+	cn, err := c.connect(ctx, q)
 	if err != nil {
 		return nil, &CallError{Cause: err}
 	}
@@ -69,7 +69,7 @@
 	deadline, _ := ctx.Deadline()
 	_ = cn.SetDeadline(deadline)
 	x.detach = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(expiredDeadline) })
-	if err := x.roundTrip(o); err != nil {
+	if err := x.roundTrip(q); err != nil {
 		x.conn.broken.Store(true)
 		e := &CallError{Sent: cn.bytesSent.Load() > 0, Cause: err, Timeout: isTimeout(err) || errors.Is(err, os.ErrDeadlineExceeded)}
 		x.Close()
@@ -79,9 +79,9 @@
 }
 
 // connect returns an idle connection that is open and has no unread data, or a new connection.
-func (c *Client) connect(ctx context.Context, o ForwardRequest) (*conn, error) {
-	if !o.NewConnection {
-		for cn := c.pool.takeIdle(o.Addr); cn != nil; cn = c.pool.takeIdle(o.Addr) {
+func (c *Client) connect(ctx context.Context, q ForwardRequest) (*conn, error) {
+	if !q.NewConnection {
+		for cn := c.pool.takeIdle(q.Addr); cn != nil; cn = c.pool.takeIdle(q.Addr) {
 			if cn.openAndEmpty() {
 				cn.bytesSent.Store(0)
 				return cn, nil
@@ -91,13 +91,13 @@
 	}
 	dialCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	return c.pool.dial(dialCtx, o.Addr)
+	return c.pool.dial(dialCtx, q.Addr)
 }
 
 // roundTrip writes the request and reads the head of the answer. An upstream may answer and close before it has read
 // the body. The write then fails, but the answer can still be read.
-func (x *Exchange) roundTrip(o ForwardRequest) error {
-	writeErr := x.writeRequest(o)
+func (x *Exchange) roundTrip(q ForwardRequest) error {
+	writeErr := x.writeRequest(q)
 	if writeErr != nil {
 		x.reusable = false
 	}
@@ -111,8 +111,8 @@
 		if status := x.Head.StatusCode(); status >= 100 && status < 200 {
 			continue
 		}
-		x.initBody(string(o.Head.Method()))
-		if o.MatchesRequest == nil || o.MatchesRequest(&x.Head) {
+		x.initBody(string(q.Head.Method()))
+		if q.MatchesRequest == nil || q.MatchesRequest(&x.Head) {
 			x.reusable = x.reusable && writeErr == nil
 			return nil
 		}
@@ -127,16 +127,16 @@
 }
 
 // writeRequest writes the head with the body's length, and the body.
-func (x *Exchange) writeRequest(o ForwardRequest) error {
-	h := o.Head
-	if len(o.Body) > 0 || h.ContentLength() >= 0 {
-		h.SetContentLength(len(o.Body))
+func (x *Exchange) writeRequest(q ForwardRequest) error {
+	h := q.Head
+	if len(q.Body) > 0 || h.ContentLength() >= 0 {
+		h.SetContentLength(len(q.Body))
 	}
 	w := x.conn.writer
 	if _, err := w.Write(h.Header()); err != nil {
 		return err
 	}
-	if _, err := w.Write(o.Body); err != nil {
+	if _, err := w.Write(q.Body); err != nil {
 		return err
 	}
 	return w.Flush()
@@ -177,7 +177,7 @@
 }
 
 // Close ends the exchange. It keeps the connection if the answer was read completely and no data follows it.
-// Otherwise it closes the connection, which makes the upstream stop the work.
+// Otherwise it closes the connection, which tells the upstream to stop the work.
 func (x *Exchange) Close() {
 	detached := x.detach()
 	if detached && x.complete && x.reusable && x.conn.reader.Buffered() == 0 {
@@ -217,13 +217,13 @@
 }
 
 // Read implements io.Reader. It returns io.ErrUnexpectedEOF if the connection ends before the body.
-func (s *lengthReader) Read(p []byte) (int, error) {
-	if s.remaining == 0 {
+func (l *lengthReader) Read(p []byte) (int, error) {
+	if l.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := s.r.Read(p[:min(len(p), s.remaining)])
-	s.remaining -= n
-	if err == io.EOF && s.remaining > 0 {
+	n, err := l.r.Read(p[:min(len(p), l.remaining)])
+	l.remaining -= n
+	if err == io.EOF && l.remaining > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// Close ends a stream before its end. It closes the connection, which makes the engine stop the work.
+// Close ends a stream before its end. It closes the connection, which tells the engine to stop the work.
 func (s *Stream) Close() {
 	if !s.closed {
 		s.closed = true
--- a/internal/watch/publish.go
+++ b/internal/watch/publish.go
@@ -67,7 +67,7 @@
 }
 
 // applyConfig puts a newer configuration in force. A configuration whose version isn't higher than that of the one in
-// force comes from a stale read and is ignored.
+// force is ignored: it comes from a stale read, or an older configuration was written again.
 func (f *Follower) applyConfig() {
 	o, ok := f.replicas[f.deps.Kinds.Config].objects[f.deps.Kinds.ConfigName]
 	if !ok || o.Version == f.triedRevision {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -110,7 +110,8 @@
 
 // ShareReads makes the Follower share the reading of the store with other instances. Without it the Follower reads
 // everything itself. It must be called before Run. onChange is called with each change of the copies while the
-// Follower's lock is held; own states that this instance read the change from the store.
+// Follower's lock is held; own is false if another instance reported the change, and true if this instance read it from
+// the store or ended a grace period.
 func (f *Follower) ShareReads(onChange func(c Change, own bool)) {
 	f.sharesReads, f.onChange = true, onChange
 }
