--- a/api/plan.go
+++ b/api/plan.go
@@ -35,7 +35,7 @@
 type PlanState string
 
 // The states of a plan. The stored object is proposed or stopped; a plan is confirmed exactly when the
-// configuration in force names it. Only a confirmed plan that is not stopped is carried out.
+// configuration in force names it. Only a confirmed plan that is not stopped is executed.
 const (
 	PlanProposed  PlanState = "proposed"
 	PlanConfirmed PlanState = "confirmed"
@@ -64,7 +64,7 @@
 	PlanID        string `json:"plan,omitempty"` // plan whose confirmation wrote that version
 }
 
-// Cost is the work that carrying out a plan requires.
+// Cost is the work that executing a plan requires.
 type Cost struct {
 	Loads         int   `json:"loads"`
 	Unloads       int   `json:"unloads"`
--- a/api/status.go
+++ b/api/status.go
@@ -38,7 +38,7 @@
 	Out     int `json:"out"`
 }
 
-// Progress measures how far a confirmed plan has been carried out.
+// Progress measures how far the execution of a confirmed plan has come.
 type Progress struct {
 	Steps     int `json:"steps"`
 	StepsDone int `json:"done"`
--- a/internal/entry/query/answer.go
+++ b/internal/entry/query/answer.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// dispatchTimedOut reports whether the current dispatch reached its own deadline, which is earlier than the request's,
-// after it had delivered a part.
+// dispatchTimedOut reports whether the current dispatch has a deadline of its own, earlier than the request's, and reached
+// it after it had delivered a part.
 func (a *answer) dispatchTimedOut() bool {
 	const clockTolerance = 100 * time.Millisecond // the engine may end the dispatch slightly earlier than this instance
 	return a.gotPart && a.dispatchDeadline.Before(a.prompt.meta.Deadline) && time.Until(a.dispatchDeadline) < clockTolerance
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -53,7 +53,7 @@
 	Windows         []Window      `json:"windows"`
 	Stages          []StageTimes  `json:"stages"`
 	CallerFaults    int           `json:"not_owed"` // requests whose caller was at fault; they aren't counted elsewhere
-	Unfinished      int           `json:"unended"`  // requests still in flight at the end of the logs
+	Unfinished      int           `json:"unended"`  // dispatched requests that are still in flight at the end of the logs
 	Lines           int           `json:"lines"`
 	UnusableAnswers int           `json:"unusable_answers"` // answer lines with a missing or invalid field
 	Problems        []string      `json:"problems"`         // descriptions of the first of these, with line and field
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -81,7 +81,7 @@
 	})
 }
 
-// A caller disconnects in the middle of a long streamed answer. The stream on the engine must be cancelled too.
+// A caller disconnects in the middle of a long streamed answer. The stream on the engine must be canceled too.
 func TestDisconnectMidStreamCancelsPrompt(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 1)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// The operators' port is in use when an instance starts. Start must return an error. It would block for ever if it
+// The operators' port is in use when an instance starts. Start must return an error. It would block forever if it
 // waited for the callers' listener, which is bound by then but not served.
 func TestStartFailsWhenAddressIsInUse(t *testing.T) {
 	is := is.New(t)
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -19,11 +19,12 @@
 	"github.com/damaskshelf/damaskshelf/internal/upstream/wire"
 )
 
-// Sink receives the reports. All calls for one upstream come from the same goroutine.
+// Sink receives the reports. All calls for one upstream come from the same goroutine while it stays in view.
 type Sink interface {
 	// OnLoad receives a load report and the time at which it was made.
 	OnLoad(u *fleet.Upstream, l wire.LoadReport, at time.Time)
-	// OnCache receives the cache events that follow those of the call before.
+	// OnCache receives the cache events that follow those of the previous call, or the first ones kept of a new boot.
+	// Events that the engine no longer keeps are missing.
 	OnCache(u *fleet.Upstream, e wire.CacheEvents)
 	// OnState receives an engine's state, with its loaded models sorted by name.
 	OnState(u *fleet.Upstream, s wire.EngineState)
--- a/internal/observe/observe_test.go
+++ b/internal/observe/observe_test.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	model     = "guide"
-	interval  = 5 * time.Millisecond
-	hangGuard = 20 * time.Second
+	model       = "guide"
+	interval    = 5 * time.Millisecond
+	testTimeout = 20 * time.Second
 )
 
 // fakeSink counts the reports and keeps the cache events.
@@ -52,10 +52,10 @@
 	f()
 }
 
-// eventually waits until cond, called with the lock held, returns true, and fails the test after hangGuard.
+// eventually waits until cond, called with the lock held, returns true, and fails the test after testTimeout.
 func (s *fakeSink) eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(hangGuard); ; time.Sleep(interval) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(interval) {
 		var ok bool
 		s.locked(func() { ok = cond() })
 		if ok {
@@ -115,7 +115,7 @@
 	defer c.Close()
 	s, err := c.Complete(context.Background(), e.Addr(), upstream.Completion{
 		RequestID: id, Attempt: 1, Remaining: time.Minute, Body: body.Bytes(),
-	}, upstream.SilenceLimits{Params: stream.NewParams(hangGuard), Deadline: time.Now().Add(hangGuard)})
+	}, upstream.SilenceLimits{Params: stream.NewParams(testTimeout), Deadline: time.Now().Add(testTimeout)})
 	is.NoErr(err)
 	defer s.Close()
 	for {
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -27,7 +27,7 @@
 	PathPlan    = "/v1/plans/{id}"         // GET; returns an api.Plan
 	PathConfirm = "/v1/plans/{id}/confirm" // POST; returns the plan's id and the version of its configuration
 	PathStop    = "/v1/plans/{id}/stop"    // POST; returns an api.Plan
-	PathStatus  = "/v1/status"             // GET; returns an api.Status; ?version=N: it counts version N in force
+	PathStatus  = "/v1/status"             // GET; returns an api.Status; ?version=N: counts instances with N in force
 	PathExplain = "/v1/explain/{id}"       // GET with a request id; returns query.Decisions
 )
 
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -21,8 +21,7 @@
 	// member.DefaultTrustDuration, for which an instance may act on its state after an exchange. A heartbeat that fails
 	// on a silent connection therefore leaves time for another one.
 	HeartbeatTimeout = 400 * time.Millisecond
-	// PullTimeout is the timeout of one pull of a configuration including its dial. It is longer than HeartbeatTimeout
-	// because a configuration is larger than a digest.
+	// PullTimeout is the timeout of one pull of a configuration including its dial.
 	PullTimeout = time.Second
 	// maxConnAge is the age at which a kept connection is replaced. Network devices between the peers drop the state
 	// of old connections first.
--- a/internal/warm/limits.go
+++ b/internal/warm/limits.go
@@ -227,7 +227,7 @@
 }
 
 // OnLoad applies an engine's load report, whose figures are from the time at. If at is before the start of the current
-// health state, or within its holdoff, the report changes nothing but the boot id.
+// health state, or within its holdoff, the report changes nothing but the boot id. In state Unknown every report counts.
 func (l *Limits) OnLoad(u *fleet.Upstream, r wire.LoadReport, at time.Time) {
 	l.OnBoot(u, r.BootID)
 	up := l.upstream(u)
--- a/internal/warm/probe.go
+++ b/internal/warm/probe.go
@@ -18,7 +18,7 @@
 const (
 	probeTimeout        = time.Second      // of one probe including its connection
 	maxConcurrentProbes = 16               // limits the connections that one round of probes opens at once
-	probationTime       = 10 * time.Second // time in state Cold after which an answered probe ends it
+	probationTime       = 10 * time.Second // an answered probe ends state Cold of a plain service after this time
 )
 
 // RunProbes probes the plain services that are not warm at each interval until ctx is done. Engines send load reports
