--- a/cmd/damaskctl/client.go
+++ b/cmd/damaskctl/client.go
@@ -99,7 +99,7 @@
 // unreachableError is the error of a call that received no answer, so that its outcome is unknown.
 type unreachableError struct{ cause error }
 
-// Error returns the cause as text.
+// Error returns the cause, and says that the outcome is unknown.
 func (u *unreachableError) Error() string {
 	return fmt.Sprintf("no answer, the outcome is unknown: %v", u.cause)
 }
--- a/cmd/damaskctl/store_test.go
+++ b/cmd/damaskctl/store_test.go
@@ -61,7 +61,7 @@
 	is.Equal(s.Services, []api.FleetService{{Name: "desk", Ready: 1, Leaving: 1}})
 	is.Equal(len(s.DomainsOut), 0)
 
-	for range 2 { // the second call repeats the first
+	for range 2 { // the second time the domain is out already
 		code, out, _ := runWithStore(t, &drainCommand{}, "-store", store.Addr(), "a")
 		is.Equal(code, exitDone)
 		is.True(strings.Contains(out, "taken out"))
@@ -80,7 +80,8 @@
 	is.True(strings.Contains(out, "service        desk: 1 ready, 0 cold, 1 leaving, 0 out"))
 }
 
-// Invalid input is reported with its value, with the exit status of a usage error.
+// Invalid input is reported with its value, and an invalid flag also with its name. The exit status is that of a usage
+// error.
 func TestInvalidInputIsUsageError(t *testing.T) {
 	is := is.New(t)
 	store := newStore(t)
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -54,7 +54,7 @@
 	answerLeft   int   // tokens of the answer that are not generated
 	memory       int64 // KV cache tokens that it allocates when it starts; 0: reserved before
 	running      bool
-	member       bool // of a group: prefills its part; the lead's flag is cleared when it may decode
+	member       bool // of a group: only prefills its part; cleared on the lead once all parts are prefilled, so that it decodes
 	finished     bool
 }
 
--- a/internal/bench/passes/engine.go
+++ b/internal/bench/passes/engine.go
@@ -12,10 +12,10 @@
 	minPrefillMs = 1e-9
 )
 
-// engine models an engine that works in passes. A pass with decoding requests takes StepsPerPass steps and prefills at
-// most ChunkTokens prompt tokens per step. Each decoding request emits one event at the end of the pass. The model
-// leaves out that a lack of memory delays prompts, that engines differ in speed, and that a part prefilled for another
-// engine goes before the engine's own prompts.
+// engine models an engine that works in passes. A pass with decoding requests takes StepsPerPass steps, any other pass
+// takes one. It prefills about ChunkTokens prompt tokens per step. Each decoding request emits one event at the end of
+// the pass. The model leaves out that a lack of memory delays prompts, that engines differ in speed, and that a part
+// prefilled for another engine goes before the engine's own prompts.
 type engine struct {
 	id        fleet.UpstreamID
 	model     *dispatch.Model
@@ -40,8 +40,8 @@
 	return n/m.PrefillTokensPerMs + n*n/2/million*m.MsPerMillionPairs
 }
 
-// startPass starts a pass and sets its end. It takes prefill parts from the queue, in order, up to the pass's budget
-// of prompt tokens.
+// startPass starts a pass and sets its end. It takes prefill parts from the queue, in order, up to a budget of prefill
+// time that stands for ChunkTokens prompt tokens per step.
 func (e *engine) startPass(now float64) {
 	m := e.model
 	steps, contextTokens := 1, 0
--- a/internal/bench/passes/passes.go
+++ b/internal/bench/passes/passes.go
@@ -36,7 +36,7 @@
 type Scenario struct {
 	Load           float64 // 1: the workload's stated rates
 	LengthMs       float64 // time in which requests arrive
-	InstanceOutage Fault   // all instances are stopped, and engines lose the work that they sent; EngineShare is ignored
+	InstanceOutage Fault   // all instances are stopped, and engines drop all their work; EngineShare is ignored
 	EngineOutage   Fault   // part of the engines is stopped
 	Surge          Surge   // one workspace sends more than usual
 }
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -19,7 +19,7 @@
 
 const (
 	maxEventBytes = 1 << 20  // maximum size of one event of a stream
-	maxBodyBytes  = 64 << 20 // fasthttp's limit of an answer; it does not apply to streamed bodies, as New requests
+	maxBodyBytes  = 64 << 20 // fasthttp's limit for a response body; it has no effect while New turns on streaming
 	dialTimeout   = 2 * time.Second
 	timeoutGrace  = 5 * time.Second // added to a request's timeout before the client stops waiting for the instance
 )
--- a/internal/standin/engine/completions_test.go
+++ b/internal/standin/engine/completions_test.go
@@ -160,8 +160,8 @@
 	is.Equal(<-order, "long")
 }
 
-// A request passes its deadline on a connection that stalls without being closed, so that nothing cancels it. The engine must end the
-// job itself, or the job keeps its memory.
+// A request passes its deadline on a connection that stalls without being closed, so that nothing cancels it. The engine
+// must end the job itself, or the job keeps its memory.
 func TestEngineEndsOverdueJobs(t *testing.T) {
 	is := is.New(t)
 	e := startEngine(t, engine.Config{DecodeInterval: time.Hour})
--- a/internal/standin/engine/faults_test.go
+++ b/internal/standin/engine/faults_test.go
@@ -198,8 +198,8 @@
 	is.True(isIdle(e)())
 }
 
-// An engine turns cold with the same boot id, so that no reader can tell. Jobs in flight continue and don't count against
-// the limit, but one new request above the limit makes the engine collapse.
+// An engine turns cold but keeps its boot id, so that the id doesn't show it. Jobs in flight continue and don't count
+// against the limit, but one new request above the limit makes the engine collapse.
 func TestUnannouncedColdStart(t *testing.T) {
 	is := is.New(t)
 	e := startEngine(t, engine.Config{ColdLimit: 1, DecodeInterval: time.Hour})
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// sendStream sends the job's answer as server-sent events. It cancels the job if the stream ends without its
-// end mark.
+// sendStream sends the job's answer as server-sent events. It cancels the job if the stream ends without the event
+// [DONE].
 func (e *Engine) sendStream(ctx *fasthttp.RequestCtx, j *job) {
 	ctx.SetContentType("text/event-stream")
 	connClosed, conn := serve.ConnDone(ctx), ctx.Conn()
@@ -84,8 +84,9 @@
 	})
 }
 
-// writeParts writes the parts of the job's answer as they become available, with the faults of parts applied, and the end
-// mark. It returns false if the stream ends without the end mark, because of a fault or because the connection failed.
+// writeParts writes the parts of the job's answer as they become available, with the faults of parts applied, and then
+// the event [DONE]. It returns false if the stream ends without that event, because of a fault or because the connection
+// failed.
 func (e *Engine) writeParts(w *bufio.Writer, j *job, connClosed <-chan struct{}, conn net.Conn) bool {
 	injector := partInjector{faults: e.faults, id: j.id, maxTokens: j.maxTokens, startOffset: j.offset}
 	p, ok := progress{to: j.offset}, true
--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -167,7 +167,7 @@
 }
 
 // respondToWrite answers a write with its result or conflict. Under the fault LoseAnswer it closes the connection
-// instead, after the write took effect.
+// instead, whether or not the write took effect.
 func (s *Server) respondToWrite(ctx *fasthttp.RequestCtx, written wire.WriteResult, conflict *wire.Conflict) {
 	if s.faults.On(faults.LoseAnswer) {
 		serve.CloseConn(ctx)
--- a/internal/standin/rawhttp/rawhttp.go
+++ b/internal/standin/rawhttp/rawhttp.go
@@ -43,7 +43,7 @@
 	Header          map[string]string
 	Body            []byte // of a response that is not a stream
 	Parts           []wire.Part
-	Done            bool          // the stream's end mark, [DONE], arrived
+	Done            bool          // the event [DONE], which follows the stream's end mark, arrived
 	TimeToFirstPart time.Duration // measured from the start of the call
 	Connected       bool          // whether the connection was opened
 	Err             error         // of the connection, or of decoding an event
--- a/internal/standin/serve/reservedport.go
+++ b/internal/standin/serve/reservedport.go
@@ -7,7 +7,7 @@
 )
 
 // reservedPort keeps the port of a killed server bound without listening. Connections to it are refused as by a dead
-// process, and neither another listener nor an outgoing connection can take the port.
+// process, and the system assigns the port neither to another listener nor to an outgoing connection.
 type reservedPort struct {
 	fd int
 }
--- a/internal/standin/serve/reservedport_test.go
+++ b/internal/standin/serve/reservedport_test.go
@@ -24,7 +24,7 @@
 		_, err = net.Dial("tcp", s.Addr())
 		is.True(errors.Is(err, syscall.ECONNREFUSED)) // as with a dead process
 		_, err = (&net.Dialer{LocalAddr: resolveAddr(t, s.Addr())}).Dial("tcp", "127.0.0.1:9")
-		is.True(errors.Is(err, syscall.EADDRINUSE)) // no other socket can bind the port
+		is.True(errors.Is(err, syscall.EADDRINUSE)) // an outgoing connection can't take the port
 		is.NoErr(s.Restart())
 		c, err := net.Dial("tcp", s.Addr())
 		is.NoErr(err)
--- a/test/e2e/chaos_test.go
+++ b/test/e2e/chaos_test.go
@@ -23,9 +23,9 @@
 )
 
 // Engines, services, the object API and the instance list fail in rounds, four of them at a time, and an entry instance
-// is killed and replaced. Requests may fail with an explicit error. No answer may be wrong or incomplete, no booking may
-// run twice, no request that ran may be reported as not run, and none may hang. In the end the fleet serves all requests
-// and no engine holds memory.
+// is killed and replaced. Requests may fail with an explicit error, and those of the killed instance by a closed
+// connection. No answer that looks complete may be wrong or short, no booking may run twice, no request that ran may be
+// reported as not run, and none may hang. In the end the fleet serves as before, and no engine holds memory.
 func TestFaultsTogether(t *testing.T) {
 	const rounds, faultsPerRound, roundDuration = 8, 4, time.Second
 	f := startFleet(t)
--- a/test/e2e/e2e_test.go
+++ b/test/e2e/e2e_test.go
@@ -126,7 +126,7 @@
 	// An engine is killed under load and restarts cold.
 	{"engine killed", []string{busiestEngine}, faults.Kill, noneMayFail},
 
-	// An engine becomes cold without a notice and collapses under the load that it carried before. Its requests
+	// An engine turns cold but keeps its boot id, and collapses under the load that it carried before. Its requests
 	// continue on other engines.
 	{"engine turns cold", []string{busiestEngine}, faults.Cold, noneMayFail},
 
--- a/test/soak/promises_test.go
+++ b/test/soak/promises_test.go
@@ -264,8 +264,8 @@
 }
 
 // checkRateLimits checks that all daemons together respect the rate limit that a worker states. In four seconds, which
-// begin three seconds after the worker first states the limit, it receives at most one and a half times what the limit
-// allows, plus five requests.
+// begin three seconds after the limit was added to the worker's responses, the worker receives at most one and a half
+// times what the limit allows, plus five requests.
 func (s *soakRun) checkRateLimits() {
 	const rate = 2.0
 	limitedWorkers := s.workers[2:4] // one of each service
