--- a/cmd/damaskctl/explain.go
+++ b/cmd/damaskctl/explain.go
@@ -96,7 +96,7 @@
 		return nil, false
 	}
 	if skipped > 0 {
-		fmt.Fprintf(e.err, "damaskctl: skipped %d lines of %s that are not log lines of an instance\n", skipped, name)
+		fmt.Fprintf(e.err, "damaskctl: passed over %d lines of %s that are no log lines of an instance\n", skipped, name)
 	}
 	return lines, true
 }
--- a/cmd/damaskctl/losses_test.go
+++ b/cmd/damaskctl/losses_test.go
@@ -41,7 +41,7 @@
 	is := is.New(t)
 	code, out, errs := runLosses(t, "", "-log", lossesLog)
 	is.Equal(code, exitDone)
-	is.True(strings.Contains(errs, "skipped 1 lines"))
+	is.True(strings.Contains(errs, "passed over 1 lines"))
 	if *update {
 		is.NoErr(os.WriteFile(goldenLosses, []byte(out), 0o644))
 	}
--- a/cmd/damaskshelfd/main.go
+++ b/cmd/damaskshelfd/main.go
@@ -1,10 +1,10 @@
 // Command damaskshelfd runs one instance of damaskshelf.
 //
 // It reads its settings at the start and again when the file changes. It serves until SIGTERM or SIGINT, and then
-// stops gracefully: it waits for the requests in flight. During the stop, further SIGTERMs have no effect, since a
+// makes a planned stop: it waits for the requests in flight. During the stop, further SIGTERMs have no effect, since a
 // platform may send more than one; a SIGINT ends the requests still in flight with an explicit error.
 //
-// Exit statuses: 0 the graceful stop completed, 1 the start or the stop failed, 2 invalid settings or usage.
+// Exit statuses: 0 the planned stop completed, 1 the start or the stop failed, 2 invalid settings or usage.
 package main
 
 import (
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -19,7 +19,7 @@
 	s.instances = []*instance{{sim: s, policy: &direct{}}}
 	return e, func(tokens, priority int) *request {
 		r := &request{
-			arrival: &arrival{at: s.clock.Now(), prompt: cost.Prompt{Tokens: tokens, MaxAnswerTokens: 10}, answerTokens: 10},
+			arrival: &arrival{at: s.clock.Now(), prompt: cost.Prompt{Tokens: tokens, MaxOutputTokens: 10}, answerTokens: 10},
 			sim:     s, instance: s.instances[0], priority: priority,
 		}
 		r.dispatch(e, false)
--- a/internal/bench/request.go
+++ b/internal/bench/request.go
@@ -215,7 +215,7 @@
 		ID:        fleet.RequestID(fmt.Sprintf("r%07d", number)),
 		Workspace: r.workspace, Prompt: r.prompt, Class: r.class,
 		Arrived: r.at, Deadline: r.deadline,
-		DecodeTime: time.Duration(r.prompt.MaxAnswerTokens) * expectedInterval,
+		DecodeTime: time.Duration(r.prompt.MaxOutputTokens) * expectedInterval,
 	}
 }
 
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -153,8 +153,8 @@
 	} else {
 		w.drawShort(&a, workspace)
 	}
-	a.prompt.MaxAnswerTokens = int(float64(a.answerTokens) * maxAnswerRatio)
-	a.class = cost.ClassOf(a.prompt.Tokens, a.prompt.MaxAnswerTokens, w.model.KVCacheTokens)
+	a.prompt.MaxOutputTokens = int(float64(a.answerTokens) * maxAnswerRatio)
+	a.class = cost.ClassOf(a.prompt.Tokens, a.prompt.MaxOutputTokens, w.model.KVCacheTokens)
 	a.deadline = at.Add(classTimeouts[a.class])
 	return a
 }
--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -70,7 +70,7 @@
 	b.requests++
 	return &admit.Request{
 		ID: fleet.RequestID(fmt.Sprintf("r%05d", b.requests)), Workspace: fleet.WorkspaceID(workspace),
-		Prompt: cost.Prompt{Tokens: tokens, MaxAnswerTokens: 100}, Class: cost.ClassOf(tokens, 100, engineMemory),
+		Prompt: cost.Prompt{Tokens: tokens, MaxOutputTokens: 100}, Class: cost.ClassOf(tokens, 100, engineMemory),
 		Arrived: b.view.Now, Deadline: b.view.Now.Add(timeout), DecodeTime: time.Second,
 	}
 }
--- a/internal/decide/cost/cost.go
+++ b/internal/decide/cost/cost.go
@@ -63,12 +63,12 @@
 // Prompt holds the properties of a request that routing depends on.
 type Prompt struct {
 	Tokens          int      // prompt tokens
-	MaxAnswerTokens int      // largest number of tokens of the answer
+	MaxOutputTokens int      // largest number of tokens of the answer
 	Blocks          []uint64 // chained hashes of the complete prefix blocks, see wire.Blocks
 }
 
 // MemoryTokens returns the most KV cache that the prompt and its answer may hold, in tokens.
-func (p *Prompt) MemoryTokens() int64 { return int64(p.Tokens + p.MaxAnswerTokens) }
+func (p *Prompt) MemoryTokens() int64 { return int64(p.Tokens + p.MaxOutputTokens) }
 
 // UncachedTokens returns the expected number of prompt tokens that the engine of the table must compute. A nil table
 // counts as an empty cache. The engine always computes at least one token, which yields the first token of the answer.
--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -75,13 +75,13 @@
 }
 
 // SetUpstreams sets the upstreams that may receive jobs. An upstream that is no longer listed keeps its runs and
-// receives no new ones. An upstream that restarted under the same ID, and so has another Born, has lost its runs.
+// receives no new ones. An upstream that restarted under the same ID, and so has another start time, has lost its runs.
 func (s *State) SetUpstreams(upstreams []Upstream) {
 	listed := make(map[fleet.UpstreamID]bool, len(upstreams))
 	for _, u := range upstreams {
 		listed[u.ID] = true
 		e := s.engineFor(u.ID)
-		if e.listed && e.Born != u.Born {
+		if e.listed && e.StartTime != u.StartTime {
 			delete(s.engines, u.ID)
 			e = s.engineFor(u.ID)
 		}
--- a/internal/decide/dispatch/job.go
+++ b/internal/decide/dispatch/job.go
@@ -30,10 +30,10 @@
 
 // Upstream is an upstream that may receive jobs.
 type Upstream struct {
-	ID     fleet.UpstreamID
-	Domain fleet.DomainID
-	Slots  int   // requests that it processes at once; 0: as many as the model states
-	Born   int64 // start time of its process
+	ID        fleet.UpstreamID
+	Domain    fleet.DomainID
+	Slots     int   // requests that it processes at once; 0: as many as the model states
+	StartTime int64 // start time of its process
 	// ColdUntil is the end of the upstream's cold start, in the past if it is warm.
 	ColdUntil decide.Instant
 }
--- a/internal/decide/pick/pick_test.go
+++ b/internal/decide/pick/pick_test.go
@@ -47,7 +47,7 @@
 func shortQuery(now decide.Instant) *pick.Query {
 	profile := pick.ProfileOf(api.ProfileShortFirst)
 	return &pick.Query{
-		Prompt: &cost.Prompt{Tokens: 4000, MaxAnswerTokens: 100, Blocks: []uint64{1, 2, 3}}, Class: cost.Short,
+		Prompt: &cost.Prompt{Tokens: 4000, MaxOutputTokens: 100, Blocks: []uint64{1, 2, 3}}, Class: cost.Short,
 		Now: now, Rand: rand.New(rand.NewPCG(1, 2)), Instances: 1, Profile: &profile,
 	}
 }
@@ -225,8 +225,8 @@
 			mostFree = max(mostFree, memoryTokens-used)
 		}
 		q := shortQuery(start)
-		q.Prompt = &cost.Prompt{Tokens: rapid.IntRange(cost.LongMin, 1_000_000).Draw(t, "tokens"), MaxAnswerTokens: 100}
-		q.Class = cost.ClassOf(q.Prompt.Tokens, q.Prompt.MaxAnswerTokens, memoryTokens)
+		q.Prompt = &cost.Prompt{Tokens: rapid.IntRange(cost.LongMin, 1_000_000).Draw(t, "tokens"), MaxOutputTokens: 100}
+		q.Class = cost.ClassOf(q.Prompt.Tokens, q.Prompt.MaxOutputTokens, memoryTokens)
 		plan := pick.PlanLong(q, pick.NewPool(engines, nil, memoryTokens).All, nil)
 		if len(plan.Parts) == 0 {
 			if mostFree >= q.Prompt.MemoryTokens() {
@@ -251,7 +251,7 @@
 	is := is.New(t)
 	engines := idleEngines(3)
 	q := shortQuery(start)
-	q.Prompt, q.Class = &cost.Prompt{Tokens: 300_000, MaxAnswerTokens: 100}, cost.Long
+	q.Prompt, q.Class = &cost.Prompt{Tokens: 300_000, MaxOutputTokens: 100}, cost.Long
 	pool := pick.NewPool(engines, nil, memoryTokens)
 	is.Equal(pick.PlanLong(q, pool.All, nil).Reason, pick.OneEngine) // the short-first profile allows no splits
 
--- a/internal/decide/reserve/sweep.go
+++ b/internal/decide/reserve/sweep.go
@@ -37,7 +37,7 @@
 // The values of Presence.
 const (
 	Present      Presence = iota
-	Missing               // not in the instance list, or the list or a heartbeat shows another incarnation
+	Missing               // not in the instance list, or known to have restarted since
 	Undetermined          // the sweeper's own information is too old to decide
 )
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -102,7 +102,7 @@
 	// A panic in one request must not end the process and with it all other requests.
 	r.PanicHandler = func(ctx *fasthttp.RequestCtx, cause any) {
 		d.Log.Error("panic", "path", string(ctx.Path()), "cause", cause, "stack", string(debug.Stack()))
-		intake.Refuse(ctx, requestID(ctx, d.NewID), fault.NewWithRun(fault.Internal, fault.RunUnknown, "internal error; see the log"))
+		intake.Refuse(ctx, requestID(ctx, d.NewID), fault.NewWithRun(fault.Internal, fault.RunUnknown, "defect; see the log"))
 	}
 	return r
 }
--- a/internal/entry/intake/intake.go
+++ b/internal/entry/intake/intake.go
@@ -90,7 +90,7 @@
 func (p *parser) single(header string) string {
 	all := p.h.PeekAll(header)
 	if len(all) > 1 {
-		p.fail("header %s occurs %d times; allowed: once", header, len(all))
+		p.fail("header %s stands %d times; allowed: once", header, len(all))
 	}
 	if len(all) == 0 {
 		return ""
--- a/internal/entry/query/answer.go
+++ b/internal/entry/query/answer.go
@@ -119,7 +119,7 @@
 	p := a.prompt
 	grant, err := a.h.router.Acquire(a.ctx, route.Request{
 		ID: p.meta.ID, Workspace: p.meta.Workspace, Model: p.body.Model,
-		PromptTokens: p.promptTokens, MaxAnswerTokens: p.body.MaxTokens, Blocks: p.blockHashes,
+		PromptTokens: p.promptTokens, MaxOutputTokens: p.body.MaxTokens, Blocks: p.blockHashes,
 		Priority: p.meta.Priority, Deadline: p.meta.Deadline, Attempt: a.attempt, Exclude: a.tried,
 	})
 	if err != nil {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -104,7 +104,7 @@
 		return fault.New(fault.StaleInstance, "paused for %s", gap.Round(time.Millisecond))
 	}
 	if trustedUntil := decide.Instant(f.trustedUntil.Load()); trustedUntil.Before(now) {
-		return fault.New(fault.StaleInstance, "no contact with peers or the store: %s", describeUntrusted(now, trustedUntil))
+		return fault.New(fault.StaleInstance, "heard neither peer nor store since %s", describeUntrusted(now, trustedUntil))
 	}
 	return nil
 }
@@ -128,9 +128,9 @@
 // describeUntrusted returns the part of an error message that states since when the instance has been without trust.
 func describeUntrusted(now, trustedUntil decide.Instant) string {
 	if trustedUntil == 0 {
-		return "none since the start or a pause"
+		return "the start or a pause"
 	}
-	return now.Sub(trustedUntil).Round(time.Millisecond).String() + " since trust ended"
+	return now.Sub(trustedUntil).Round(time.Millisecond).String() + " past the bound"
 }
 
 // Listen opens the listener for peers.
--- a/internal/gateway/lifecycle.go
+++ b/internal/gateway/lifecycle.go
@@ -252,7 +252,7 @@
 		l.closeExchange(f)
 		return f
 	case l.answer.UnexpectedEncoding:
-		f := &failure{outcome: Failed, ran: fault.RunUnknown, cause: errors.New("answer has an unexpected content encoding")}
+		f := &failure{outcome: Failed, ran: fault.RunUnknown, cause: errors.New("answer has an encoding that nobody asked for")}
 		l.closeExchange(f)
 		return f
 	case status >= 500 && l.r.route.Repeatable():
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,7 +14,7 @@
 )
 
 // errStreamCut ends a caller's stream that can't be completed: the connection closes without the end mark.
-var errStreamCut = errors.New("stream can't be completed")
+var errStreamCut = errors.New("stream can't be finished")
 
 // serveStream handles a request whose answer is a stream of events. The head is sent with the first event, so that a
 // failure before it is either retried or reported as an error answer. It returns handedOver if the HTTP server reads
--- a/internal/losses/fields.go
+++ b/internal/losses/fields.go
@@ -53,7 +53,7 @@
 		if text, present := f[key]; !present {
 			return "answer without " + key
 		} else if n, err := strconv.Atoi(text); err != nil || n < 0 {
-			return fmt.Sprintf("%s=%q is not a number of ms", key, text)
+			return fmt.Sprintf("%s=%q is no number of ms", key, text)
 		}
 	}
 	return ""
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -109,5 +109,5 @@
 		got[s.Class+" "+string(s.Stage)] = s.P50
 	}
 	is.Equal(got, map[string]int64{"short place": 10, "short first": 400, "short rest": 590, "idempotent place": 3, "idempotent first": 70})
-	is.Equal(r.Problems, []string{`line 7: took_ms="12x" is not a number of ms`, "line 8: answer without first_ms"})
+	is.Equal(r.Problems, []string{`line 7: took_ms="12x" is no number of ms`, "line 8: answer without first_ms"})
 }
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -135,7 +135,7 @@
 		return err
 	}
 	if !o.PolledAll(k.View()) {
-		return fault.New(fault.NotReady, "the models of some engines have not been read yet")
+		return fault.New(fault.NotReady, "not every engine was asked yet what it serves")
 	}
 	return nil
 }
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -58,7 +58,7 @@
 				return
 			}
 			if n, err := sweeper.Sweep(ctx); n > 0 || (err != nil && ctx.Err() == nil) {
-				log.Info("expired claim shards deleted", "deleted", n, "error", err)
+				log.Info("swept expired claim shards", "deleted", n, "error", err)
 			}
 		}
 	}
--- a/internal/operate/command/command.go
+++ b/internal/operate/command/command.go
@@ -185,13 +185,13 @@
 	case err == nil:
 		return version, nil
 	case errors.As(err, &conflict) && !errors.Is(err, settle.ErrUnknown):
-		return 0, fault.New(fault.PlanConflict, "object %s has changed: expected version %d, found version %d",
+		return 0, fault.New(fault.PlanConflict, "object %s was changed meanwhile: version %d was expected, it is at %d",
 			key, ifVersion, conflict.Current)
 	case errors.Is(err, objects.ErrUnavailable) && !errors.Is(err, settle.ErrUnknown):
 		return 0, &fault.Error{Kind: fault.StoreUnavailable, Run: fault.RunNo,
-			Detail: "the object API is unavailable; nothing was changed", Cause: err}
+			Detail: "the object API can't be reached; nothing was changed", Cause: err}
 	default:
 		return 0, &fault.Error{Kind: fault.StoreUnavailable, Run: fault.RunUnknown,
-			Detail: "the object API did not answer and the change may have taken effect; check the status before a retry", Cause: err}
+			Detail: "the object API did not answer; ask for the status before trying again", Cause: err}
 	}
 }
--- a/internal/operate/command/confirm.go
+++ b/internal/operate/command/confirm.go
@@ -96,7 +96,7 @@
 // plan are not checked.
 func (s *Service) checkStillValid(ctx context.Context, p api.Plan, current api.Config, version uint64) error {
 	if p.State == api.PlanStopped {
-		return fault.New(fault.PlanConflict, "plan %s was stopped; make a new plan", p.ID)
+		return fault.New(fault.PlanConflict, "plan %s was stopped; make a new one from here", p.ID)
 	}
 	if version != p.Base.ConfigVersion {
 		return conflictError(p, current, version)
--- a/internal/operate/command/propose.go
+++ b/internal/operate/command/propose.go
@@ -48,7 +48,7 @@
 	}
 	for _, probe := range probes {
 		if probe.unreachable {
-			p.Impact = append(p.Impact, fmt.Sprintf("engine %s did not answer; its last known models are assumed", probe.upstream.ID))
+			p.Impact = append(p.Impact, fmt.Sprintf("engine %s did not answer; it is taken as last seen", probe.upstream.ID))
 		}
 	}
 	return nil
--- a/internal/placement/hub.go
+++ b/internal/placement/hub.go
@@ -302,7 +302,7 @@
 	for _, u := range snap.Upstreams(name) {
 		if snap.AcceptsWork(u) {
 			open = append(open, dispatch.Upstream{
-				ID: u.ID, Domain: u.Domain, Slots: u.Slots, Born: u.StartTime, ColdUntil: now.Add(u.ColdUntil.Sub(wallNow)),
+				ID: u.ID, Domain: u.Domain, Slots: u.Slots, StartTime: u.StartTime, ColdUntil: now.Add(u.ColdUntil.Sub(wallNow)),
 			})
 		}
 	}
--- a/internal/placement/local.go
+++ b/internal/placement/local.go
@@ -31,13 +31,13 @@
 
 // Place implements gateway.Placer. It never waits. It skips upstreams under a limit: the requests of other instances
 // are unknown here, and one more from each instance would exceed the limit.
-func (l *LocalPlacer) Place(_ context.Context, a gateway.PlacementRequest) (gateway.Grant, error) {
+func (l *LocalPlacer) Place(_ context.Context, q gateway.PlacementRequest) (gateway.Grant, error) {
 	snap := l.snapshot()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var best *catalog.Upstream
-	for _, u := range snap.Upstreams(a.Service) {
-		if !snap.AcceptsWork(u) || slices.Contains(a.Avoid, u.ID) || l.isLimited(u) {
+	for _, u := range snap.Upstreams(q.Service) {
+		if !snap.AcceptsWork(u) || slices.Contains(q.Avoid, u.ID) || l.isLimited(u) {
 			continue
 		}
 		if best == nil || l.loadPerSlot(u) < l.loadPerSlot(best) {
@@ -45,7 +45,7 @@
 		}
 	}
 	if best == nil {
-		return nil, fault.New(fault.NoUpstream, "no upstream of %s may take the request", a.Service)
+		return nil, fault.New(fault.NoUpstream, "no upstream of %s may take the request", q.Service)
 	}
 	l.inFlight[best.ID]++
 	return &localGrant{placer: l, upstream: best}, nil
--- a/internal/placement/relay.go
+++ b/internal/placement/relay.go
@@ -20,11 +20,11 @@
 
 // errNoRelay rejects an instance that asked for a relay to a dispatcher preceding it, if this instance can't relay to
 // one.
-var errNoRelay = errors.New("no preceding dispatcher is reachable through this instance")
+var errNoRelay = errors.New("no dispatcher before the instance is reached through this one")
 
 // errStateIncomplete rejects an instance that holds parts of the store's state that this one has not read yet. The
 // instance recognizes it by its code.
-var errStateIncomplete = drpcerr.WithCode(errors.New("this instance has just started and lacks state that the attaching one holds"), codeStateIncomplete)
+var errStateIncomplete = drpcerr.WithCode(errors.New("this instance has just started and knows less than the one that asks"), codeStateIncomplete)
 
 // codeStateIncomplete is the code of errStateIncomplete on the wire.
 const codeStateIncomplete = 1
--- a/internal/placement/requests.go
+++ b/internal/placement/requests.go
@@ -86,15 +86,15 @@
 
 // Place implements gateway.Placer. It waits for the dispatcher's reply, and places the request locally while no
 // dispatcher is reachable.
-func (c *Client) Place(ctx context.Context, a gateway.PlacementRequest) (gateway.Grant, error) {
-	a.Avoid = c.holdoffs.addTo(a.Avoid)
-	w := &waitingRequest{ask: a, askedAt: time.Now(), reply: make(chan reply, 1)}
+func (c *Client) Place(ctx context.Context, q gateway.PlacementRequest) (gateway.Grant, error) {
+	q.Avoid = c.holdoffs.addTo(q.Avoid)
+	w := &waitingRequest{ask: q, askedAt: time.Now(), reply: make(chan reply, 1)}
 	c.mu.Lock()
 	s := c.session
-	c.waiting[a.ID] = w
+	c.waiting[q.ID] = w
 	c.mu.Unlock()
 	if s != nil {
-		s.send(&pb.FromEntry{Asks: []*pb.Ask{askMessage(&a, w.askedAt, w.askedAt)}})
+		s.send(&pb.FromEntry{Asks: []*pb.Ask{askMessage(&q, w.askedAt, w.askedAt)}})
 	}
 	sessionTimer := time.NewTimer(sessionWait)
 	defer sessionTimer.Stop()
@@ -104,11 +104,11 @@
 			return c.grantFromReply(ctx, w, r)
 		case <-sessionTimer.C:
 			if c.withdrawIfNoSession(w) {
-				return c.local.Place(ctx, a)
+				return c.local.Place(ctx, q)
 			}
 		case <-ctx.Done():
-			c.withdrawRequest(a.ID)
-			return nil, fault.New(fault.Infeasible, "request timed out while waiting for a place")
+			c.withdrawRequest(q.ID)
+			return nil, fault.New(fault.Infeasible, "waited until its time was over")
 		}
 	}
 }
@@ -170,7 +170,7 @@
 		if h == nil || !snap.AcceptsWork(h) {
 			// The prompt can't be processed without all of its memory, so it needs another place.
 			c.sendToDispatcher(&pb.FromEntry{Withdrawn: []string{string(w.ask.ID)}})
-			return nil, fault.New(fault.NoUpstream, "upstream %s, on which memory is reserved, accepts no work", m.Upstream)
+			return nil, fault.New(fault.NoUpstream, "holder %s is not open here", m.Upstream)
 		}
 		g.reservations = append(g.reservations, gateway.Reservation{Upstream: h, Tokens: int(m.Tokens)})
 	}
--- a/internal/route/grant.go
+++ b/internal/route/grant.go
@@ -19,7 +19,7 @@
 	Model           string // for a prompt
 	Service         string // for a plain-service call
 	PromptTokens    int
-	MaxAnswerTokens int
+	MaxOutputTokens int
 	Blocks          []uint64 // hashes of the prompt's prefix blocks
 	Priority        int      // of the caller, added to those of the class and the workspace
 	Deadline        time.Time
@@ -74,7 +74,7 @@
 	load            *load
 	model           *model
 	class           cost.Class
-	maxAnswerTokens int
+	maxOutputTokens int
 	recorded        []recordedWork  // work of this dispatch that the engines' records include
 	reservations    *reservations   // nil: none
 	workspace       *limit.InFlight // count that includes this request; nil: none
@@ -138,6 +138,6 @@
 // recordAnswerTime updates the model's estimate of answer times, if the answer was complete.
 func (g *Grant) recordAnswerTime(o Outcome) {
 	if first := g.firstTokenAt.Load(); o == OK && first != 0 {
-		g.model.updateTimePerToken(g.router.now().Sub(decide.Instant(first)), g.maxAnswerTokens)
+		g.model.updateTimePerToken(g.router.now().Sub(decide.Instant(first)), g.maxOutputTokens)
 	}
 }
--- a/internal/route/model.go
+++ b/internal/route/model.go
@@ -122,10 +122,10 @@
 func (m *model) newAdmitRequest(s *routingState, pool *modelPool, q *Request, now decide.Instant) *admit.Request {
 	r := &admit.Request{
 		ID: q.ID, Workspace: q.Workspace, Weight: s.workspaces[q.Workspace].Weight,
-		Prompt:  cost.Prompt{Tokens: q.PromptTokens, MaxAnswerTokens: q.MaxAnswerTokens, Blocks: q.Blocks},
-		Class:   cost.ClassOf(q.PromptTokens, q.MaxAnswerTokens, pool.pool.EngineMemory),
+		Prompt:  cost.Prompt{Tokens: q.PromptTokens, MaxOutputTokens: q.MaxOutputTokens, Blocks: q.Blocks},
+		Class:   cost.ClassOf(q.PromptTokens, q.MaxOutputTokens, pool.pool.EngineMemory),
 		Arrived: now, Deadline: m.router.instant(q.Deadline),
-		DecodeTime: time.Duration(q.MaxAnswerTokens) * time.Duration(m.timePerToken.Load()), Exclude: q.Exclude,
+		DecodeTime: time.Duration(q.MaxOutputTokens) * time.Duration(m.timePerToken.Load()), Exclude: q.Exclude,
 	}
 	if len(q.Exclude) >= pool.engineCount {
 		r.Exclude = nil // every engine was tried before, so any of them may be tried again
@@ -198,7 +198,7 @@
 	if ctx.Err() == context.Canceled {
 		kind = fault.CallerGone
 	}
-	return admit.Decision{}, fault.New(kind, "request ended while queued for an engine")
+	return admit.Decision{}, fault.New(kind, "while it waited for an engine")
 }
 
 // reasonLeftWaiting is the reason for a refusal because the caller disconnected, or the deadline passed, while the
@@ -276,7 +276,7 @@
 	m := a.model
 	g := &Grant{
 		Reason: d.Reason, Priority: a.priority(), router: m.router, model: m, class: a.admitRequest.Class,
-		maxAnswerTokens: a.request.MaxAnswerTokens,
+		maxOutputTokens: a.request.MaxOutputTokens,
 	}
 	estimate := d.Choice.Estimate
 	if len(d.Plan.Parts) > 0 {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -233,7 +233,7 @@
 	if !inFlight.Acquire(r.workspaceShare(s, q.Workspace)) {
 		r.recordDecision("refuse", q, limit.OverLimit, "in_flight", inFlight.Count())
 		r.meter.countDecision("refuse", limit.OverLimit)
-		return nil, fault.New(fault.WorkspaceLimit, "workspace %q has %d requests in flight on this instance",
+		return nil, fault.New(fault.WorkspaceLimit, "workspace %q has %d requests here",
 			q.Workspace, inFlight.Count())
 	}
 	g, err := r.model(q.Model).acquire(ctx, s, q)
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -91,7 +91,7 @@
 func (b *testbench) request(tokens int, timeout time.Duration) Request {
 	return Request{
 		ID: fleet.RequestID(fmt.Sprintf("r%d", b.lastRequest.Add(1))), Workspace: "w", Model: "m",
-		PromptTokens: tokens, MaxAnswerTokens: 100, Deadline: time.Now().Add(timeout), Attempt: 1,
+		PromptTokens: tokens, MaxOutputTokens: 100, Deadline: time.Now().Add(timeout), Attempt: 1,
 	}
 }
 
@@ -341,7 +341,7 @@
 		is := is.New(t)
 		b := newTestbench(2, nil)
 		q := b.request(1000, time.Minute)
-		q.MaxAnswerTokens = 16384
+		q.MaxOutputTokens = 16384
 		g, err := b.Acquire(t.Context(), q)
 		is.NoErr(err)
 		g.Release(OK)
@@ -402,7 +402,7 @@
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					g, err := r.Acquire(context.Background(), Request{
-						ID: "r", Workspace: "w", Model: "m", PromptTokens: 1, MaxAnswerTokens: 1,
+						ID: "r", Workspace: "w", Model: "m", PromptTokens: 1, MaxOutputTokens: 1,
 						Deadline: time.Now().Add(time.Minute), Attempt: 1,
 					})
 					if err != nil {
--- a/internal/route/service.go
+++ b/internal/route/service.go
@@ -44,7 +44,7 @@
 		// Another request took the last slot of u.
 		candidates = slices.DeleteFunc(candidates, func(o *fleet.Upstream) bool { return o == u })
 	}
-	return nil, fault.New(fault.NoUpstream, "all upstreams of service %q are leaving, out of service or at their limit",
+	return nil, fault.New(fault.NoUpstream, "all instances of %q are leaving, out or at their limit",
 		q.Service)
 }
 
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -213,7 +213,7 @@
 	if s := c.ServiceInstance(target); s != nil {
 		return s.Switch(f, on, delay)
 	}
-	return fmt.Errorf("unknown target %q", target)
+	return fmt.Errorf("no stand-in is called %q", target)
 }
 
 // Close stops all stand-ins.
--- a/internal/standin/cluster/control.go
+++ b/internal/standin/cluster/control.go
@@ -115,7 +115,7 @@
 func (c *Cluster) postInstance(ctx *fasthttp.RequestCtx) {
 	var row wire.Instance
 	if err := json.Unmarshal(ctx.PostBody(), &row); err != nil || row.ID == "" {
-		ctx.Error("instance is not JSON or has no id", fasthttp.StatusBadRequest)
+		ctx.Error("an instance needs an id", fasthttp.StatusBadRequest)
 		return
 	}
 	c.Instances.Register(row)
--- a/internal/standin/engine/submit.go
+++ b/internal/standin/engine/submit.go
@@ -168,7 +168,7 @@
 // the beginning.
 func (e *Engine) collapse(now time.Duration) {
 	e.counters.Collapses++
-	e.failAll("engine collapsed while cold")
+	e.failAll("fell over while cold")
 	e.warmup.turnCold(e.nextJobSeq)
 	e.warmup.unavailableUntil = now + e.cfg.CollapseTime
 }
--- a/internal/upstream/forward.go
+++ b/internal/upstream/forward.go
@@ -32,7 +32,7 @@
 	// ErrTruncated reports that the answer's body ended before its length, or that its connection was reset.
 	ErrTruncated = errors.New("answer was cut short")
 	// ErrUnrelatedAnswer reports that the answers that arrived belong to other requests.
-	ErrUnrelatedAnswer = errors.New("only answers of other requests arrived")
+	ErrUnrelatedAnswer = errors.New("answers of other requests came")
 )
 
 // ForwardRequest is a request that is forwarded byte for byte.
--- a/test/soak/promises_test.go
+++ b/test/soak/promises_test.go
@@ -337,8 +337,8 @@
 	}
 }
 
-// checkGracefulStop stops every daemon by SIGTERM and checks that each ends within 8 s.
-func (s *soakRun) checkGracefulStop() {
+// checkPlannedStop stops every daemon by SIGTERM and checks that each ends within 8 s.
+func (s *soakRun) checkPlannedStop() {
 	for _, d := range s.daemons {
 		d.signal(syscall.SIGTERM)
 	}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -85,7 +85,7 @@
 	callers.Wait()
 	s.recorder.report(t, s.workers)
 	s.checkNoReservedMemory()
-	s.checkGracefulStop()
+	s.checkPlannedStop()
 }
 
 // newSoakRun starts the store, the workers and the daemons. If SOAK_LOGS names a directory, logs are kept there.
