--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -142,7 +142,7 @@
 	req.SetRequestURI("http://" + q.Addr + wire.PathCompletions)
 	h.SetMethod(fasthttp.MethodPost)
 	h.SetContentType("application/json")
-	body, err := json.Marshal(wire.CompletionRequest{Model: q.Model, Prompt: q.Prompt, MaxTokens: q.MaxTokens, Stream: q.Stream})
+	body, err := json.Marshal(wire.Completion{Model: q.Model, Prompt: q.Prompt, MaxTokens: q.MaxTokens, Stream: q.Stream})
 	if err != nil {
 		return fmt.Errorf("encode prompt: %w", err)
 	}
--- a/internal/entry/query/prompt.go
+++ b/internal/entry/query/prompt.go
@@ -18,7 +18,7 @@
 // prompt is a valid completions request.
 type prompt struct {
 	meta         intake.Meta
-	body         wire.CompletionRequest
+	body         wire.Completion
 	stream       bool     // the caller asked for a stream
 	promptTokens int      // estimated from the size of the prompt
 	blockHashes  []uint64 // of the prompt's prefix-cache blocks
@@ -26,7 +26,7 @@
 }
 
 // parsePrompt parses and checks the body of a completions request. Fields of the usual completions API that are not in
-// wire.CompletionRequest are accepted and ignored.
+// wire.Completion are accepted and ignored.
 func parsePrompt(meta intake.Meta, data []byte, maxTokens int) (*prompt, error) {
 	p := &prompt{meta: meta}
 	if err := json.Unmarshal(data, &p.body); err != nil {
--- a/internal/standin/cluster/cluster_test.go
+++ b/internal/standin/cluster/cluster_test.go
@@ -44,7 +44,7 @@
 	}
 	is.Equal(domains, map[string]int{"engine north-ice": 2, "engine mid-ice": 2, "service north-ice": 2, "service mid-ice": 1})
 	for _, model := range []string{"guide", "lake"} {
-		r := rawhttp.Completion("r-"+model, upstream.CompletionRequest{Model: model, MaxTokens: 5, Stream: true}).Do(addrs.Engines["engine-mid-ice-1"])
+		r := rawhttp.Completion("r-"+model, upstream.Completion{Model: model, MaxTokens: 5, Stream: true}).Do(addrs.Engines["engine-mid-ice-1"])
 		is.NoErr(r.CheckStream("r-"+model, 5))
 	}
 	is.Equal(c.Counters().Engines["engine-mid-ice-1"].Runs, map[string]int{"r-guide": 1, "r-lake": 1})
@@ -63,9 +63,9 @@
 	}
 	const target = "engine-north-ice-0"
 	is.Equal(post(cluster.PathFault, cluster.FaultRequest{Target: target, Fault: faults.Leaving, On: true}), 204)
-	is.Equal(rawhttp.Completion("r", upstream.CompletionRequest{Model: "guide"}).Do(c.Engine(target).Addr()).Status, 503)
+	is.Equal(rawhttp.Completion("r", upstream.Completion{Model: "guide"}).Do(c.Engine(target).Addr()).Status, 503)
 	is.Equal(post(cluster.PathFault, cluster.FaultRequest{Target: target, Fault: faults.Leaving}), 204)
-	is.Equal(rawhttp.Completion("r", upstream.CompletionRequest{Model: "guide"}).Do(c.Engine(target).Addr()).Status, 200)
+	is.Equal(rawhttp.Completion("r", upstream.Completion{Model: "guide"}).Do(c.Engine(target).Addr()).Status, 200)
 	is.Equal(post(cluster.PathFault, cluster.FaultRequest{Target: "nobody", Fault: faults.Leaving, On: true}), 400)
 	is.Equal(post(cluster.PathFault, cluster.FaultRequest{Target: target, Fault: "earthquake", On: true}), 400)
 
--- a/internal/standin/engine/completions_test.go
+++ b/internal/standin/engine/completions_test.go
@@ -33,7 +33,7 @@
 func TestAnswerWithoutStream(t *testing.T) {
 	is := is.New(t)
 	e := startEngine(t, engine.Config{})
-	call := rawhttp.Completion("r1", wire.CompletionRequest{Model: model, Prompt: "x", MaxTokens: 7})
+	call := rawhttp.Completion("r1", wire.Completion{Model: model, Prompt: "x", MaxTokens: 7})
 	complete := fetch[wire.CompletionAnswer](t, e, call)
 	is.Equal(complete, wire.CompletionAnswer{ID: "r1", Model: model, Text: answer.Text("r1", 7), Tokens: 7, FinishReason: "length"})
 	rest := fetch[wire.CompletionAnswer](t, e, call.WithHeader(wire.HeaderResumeOffset, "5"))
@@ -42,24 +42,24 @@
 
 func TestRefusals(t *testing.T) {
 	e := startEngine(t, engine.Config{Memory: 5000, Models: []wire.LoadedModel{{Model: model, Version: "v1", Adapters: []string{"ice"}}}})
-	with := func(c wire.CompletionRequest) rawhttp.Call { return rawhttp.Completion("r1", c) }
+	with := func(c wire.Completion) rawhttp.Call { return rawhttp.Completion("r1", c) }
 	cases := []struct {
 		name   string
 		call   rawhttp.Call
 		status int
 	}{
-		{"loaded adapter", with(wire.CompletionRequest{Model: model, Adapter: "ice"}), 200},
-		{"adapter not loaded", with(wire.CompletionRequest{Model: model, Adapter: "lake"}), 404},
-		{"model not loaded", with(wire.CompletionRequest{Model: "other"}), 404},
+		{"loaded adapter", with(wire.Completion{Model: model, Adapter: "ice"}), 200},
+		{"adapter not loaded", with(wire.Completion{Model: model, Adapter: "lake"}), 404},
+		{"model not loaded", with(wire.Completion{Model: "other"}), 404},
 		{"malformed", rawhttp.Call{Path: wire.PathCompletions, Body: []byte("{")}, 400},
-		{"no request id", rawhttp.Completion("", wire.CompletionRequest{Model: model}), 400},
-		{"bad priority", with(wire.CompletionRequest{Model: model}).WithHeader(wire.HeaderPriority, "high"), 400},
-		{"negative length", with(wire.CompletionRequest{Model: model, MaxTokens: -1}), 400},
-		{"offset after the end", with(wire.CompletionRequest{Model: model, MaxTokens: 4}).WithHeader(wire.HeaderResumeOffset, "5"), 400},
-		{"unknown reservation", with(wire.CompletionRequest{Model: model}).WithHeader(wire.HeaderReservation, "x"), 409},
-		{"just fits", with(wire.CompletionRequest{Model: model, Prompt: prompt(4990), MaxTokens: 10}), 200},
-		{"larger than the memory", with(wire.CompletionRequest{Model: model, Prompt: prompt(4991), MaxTokens: 10}), 413},
-		{"malformed group", with(wire.CompletionRequest{Model: model}).WithHeader(wire.HeaderGroup, "x"), 503},
+		{"no request id", rawhttp.Completion("", wire.Completion{Model: model}), 400},
+		{"bad priority", with(wire.Completion{Model: model}).WithHeader(wire.HeaderPriority, "high"), 400},
+		{"negative length", with(wire.Completion{Model: model, MaxTokens: -1}), 400},
+		{"offset after the end", with(wire.Completion{Model: model, MaxTokens: 4}).WithHeader(wire.HeaderResumeOffset, "5"), 400},
+		{"unknown reservation", with(wire.Completion{Model: model}).WithHeader(wire.HeaderReservation, "x"), 409},
+		{"just fits", with(wire.Completion{Model: model, Prompt: prompt(4990), MaxTokens: 10}), 200},
+		{"larger than the memory", with(wire.Completion{Model: model, Prompt: prompt(4991), MaxTokens: 10}), 413},
+		{"malformed group", with(wire.Completion{Model: model}).WithHeader(wire.HeaderGroup, "x"), 503},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/standin/engine/faults_test.go
+++ b/internal/standin/engine/faults_test.go
@@ -61,7 +61,7 @@
 		is := is.New(t)
 		e := startEngine(t, engine.Config{})
 		is.NoErr(e.Switch(faults.LoseAnswer, true, 0))
-		r := rawhttp.Completion("r1", wire.CompletionRequest{Model: model, MaxTokens: 10, Stream: stream}).Do(e.Addr())
+		r := rawhttp.Completion("r1", wire.Completion{Model: model, MaxTokens: 10, Stream: stream}).Do(e.Addr())
 		is.True(r.Err != nil)
 		is.Equal(len(r.Parts)+len(r.Body), 0)
 		c := e.Counters()
--- a/internal/standin/engine/helpers_test.go
+++ b/internal/standin/engine/helpers_test.go
@@ -46,7 +46,7 @@
 
 // streamCall returns the call for a streamed answer.
 func streamCall(id string, promptTokens, answerTokens int) rawhttp.Call {
-	return rawhttp.Completion(id, wire.CompletionRequest{Model: model, Prompt: prompt(promptTokens), MaxTokens: answerTokens, Stream: true})
+	return rawhttp.Completion(id, wire.Completion{Model: model, Prompt: prompt(promptTokens), MaxTokens: answerTokens, Stream: true})
 }
 
 // startCall makes the call in the background and waits for the first part of its answer. The channel receives the result.
--- a/internal/standin/engine/submit.go
+++ b/internal/standin/engine/submit.go
@@ -33,7 +33,7 @@
 // postCompletion submits a dispatch and sends its answer. It refuses an invalid call, and one whose group of reservations
 // can't be confirmed.
 func (e *Engine) postCompletion(ctx *fasthttp.RequestCtx) {
-	var c wire.CompletionRequest
+	var c wire.Completion
 	if !decodeBody(ctx, &c) {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 // newJob returns the job that a completions call asks for. It fails if a header or a limit is invalid.
-func newJob(ctx *fasthttp.RequestCtx, c *wire.CompletionRequest) (*job, error) {
+func newJob(ctx *fasthttp.RequestCtx, c *wire.Completion) (*job, error) {
 	j := &job{updated: make(chan struct{}, 1), maxTokens: c.MaxTokens, promptTokens: wire.TokenCount(len(c.Prompt))}
 	if j.maxTokens == 0 {
 		j.maxTokens = defaultMaxTokens
@@ -91,7 +91,7 @@
 
 // submit queues a dispatch, or returns the reason why the engine doesn't accept it. groupTokens is the memory reserved
 // for it on other engines. A dispatch above the cold limit makes the engine collapse.
-func (e *Engine) submit(j *job, c *wire.CompletionRequest, groupTokens int64) *refusal {
+func (e *Engine) submit(j *job, c *wire.Completion, groupTokens int64) *refusal {
 	now := e.lastStep
 	if now < e.warmup.unavailableUntil {
 		return &refusal{fasthttp.StatusServiceUnavailable, "out of service", true}
@@ -116,7 +116,7 @@
 }
 
 // checkStart returns the reason why a request can't start, or nil. It sets the memory that the job needs.
-func (e *Engine) checkStart(j *job, c *wire.CompletionRequest, groupTokens int64) *refusal {
+func (e *Engine) checkStart(j *job, c *wire.Completion, groupTokens int64) *refusal {
 	switch {
 	case e.faults.On(faults.Leaving):
 		return &refusal{fasthttp.StatusServiceUnavailable, "leaving", false}
--- a/internal/standin/rawhttp/rawhttp.go
+++ b/internal/standin/rawhttp/rawhttp.go
@@ -110,7 +110,7 @@
 }
 
 // Completion returns the call of a completions request.
-func Completion(id string, c wire.CompletionRequest) Call {
+func Completion(id string, c wire.Completion) Call {
 	body, err := json.Marshal(c)
 	if err != nil {
 		panic(err) // can't happen: a struct of strings and numbers always encodes
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -71,7 +71,7 @@
 
 // WarmUp sends an engine a prompt of a few tokens with the lowest priority and reads the answer.
 func (c *Client) WarmUp(ctx context.Context, addr, model string, timeout time.Duration) error {
-	body, err := json.Marshal(wire.CompletionRequest{Model: model, Prompt: "warm up", MaxTokens: 1, Stream: true})
+	body, err := json.Marshal(wire.Completion{Model: model, Prompt: "warm up", MaxTokens: 1, Stream: true})
 	if err != nil {
 		return fmt.Errorf("encode warm-up prompt: %w", err)
 	}
--- a/internal/upstream/wire/wire.go
+++ b/internal/upstream/wire/wire.go
@@ -67,8 +67,9 @@
 	return hashes
 }
 
-// CompletionRequest is the body of a completions request, from callers and to engines.
-type CompletionRequest struct {
+// Completion is the body of a completions request, from callers and to engines. The name of the type is part of the answer
+// to a body that is not a JSON object.
+type Completion struct {
 	Model     string `json:"model"`
 	Adapter   string `json:"adapter,omitempty"`
 	Prompt    string `json:"prompt"`
--- a/test/e2e/load_test.go
+++ b/test/e2e/load_test.go
@@ -67,7 +67,7 @@
 // that prompts of different ids share no prefix.
 func promptCall(id string, tokens, answerTokens int, stream bool) rawhttp.Call {
 	text := (id + " ") + strings.Repeat("ice ", tokens)
-	c := rawhttp.Completion(id, wire.CompletionRequest{Model: model, Prompt: text[:tokens*wire.BytesPerToken], MaxTokens: answerTokens, Stream: stream})
+	c := rawhttp.Completion(id, wire.Completion{Model: model, Prompt: text[:tokens*wire.BytesPerToken], MaxTokens: answerTokens, Stream: stream})
 	c.Decode = newChunkDecoder()
 	return withTimeout(c)
 }
